--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -79,7 +79,7 @@
 		}
 		opts := batcher.Options{
 			Slots: batch.Slots, MaxItems: batch.MaxItems, CallTime: batch.CallTime, ItemTime: batch.ItemTime,
-			RoomBytes: batch.RoomBytes, ResultTTL: batch.ResultTTL,
+			ResultMemoryBytes: batch.RoomBytes, ResultTTL: batch.ResultTTL,
 		}
 		one := b.by[name]
 		if one == nil {
@@ -106,33 +106,33 @@
 )
 
 // Run implements batcher.Backend.
-func (c *stageCalls) Run(ctx context.Context, call *batcher.Call) batcher.Answer {
+func (c *stageCalls) Run(ctx context.Context, call *batcher.Call) batcher.Response {
 	ctx, cancel := context.WithTimeout(ctx, stageCallBound)
 	defer cancel()
 	q, err := platform.StageRun(call, c.clock.Now())
 	if err != nil {
-		return batcher.Answer{Err: err}
+		return batcher.Response{Err: err}
 	}
 	answer, err := c.upstream.Do(ctx, call.Server.Address, q)
 	if err != nil {
-		return batcher.Answer{Err: err}
+		return batcher.Response{Err: err}
 	}
 	body, err := io.ReadAll(io.LimitReader(answer, maxStageAnswer))
 	if err != nil {
 		answer.Discard()
-		return batcher.Answer{Err: err}
+		return batcher.Response{Err: err}
 	}
 	answer.Close()
 	c.noteLoad(call.Server, answer.Status, answer.Header)
 	if platform.StageBusy(answer.Status, answer.Header) {
-		return batcher.Answer{Err: errBusy, Busy: true}
+		return batcher.Response{Err: errBusy, Busy: true}
 	}
 	results, err := platform.DecodeStageRun(answer.Status, body, call.Server, len(call.Items))
 	if err != nil {
-		return batcher.Answer{Err: err}
+		return batcher.Response{Err: err}
 	}
 	call.Server.Succeeded()
-	return batcher.Answer{Results: results}
+	return batcher.Response{Results: results}
 }
 
 var errBusy = errors.New("the server has too much work")
@@ -144,7 +144,7 @@
 }
 
 // Room implements batcher.Backend.
-func (c *stageCalls) Room(ctx context.Context, s *directory.Server) (int64, error) {
+func (c *stageCalls) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
 	answer, err := c.upstream.Do(ctx, s.Address, platform.StageReport(s.ID))
 	if err != nil {
 		c.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
@@ -172,7 +172,7 @@
 }
 
 // Free implements batcher.Backend.
-func (c *stageCalls) Free(ctx context.Context, s *directory.Server, handles []string) error {
+func (c *stageCalls) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
 	q, err := platform.StageFree(s.ID, handles)
 	if err != nil {
 		return err
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -52,7 +52,7 @@
 	boot  clock.Clock // of beliefs; counts suspension
 	rand  clock.Rand
 
-	out    *record.Writer
+	out    *record.AsyncWriter
 	log    *log.Logger
 	limits recordLimits
 	meter  *meter.Meter
@@ -71,7 +71,7 @@
 	reach            *reach.Reach
 	confirmed        atomic.Int64 // of the configuration, boot clock, nanoseconds; 0: never
 	upstream         *upstream.Client
-	budget           *budget.Shared
+	budget           *budget.RetryLimiter
 	batchers         *batchers
 	stages           *stages.Pool
 	gateway          *gateway.Gateway
@@ -103,10 +103,10 @@
 	set := opts.Settings
 	h := &Host{
 		opts: opts, set: set, clock: clock.System{}, boot: clock.Boot{}, rand: clock.SystemRand{},
-		out: record.NewWriter(opts.Out), meter: meter.New(), store: platform.NewStore(set.StoreAddress),
+		out: record.NewAsyncWriter(opts.Out), meter: meter.New(), store: platform.NewStore(set.StoreAddress),
 		directory: directory.New(), told: make(chan struct{}), met: make(chan struct{}),
 	}
-	h.log = record.New(h.out, set.Host)
+	h.log = record.NewLogger(h.out, set.Host)
 	h.limits = newRecordLimits()
 	h.store.OnCall(h.countCall)
 	h.upstream = upstream.New(upstream.Options{
--- a/edge/records.go
+++ b/edge/records.go
@@ -71,13 +71,13 @@
 	h.log.Info("request", kv...)
 }
 
-// CallSent implements batcher.Log.
+// CallSent implements batcher.CallLogger.
 func (h *Host) CallSent(service string, c *batcher.Call, waiting int) {
 	h.meter.Add("stage_calls_"+service, 1)
 	h.meter.Add("stage_items_"+service, int64(len(c.Items)))
 	if h.limits.allow(false, h.clock.Now()) {
 		h.log.Info("stage call sent", "service", service, "server", c.Server.ID, "items", len(c.Items),
-			"first", c.Items[0].Job.Items[c.Items[0].Index].RequestID, "waiting", waiting, "expect_ms", ms(c.Expect))
+			"first", c.Items[0].Job.Items[c.Items[0].Index].RequestID, "waiting", waiting, "expect_ms", ms(c.ExpectedDuration))
 	}
 }
 
@@ -125,8 +125,8 @@
 	return out
 }
 
-// CallEnded implements batcher.Log.
-func (h *Host) CallEnded(service string, c *batcher.Call, took time.Duration, a batcher.Answer) {
+// CallEnded implements batcher.CallLogger.
+func (h *Host) CallEnded(service string, c *batcher.Call, took time.Duration, a batcher.Response) {
 	h.meter.Observe("stage_call_"+service, took)
 	failed := a.Err != nil
 	reasons := map[batcher.Reason]int{}
@@ -138,14 +138,14 @@
 	}
 	if !failed {
 		if h.limits.allow(false, h.clock.Now()) {
-			h.log.Info("stage call ended", "service", service, "server", c.Server.ID, "items", len(c.Items), "took_ms", ms(took), "expect_ms", ms(c.Expect))
+			h.log.Info("stage call ended", "service", service, "server", c.Server.ID, "items", len(c.Items), "took_ms", ms(took), "expect_ms", ms(c.ExpectedDuration))
 		}
 		return
 	}
 	h.meter.Add("stage_calls_failed_"+service, 1)
 	if h.limits.allow(true, h.clock.Now()) {
 		h.log.Warn("stage call ended", "service", service, "server", c.Server.ID, "items", len(c.Items), "took_ms", ms(took),
-			"expect_ms", ms(c.Expect), "reasons", reasons, "err", a.Err)
+			"expect_ms", ms(c.ExpectedDuration), "reasons", reasons, "err", a.Err)
 	}
 }
 
@@ -164,7 +164,7 @@
 	h.meter.Gauge("peers_known", func() float64 { return float64(len(h.mesh.Peers())) })
 	h.meter.Gauge("log_lines_dropped", func() float64 { return float64(h.out.Dropped()) })
 	h.meter.Gauge("log_lines_left_out", func() float64 {
-		return float64(h.limits.ordinary.Left() + h.limits.failures.Left())
+		return float64(h.limits.ordinary.Suppressed() + h.limits.failures.Suppressed())
 	})
 	h.meter.Gauge("config_age_ms", func() float64 { _, age := h.keysFresh(); return ms(age) })
 	h.meter.Gauge("config_version", func() float64 {
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -90,14 +90,14 @@
 
 // budgets gives the decider a retry budget for each pool.
 func (d *Decider) budgets() {
-	pools := map[string]*limit.Budget{}
-	of := func(pool string) *limit.Budget {
+	pools := map[string]*limit.RetryBudget{}
+	of := func(pool string) *limit.RetryBudget {
 		if pools[pool] == nil {
-			pools[pool] = limit.NewBudget(limit.DefaultBudget())
+			pools[pool] = limit.NewRetryBudget(limit.DefaultRetryBudget())
 		}
 		return pools[pool]
 	}
-	d.First = func(pool string) { of(pool).First() }
+	d.First = func(pool string) { of(pool).RecordFirstAttempt() }
 	d.Retry = func(pool string) bool { return of(pool).Allow() }
 }
 
--- a/process/admission/account.go
+++ b/process/admission/account.go
@@ -29,11 +29,11 @@
 // account is the place of one client account.
 type account struct {
 	id        atomic.Uint64 // hash of the name; 0: free
-	demand    estimate.Float
-	admitted  estimate.Float
-	threshold estimate.Float // admitted part of the demand
-	surplus   estimate.Float // got over its due, to be worked off
-	weight    estimate.Float
+	demand    estimate.AtomicFloat64
+	admitted  estimate.AtomicFloat64
+	threshold estimate.AtomicFloat64 // admitted part of the demand
+	surplus   estimate.AtomicFloat64 // got over its due, to be worked off
+	weight    estimate.AtomicFloat64
 }
 
 func accountHash(name string) uint64 { return max(1, xxhash.Sum64String(name)) }
--- a/process/admission/judge.go
+++ b/process/admission/judge.go
@@ -111,7 +111,7 @@
 	var sum float64
 	for i := range p.stages {
 		s := &p.stages[i]
-		if s.latency.Samples() < minSamples || now.Sub(s.latency.Last()) > estimateLife {
+		if s.latency.Samples() < minSamples || now.Sub(s.latency.LastSampleTime()) > estimateLife {
 			// Without recent evidence a request is let through: only requests
 			// that run can bring the estimate back.
 			continue
--- a/process/admission/pool.go
+++ b/process/admission/pool.go
@@ -24,12 +24,12 @@
 // pool is what admission knows of one pool. Requests read and add; Tick writes.
 type pool struct {
 	name      string
-	details   [len(reasons)]string // of refusals, made once
-	base      estimate.Float       // load at which the band starts
-	share     estimate.Float       // part of the demand that is admitted, smoothed
-	load      estimate.Float       // requests for a slot at the last tick, less heading
-	slots     estimate.Float       // usable slots within reach
-	warm      atomic.Bool          // loaded enough for accounts to be counted
+	details   [len(reasons)]string   // of refusals, made once
+	base      estimate.AtomicFloat64 // load at which the band starts
+	share     estimate.AtomicFloat64 // part of the demand that is admitted, smoothed
+	load      estimate.AtomicFloat64 // requests for a slot at the last tick, less heading
+	slots     estimate.AtomicFloat64 // usable slots within reach
+	warm      atomic.Bool            // loaded enough for accounts to be counted
 	down      atomic.Bool
 	heading   atomic.Int64 // admitted here and not yet at this stage
 	trials    atomic.Int64 // servers that a probe would try
@@ -42,9 +42,9 @@
 	ownThen   float64      // of that, this host's
 	ticked    time.Time
 	shared    time.Time
-	demand    [levels]estimate.Float // seconds asked for lately
-	above     [levels]estimate.Float // part of the demand at higher levels
-	mass      [levels]estimate.Float // part of the demand at this level
+	demand    [levels]estimate.AtomicFloat64 // seconds asked for lately
+	above     [levels]estimate.AtomicFloat64 // part of the demand at higher levels
+	mass      [levels]estimate.AtomicFloat64 // part of the demand at this level
 	accounts  atomic.Pointer[accounts]
 }
 
--- a/process/batcher/batcher.go
+++ b/process/batcher/batcher.go
@@ -13,18 +13,18 @@
 // many goroutines.
 type Backend interface {
 	// Run sends a call and returns one result an item, or Err.
-	Run(ctx context.Context, c *Call) Answer
+	Run(ctx context.Context, c *Call) Response
 	// Free tells a server that results are no longer needed.
-	Free(ctx context.Context, s *directory.Server, handles []string) error
+	ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error
 	// Room asks a server for the most room for results that it may have left, in
 	// bytes.
-	Room(ctx context.Context, s *directory.Server) (int64, error)
+	FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error)
 }
 
 // Log receives what a Batcher decides.
-type Log interface {
+type CallLogger interface {
 	CallSent(service string, c *Call, waiting int)
-	CallEnded(service string, c *Call, took time.Duration, a Answer)
+	CallEnded(service string, c *Call, took time.Duration, a Response)
 }
 
 // Batcher runs the Queue of one service.
@@ -32,7 +32,7 @@
 	service string
 	backend Backend
 	clock   clock.Clock
-	log     Log
+	log     CallLogger
 	changed chan struct{}
 
 	mu    sync.Mutex
@@ -48,7 +48,7 @@
 }
 
 // New returns a batcher for a service. Run has to be called.
-func New(service string, opts Options, backend Backend, c clock.Clock, log Log) *Batcher {
+func New(service string, opts Options, backend Backend, c clock.Clock, log CallLogger) *Batcher {
 	return &Batcher{
 		service: service, backend: backend, clock: c, log: log, changed: make(chan struct{}, 1),
 		queue: NewQueue(opts), freed: map[string]*freeing{},
@@ -112,15 +112,15 @@
 		now := b.clock.Now()
 		b.mu.Lock()
 		if now.Sub(recover) >= time.Second {
-			b.queue.Recover()
+			b.queue.DecayEstimates()
 			recover = now
 		}
 		if len(b.queue.servers) == 0 {
-			b.queue.Fail(NoServer)
+			b.queue.FailAll(NoServer)
 		}
-		calls, again := b.queue.Next(now)
-		waiting := b.queue.Waiting()
-		unsure := b.queue.Unsure(now)
+		calls, again := b.queue.NextCalls(now)
+		waiting := b.queue.WaitingItems()
+		unsure := b.queue.ServersToProbe(now)
 		b.mu.Unlock()
 		for _, s := range unsure {
 			go b.askRoom(ctx, s)
@@ -151,23 +151,23 @@
 	// Twice the expected time tells a slow or silent server from the ordinary
 	// spread; what it still makes is freed when it arrives.
 	b.mu.Lock()
-	freeAt := c.FreeAt // moves with the end of the call before
+	freeAt := c.ExpectedEnd // moves with the end of the call before
 	b.mu.Unlock()
-	bound := freeAt.Sub(b.clock.Now()) + c.Expect + patience
-	lost := time.AfterFunc(bound, func() { b.ended(c, Answer{Err: context.DeadlineExceeded}, true) })
+	bound := freeAt.Sub(b.clock.Now()) + c.ExpectedDuration + patience
+	lost := time.AfterFunc(bound, func() { b.ended(c, Response{Err: context.DeadlineExceeded}, true) })
 	a := b.backend.Run(ctx, c)
 	lost.Stop()
 	b.ended(c, a, a.Err != nil)
 }
 
-func (b *Batcher) ended(c *Call, a Answer, failed bool) {
+func (b *Batcher) ended(c *Call, a Response, failed bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	already := c.ended
 	if failed && !already && !a.Busy {
 		c.Server.Failed(now)
 	}
-	b.queue.Ended(c, a, now)
+	b.queue.CompleteCall(c, a, now)
 	b.mu.Unlock()
 	b.wake()
 	if !already {
@@ -177,13 +177,13 @@
 	// The items were given to another server meanwhile: nobody waits for these.
 	for _, r := range a.Results {
 		if r.Handle != "" {
-			b.Free(r.ServerID, r.Handle, 0)
+			b.ReleaseResult(r.ServerID, r.Handle, 0)
 		}
 	}
 }
 
 // Free gives up a result. It returns at once.
-func (b *Batcher) Free(serverID, handle string, bytes int64) {
+func (b *Batcher) ReleaseResult(serverID, handle string, bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.queue.servers[serverID]
@@ -207,10 +207,10 @@
 func (b *Batcher) askRoom(ctx context.Context, s *directory.Server) {
 	ctx, cancel := context.WithTimeout(ctx, roomBound)
 	defer cancel()
-	free, err := b.backend.Room(ctx, s)
+	free, err := b.backend.FreeResultMemory(ctx, s)
 	now := b.clock.Now()
 	b.mu.Lock()
-	b.queue.RoomTold(s.ID, free, err == nil, now)
+	b.queue.UpdateFreeMemory(s.ID, free, err == nil, now)
 	b.mu.Unlock()
 	b.wake()
 }
@@ -228,12 +228,12 @@
 	}
 	// A call that is sent from now on arrives behind the message that frees.
 	b.mu.Lock()
-	b.queue.Freed(serverID, f.bytes)
+	b.queue.ResultsReleased(serverID, f.bytes)
 	b.mu.Unlock()
 	b.wake()
 	ctx, cancel := context.WithTimeout(context.Background(), freeBound)
 	defer cancel()
 	// A failure only delays the room until the result's own time is over; the
 	// backend logs it.
-	_ = b.backend.Free(ctx, f.server, f.handles)
+	_ = b.backend.ReleaseResults(ctx, f.server, f.handles)
 }
--- a/process/batcher/batcher_test.go
+++ b/process/batcher/batcher_test.go
@@ -13,9 +13,9 @@
 )
 
 // calls answers with an answer by server.
-type calls map[string]Answer
+type calls map[string]Response
 
-func (c calls) Run(_ context.Context, call *Call) Answer {
+func (c calls) Run(_ context.Context, call *Call) Response {
 	a := c[call.Server.ID]
 	if a.Err == nil {
 		a.Results = make([]Result, len(call.Items))
@@ -26,13 +26,15 @@
 	return a
 }
 
-func (calls) Room(context.Context, *directory.Server) (int64, error)  { return sheet.RoomBytes, nil }
-func (calls) Free(context.Context, *directory.Server, []string) error { return nil }
+func (calls) FreeResultMemory(context.Context, *directory.Server) (int64, error) {
+	return sheet.ResultMemoryBytes, nil
+}
+func (calls) ReleaseResults(context.Context, *directory.Server, []string) error { return nil }
 
 type quiet struct{}
 
-func (quiet) CallSent(string, *Call, int)                    {}
-func (quiet) CallEnded(string, *Call, time.Duration, Answer) {}
+func (quiet) CallSent(string, *Call, int)                      {}
+func (quiet) CallEnded(string, *Call, time.Duration, Response) {}
 
 // One server breaks its calls off, another says that it has too much work. The
 // job is done by the third; the first is passed over for a while, the second is
@@ -51,8 +53,8 @@
 	done := make(chan Result, 1)
 	now := time.Now()
 	b.Submit(&Job{
-		Items: []Item{{RequestID: "r"}}, Domain: "x", AimBy: now.Add(10 * time.Second), DieBy: now.Add(20 * time.Second),
-		Done: func(_ int, r Result) { done <- r },
+		Items: []Item{{RequestID: "r"}}, Domain: "x", TargetTime: now.Add(10 * time.Second), Deadline: now.Add(20 * time.Second),
+		OnResult: func(_ int, r Result) { done <- r },
 	})
 	var r Result
 	g.Eventually(done, "10s").Should(Receive(&r))
--- a/process/batcher/bench_test.go
+++ b/process/batcher/bench_test.go
@@ -23,16 +23,16 @@
 			q := NewQueue(sheet)
 			q.SetServers(dir.View().Servers("s"), func(*directory.Server) time.Duration { return time.Millisecond })
 			for i := range 2 * servers {
-				j := &Job{Items: make([]Item, 12), AimBy: now.Add(time.Second), DieBy: now.Add(time.Minute), ItemBytes: 1, Done: func(int, Result) {}}
+				j := &Job{Items: make([]Item, 12), TargetTime: now.Add(time.Second), Deadline: now.Add(time.Minute), ResultBytes: 1, OnResult: func(int, Result) {}}
 				for p := range j.Items {
 					j.Items[p] = Item{RequestID: fmt.Sprint(i), Piece: p}
 				}
 				q.Submit(j, now)
 			}
-			q.Next(now)
+			q.NextCalls(now)
 			b.ReportAllocs()
 			for b.Loop() {
-				q.Next(now.Add(10 * time.Millisecond))
+				q.NextCalls(now.Add(10 * time.Millisecond))
 			}
 		})
 	}
--- a/process/batcher/compose.go
+++ b/process/batcher/compose.go
@@ -16,13 +16,13 @@
 	if arrive := now.Add(s.oneWay); arrive.After(start) {
 		start = arrive
 	}
-	c.StartBy = start
+	c.ExpectedStart = start
 	q.fill(c, s, now)
 	if len(c.Items) == 0 {
 		return nil
 	}
-	c.Expect = time.Duration(float64(q.opts.expected(len(c.Items))) * s.slow)
-	c.FreeAt = start.Add(c.Expect)
+	c.ExpectedDuration = time.Duration(float64(q.opts.expected(len(c.Items))) * s.slow)
+	c.ExpectedEnd = start.Add(c.ExpectedDuration)
 	s.calls = append(s.calls, c)
 	s.inCalls += c.bytes
 	return c
@@ -46,7 +46,7 @@
 		if j.held && s.Domain != j.Domain || q.take(nil, s, j) == 0 || j.failedOn[s.ID] && q.others(j) {
 			continue
 		}
-		if s.slow > slowFrom && q.freeAt(s, now).Add(q.takes(s, j)).After(j.DieBy) {
+		if s.slow > slowFrom && q.freeAt(s, now).Add(q.takes(s, j)).After(j.Deadline) {
 			continue
 		}
 		if best == nil || q.better(s, best, j) {
@@ -62,7 +62,7 @@
 // others tells whether there is a server that has not failed on the job.
 func (q *Queue) others(j *Job) bool {
 	for id, s := range q.servers {
-		if !j.failedOn[id] && j.Allowed.Allows(s.Region) {
+		if !j.failedOn[id] && j.AllowedRegions.Allows(s.Region) {
 			return true
 		}
 	}
@@ -123,7 +123,7 @@
 // take is how many items of a job a call (nil: an empty one) to a server takes; none to
 // one in a region that the job does not allow.
 func (q *Queue) take(c *Call, s *server, j *Job) int {
-	if !j.Allowed.Allows(s.Region) {
+	if !j.AllowedRegions.Allows(s.Region) {
 		return 0
 	}
 	items, bytes := 0, int64(0)
@@ -131,12 +131,12 @@
 		items, bytes = len(c.Items), c.bytes
 	}
 	n := min(len(j.next), q.opts.MaxItems-items)
-	if room := q.roomOf(s); room > 0 && j.ItemBytes > 0 {
+	if room := q.roomOf(s); room > 0 && j.ResultBytes > 0 {
 		left := room - s.held() - bytes
 		if s.held()+bytes == 0 {
-			left = max(left, j.ItemBytes) // an empty server takes one item whatever its size
+			left = max(left, j.ResultBytes) // an empty server takes one item whatever its size
 		}
-		n = min(n, int(max(left, 0)/j.ItemBytes))
+		n = min(n, int(max(left, 0)/j.ResultBytes))
 	}
 	return n
 }
@@ -147,8 +147,8 @@
 	}
 	n := q.take(c, s, j)
 	for _, i := range j.next[:n] {
-		c.Items = append(c.Items, Part{j, i})
+		c.Items = append(c.Items, ItemRef{j, i})
 	}
 	j.next = j.next[n:]
-	c.bytes += int64(n) * j.ItemBytes
+	c.bytes += int64(n) * j.ResultBytes
 }
--- a/process/batcher/fetched.go
+++ b/process/batcher/fetched.go
@@ -8,13 +8,13 @@
 
 // Fetching is how long after the begin of a call of some expected length its inputs are
 // needed.
-func Fetching(expect time.Duration) time.Duration {
+func InputFetchTime(expect time.Duration) time.Duration {
 	return time.Duration(fetchedShare * float64(expect))
 }
 
 // fetchedAt is when the server of a call has fetched its inputs. It is called for calls
 // whose turn has begun.
-func (c *Call) fetchedAt() time.Time { return c.StartBy.Add(Fetching(c.Expect)) }
+func (c *Call) fetchedAt() time.Time { return c.ExpectedStart.Add(InputFetchTime(c.ExpectedDuration)) }
 
 // begun returns the calls that a server works on; those behind them wait at the server.
 func (q *Queue) begun(s *server) []*Call { return s.calls[:min(len(s.calls), q.opts.slots())] }
@@ -43,8 +43,8 @@
 // noteFetched notes that the inputs of one more item were fetched.
 func (j *Job) noteFetched() {
 	j.fetched++
-	if j.Fetched != nil && j.fetched == len(j.Items) {
-		j.Fetched()
+	if j.OnInputsFetched != nil && j.fetched == len(j.Items) {
+		j.OnInputsFetched()
 	}
 }
 
--- a/process/batcher/hold.go
+++ b/process/batcher/hold.go
@@ -26,7 +26,7 @@
 	for _, j := range q.waiting {
 		before := ahead[j.Domain]
 		ahead[j.Domain] += len(j.next)
-		j.held = j.AwayBytes >= homeBytes && before < q.opts.MaxItems*q.homeCalls(j, now)
+		j.held = j.RemoteBytes >= homeBytes && before < q.opts.MaxItems*q.homeCalls(j, now)
 	}
 }
 
@@ -49,7 +49,7 @@
 
 // holdUntil is how long a job may wait for a server.
 func (q *Queue) holdUntil(s *server, j *Job) time.Time {
-	latest := j.AimBy.Add(-q.takes(s, j) - homeSlack)
+	latest := j.TargetTime.Add(-q.takes(s, j) - homeSlack)
 	if most := j.since.Add(homeWait); most.Before(latest) {
 		return most
 	}
@@ -77,7 +77,7 @@
 	}
 	items := 0
 	for _, j := range q.waiting {
-		if now.Sub(j.since) >= gatherWait || now.Add(q.opts.expected(q.opts.MaxItems)+gatherWait).After(j.AimBy) {
+		if now.Sub(j.since) >= gatherWait || now.Add(q.opts.expected(q.opts.MaxItems)+gatherWait).After(j.TargetTime) {
 			return false
 		}
 		items += len(j.next)
--- a/process/batcher/hold_test.go
+++ b/process/batcher/hold_test.go
@@ -17,7 +17,7 @@
 		b.g.Expect(b.next()).To(HaveLen(1))
 	}
 	for _, c := range b.open {
-		c.FreeAt = b.now.Add(time.Second)
+		c.ExpectedEnd = b.now.Add(time.Second)
 	}
 }
 
@@ -47,7 +47,7 @@
 				b.g.Expect(b.next()).To(HaveLen(1))
 				return
 			}
-			calls, again := b.q.Next(b.now)
+			calls, again := b.q.NextCalls(b.now)
 			b.g.Expect(calls).To(BeEmpty())
 			b.g.Expect(again).To(BeTemporally("<=", b.now.Add(gatherWait)))
 			b.now = b.now.Add(gatherWait)
@@ -68,7 +68,7 @@
 	}
 	var working time.Duration
 	for _, c := range b.calls {
-		working += c.Expect
+		working += c.ExpectedDuration
 	}
 	busy := working.Seconds() / (200 * 0.05 * float64(len(five)))
 	t.Logf("%d calls, servers busy %.2f of the time", len(b.calls), busy)
--- a/process/batcher/job.go
+++ b/process/batcher/job.go
@@ -27,21 +27,21 @@
 	Items []Item
 	// Domain is the failure domain where the items are best made, and AwayBytes
 	// is what crosses domains if they are made elsewhere.
-	Domain    string
-	AwayBytes int64
+	Domain      string
+	RemoteBytes int64
 	// Allowed are the regions in which the items may be made.
-	Allowed residency.Set
+	AllowedRegions residency.Set
 	// AimBy is when the results should be there: jobs are served in this order.
 	// DieBy is when they are of no use any more.
-	AimBy, DieBy time.Time
+	TargetTime, Deadline time.Time
 	// ItemBytes is the approximate size of one result.
-	ItemBytes int64
+	ResultBytes int64
 	// Done is called once for each item with its result or the reason why
 	// there is none. It must not block.
-	Done func(index int, r Result)
+	OnResult func(index int, r Result)
 	// Fetched is called when all items are with servers that have fetched their inputs;
 	// nil: nobody wants to know. It must not block.
-	Fetched func()
+	OnInputsFetched func()
 
 	next      []int // items neither done nor in a call
 	since     time.Time
@@ -55,19 +55,19 @@
 
 // Spend notes that the job's inputs are given up: items that fail from now on end with
 // InputGone at once. It may be called at any time.
-func (j *Job) Spend() { j.spent.Store(true) }
+func (j *Job) MarkInputsReleased() { j.spent.Store(true) }
 
 // Reason tells why an item has no result; empty: it has one.
 type Reason string
 
 // Reasons.
 const (
-	Late      Reason = "late"      // it could not be made in time
-	InputGone Reason = "gone"      // a result that it needs no longer exists
-	NoServer  Reason = "no_server" // no server of the service can be reached
-	Failed    Reason = "failed"    // servers failed on it too often
-	Cancelled Reason = "cancelled" // the request is over
-	NoRoom    Reason = "no_room"   // the server had no room for the result; made elsewhere or later
+	TooLate    Reason = "late"      // it could not be made in time
+	InputLost  Reason = "gone"      // a result that it needs no longer exists
+	NoServer   Reason = "no_server" // no server of the service can be reached
+	Failed     Reason = "failed"    // servers failed on it too often
+	Cancelled  Reason = "cancelled" // the request is over
+	NoCapacity Reason = "no_room"   // the server had no room for the result; made elsewhere or later
 )
 
 // Result is the outcome of one item.
@@ -80,12 +80,12 @@
 
 // Options describe a service; they follow the configuration in force.
 type Options struct {
-	Slots     int // calls that a server works on at once; at least 1
-	MaxItems  int // items of one call
-	CallTime  time.Duration
-	ItemTime  time.Duration
-	RoomBytes int64 // for results at one server; 0: not bounded
-	ResultTTL time.Duration
+	Slots             int // calls that a server works on at once; at least 1
+	MaxItems          int // items of one call
+	CallTime          time.Duration
+	ItemTime          time.Duration
+	ResultMemoryBytes int64 // for results at one server; 0: not bounded
+	ResultTTL         time.Duration
 }
 
 func (o *Options) slots() int { return max(o.Slots, 1) }
--- a/process/batcher/outcome.go
+++ b/process/batcher/outcome.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Answer is the outcome of a call, one result an item.
-type Answer struct {
+type Response struct {
 	Results []Result // Reason Failed: the item may be given to another server
 	// Err is set if the call failed as a whole; its items go to others.
 	Err error
@@ -13,7 +13,7 @@
 
 // Ended takes the outcome of a call. Items that may be made elsewhere wait
 // again.
-func (q *Queue) Ended(c *Call, a Answer, now time.Time) {
+func (q *Queue) CompleteCall(c *Call, a Response, now time.Time) {
 	if c.ended {
 		return
 	}
@@ -28,15 +28,15 @@
 		reason := Failed
 		switch {
 		case a.Busy:
-			reason = NoRoom
+			reason = NoCapacity
 		case a.Err == nil:
 			reason = a.Results[i].Reason
 		}
-		if reason != Failed && reason != NoRoom {
+		if reason != Failed && reason != NoCapacity {
 			if !c.fetched {
 				j.noteFetched()
 			}
-			j.Done(part.Index, a.Results[i])
+			j.OnResult(part.Index, a.Results[i])
 			continue
 		}
 		j.next = append(j.next, part.Index)
@@ -67,7 +67,7 @@
 		j.end(Cancelled)
 	case j.spent.Load():
 		q.remove(j)
-		j.end(InputGone)
+		j.end(InputLost)
 	case j.attempts >= maxAttempts:
 		q.remove(j)
 		j.end(Failed)
@@ -99,7 +99,7 @@
 const slowShare = 0.5
 
 // settle notes what a call tells of its server.
-func (q *Queue) settle(s *server, c *Call, a Answer, now time.Time) {
+func (q *Queue) settle(s *server, c *Call, a Response, now time.Time) {
 	for i, other := range s.calls {
 		if other == c {
 			s.calls = append(s.calls[:i], s.calls[i+1:]...)
@@ -109,9 +109,9 @@
 	made, noRoom := int64(0), false
 	for i, r := range a.Results {
 		if r.Handle != "" {
-			made += c.Items[i].Job.ItemBytes
+			made += c.Items[i].Job.ResultBytes
 		}
-		noRoom = noRoom || r.Reason == NoRoom
+		noRoom = noRoom || r.Reason == NoCapacity
 	}
 	switch {
 	case a.Busy:
@@ -119,10 +119,10 @@
 		s.fullTil = now.Add(busyPause)
 	case a.Err != nil:
 		// How long a call without an answer takes is at least known.
-		waited := float64(now.Sub(c.StartBy)) / float64(q.opts.expected(len(c.Items)))
+		waited := float64(now.Sub(c.ExpectedStart)) / float64(q.opts.expected(len(c.Items)))
 		s.slow = min(max(s.slow, waited), maxSlow)
 	case made > 0 && !noRoom:
-		took := now.Add(-s.oneWay).Sub(c.StartBy)
+		took := now.Add(-s.oneWay).Sub(c.ExpectedStart)
 		ratio := float64(took) / float64(q.opts.expected(len(c.Items)))
 		s.slow += slowShare * (min(max(ratio, minSlow), maxSlow) - s.slow)
 	}
@@ -130,7 +130,7 @@
 		// Less fits than was thought: sizes are approximate, and another host
 		// may have given the server work. Asking again before anything was
 		// freed would only be refused again.
-		s.room = max(s.held()-c.bytes+made, int64(leastRoom*float64(q.opts.RoomBytes)))
+		s.room = max(s.held()-c.bytes+made, int64(leastRoom*float64(q.opts.ResultMemoryBytes)))
 		s.fullTil = now.Add(fullPause)
 		s.ask = true
 	}
@@ -141,8 +141,8 @@
 	// A call behind this one begins now, earlier or later than was expected.
 	if n := len(s.calls); n >= q.opts.slots() {
 		behind := s.calls[n-1]
-		behind.StartBy = now.Add(-s.oneWay)
-		behind.FreeAt = behind.StartBy.Add(behind.Expect)
+		behind.ExpectedStart = now.Add(-s.oneWay)
+		behind.ExpectedEnd = behind.ExpectedStart.Add(behind.ExpectedDuration)
 	}
 }
 
@@ -161,12 +161,12 @@
 
 // Recover lets the believed speed of idle servers drift back to what is
 // expected, so that one that was slow is tried again. It is called each second.
-func (q *Queue) Recover() {
+func (q *Queue) DecayEstimates() {
 	for _, s := range q.servers {
 		if len(s.calls) == 0 {
 			s.slow += slowRecovery * (1 - s.slow)
 		}
-		s.recoverRoom(q.opts.RoomBytes)
+		s.recoverRoom(q.opts.ResultMemoryBytes)
 	}
 }
 
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -39,12 +39,12 @@
 
 // Call is a call to one server.
 type Call struct {
-	Server  *directory.Server
-	Items   []Part
-	Expect  time.Duration // how long the server should work on it
-	StartBy time.Time     // when the server should begin, at the latest
+	Server           *directory.Server
+	Items            []ItemRef
+	ExpectedDuration time.Duration // how long the server should work on it
+	ExpectedStart    time.Time     // when the server should begin, at the latest
 	// FreeAt is when the server should be done.
-	FreeAt time.Time
+	ExpectedEnd time.Time
 
 	bytes   int64
 	sent    time.Time
@@ -53,7 +53,7 @@
 }
 
 // Part is one item of a call.
-type Part struct {
+type ItemRef struct {
 	Job   *Job
 	Index int // in Job.Items
 }
@@ -88,7 +88,7 @@
 }
 
 func (q *Queue) insert(j *Job) {
-	i := sort.Search(len(q.waiting), func(i int) bool { return j.AimBy.Before(q.waiting[i].AimBy) })
+	i := sort.Search(len(q.waiting), func(i int) bool { return j.TargetTime.Before(q.waiting[i].TargetTime) })
 	q.waiting = append(q.waiting, nil)
 	copy(q.waiting[i+1:], q.waiting[i:])
 	q.waiting[i] = j
@@ -104,7 +104,7 @@
 }
 
 // Waiting returns the number of items that wait for a call.
-func (q *Queue) Waiting() int {
+func (q *Queue) WaitingItems() int {
 	n := 0
 	for _, j := range q.waiting {
 		n += len(j.next)
@@ -114,7 +114,7 @@
 
 // Next returns the calls to send now and when to ask again at the latest. Jobs
 // that have become hopeless are ended.
-func (q *Queue) Next(now time.Time) (calls []*Call, again time.Time) {
+func (q *Queue) NextCalls(now time.Time) (calls []*Call, again time.Time) {
 	q.drop(now)
 	fetched := q.noteFetched(now)
 	free := q.free(now)
@@ -156,9 +156,9 @@
 // one ends. Without the lead a server stands idle for the way there and back
 // after each call, a tenth of its time between regions.
 func (s *server) sendAt() time.Time {
-	first := s.calls[0].FreeAt
+	first := s.calls[0].ExpectedEnd
 	for _, c := range s.calls[1:] {
-		first = earlier(first, c.FreeAt)
+		first = earlier(first, c.ExpectedEnd)
 	}
 	return first.Add(-2*s.oneWay - sendLead)
 }
@@ -167,7 +167,7 @@
 func (s *server) ends() []time.Time {
 	out := make([]time.Time, len(s.calls))
 	for i, c := range s.calls {
-		out[i] = c.FreeAt
+		out[i] = c.ExpectedEnd
 	}
 	slices.SortFunc(out, time.Time.Compare)
 	return out
@@ -207,8 +207,8 @@
 		switch {
 		case j.cancelled:
 			j.end(Cancelled)
-		case now.Add(least).After(j.DieBy):
-			j.end(Late)
+		case now.Add(least).After(j.Deadline):
+			j.end(TooLate)
 		case !q.served(j):
 			j.end(NoServer)
 		default:
@@ -222,11 +222,11 @@
 // served tells whether some server may take a job, now or later. A service without any
 // server is told of by Fail.
 func (q *Queue) served(j *Job) bool {
-	if !j.Allowed.Bounded() {
+	if !j.AllowedRegions.Bounded() {
 		return true
 	}
 	for _, s := range q.servers {
-		if j.Allowed.Allows(s.Region) {
+		if j.AllowedRegions.Allows(s.Region) {
 			return true
 		}
 	}
@@ -238,12 +238,12 @@
 	items := j.next
 	j.next = nil
 	for _, i := range items {
-		j.Done(i, Result{Reason: r})
+		j.OnResult(i, Result{Reason: r})
 	}
 }
 
 // Fail ends every waiting job, for a service that has lost all servers.
-func (q *Queue) Fail(r Reason) {
+func (q *Queue) FailAll(r Reason) {
 	waiting := q.waiting
 	q.waiting = nil
 	for _, j := range waiting {
@@ -253,32 +253,32 @@
 
 // Capacity is what the servers of a service can do now.
 type Capacity struct {
-	Listed  int      // servers
-	Regions []string // of these servers
-	Servers int      // of these, that are not avoided
-	Rate    float64  // items a second in full calls
+	ListedServers    int      // servers
+	Regions          []string // of these servers
+	AvailableServers int      // of these, that are not avoided
+	ItemsPerSecond   float64  // items a second in full calls
 	// Room is what is left for results, in bytes, beside those of the items that
 	// already wait; it may be negative. RoomAll is all room; 0: not bounded.
-	Room, RoomAll int64
+	FreeResultBytes, TotalResultBytes int64
 }
 
 // Capacity returns what the servers can do at now.
 func (q *Queue) Capacity(now time.Time) Capacity {
-	c := Capacity{Listed: len(q.servers)}
+	c := Capacity{ListedServers: len(q.servers)}
 	full := q.opts.expected(q.opts.MaxItems).Seconds()
 	for _, s := range q.servers {
 		if !slices.Contains(c.Regions, s.Region) {
 			c.Regions = append(c.Regions, s.Region)
 		}
 		if !s.Avoided(now) {
-			c.Servers++
-			c.Rate += float64(q.opts.slots()*q.opts.MaxItems) / (full * s.slow)
-			c.RoomAll += q.roomOf(s)
-			c.Room += q.roomOf(s) - s.held()
+			c.AvailableServers++
+			c.ItemsPerSecond += float64(q.opts.slots()*q.opts.MaxItems) / (full * s.slow)
+			c.TotalResultBytes += q.roomOf(s)
+			c.FreeResultBytes += q.roomOf(s) - s.held()
 		}
 	}
 	for _, j := range q.waiting {
-		c.Room -= int64(len(j.next)) * j.ItemBytes
+		c.FreeResultBytes -= int64(len(j.next)) * j.ResultBytes
 	}
 	return c
 }
--- a/process/batcher/queue_test.go
+++ b/process/batcher/queue_test.go
@@ -13,7 +13,7 @@
 
 // A stage like the sheets of today: a call takes 240 ms and 15 ms an item, of
 // at most 14; a result of 60 kB, room for 26.
-var sheet = Options{MaxItems: 14, CallTime: 240 * time.Millisecond, ItemTime: 15 * time.Millisecond, RoomBytes: 1_600_000, ResultTTL: 4 * time.Second}
+var sheet = Options{MaxItems: 14, CallTime: 240 * time.Millisecond, ItemTime: 15 * time.Millisecond, ResultMemoryBytes: 1_600_000, ResultTTL: 4 * time.Second}
 
 const resultBytes = 60_000
 
@@ -60,18 +60,18 @@
 }
 
 func (b *bench) submit(id string, items int, aim time.Duration, domain string) *Job {
-	j := &Job{Domain: domain, AimBy: b.now.Add(aim), DieBy: b.now.Add(20 * time.Second), ItemBytes: resultBytes, AwayBytes: int64(items) * resultBytes}
+	j := &Job{Domain: domain, TargetTime: b.now.Add(aim), Deadline: b.now.Add(20 * time.Second), ResultBytes: resultBytes, RemoteBytes: int64(items) * resultBytes}
 	for p := range items {
 		j.Items = append(j.Items, Item{RequestID: id, Piece: p})
 	}
-	j.Done = func(p int, r Result) { b.done[fmt.Sprintf("%s/%d", id, p)] = r }
+	j.OnResult = func(p int, r Result) { b.done[fmt.Sprintf("%s/%d", id, p)] = r }
 	b.q.Submit(j, b.now)
 	return j
 }
 
 // next asks for calls and keeps them open.
 func (b *bench) next() []*Call {
-	calls, _ := b.q.Next(b.now)
+	calls, _ := b.q.NextCalls(b.now)
 	b.open = append(b.open, calls...)
 	b.calls = append(b.calls, calls...)
 	return calls
@@ -90,8 +90,8 @@
 				continue
 			}
 			took := time.Duration(b.slow[c.Server.ID] * float64(b.q.opts.expected(len(c.Items))))
-			if c.StartBy.After(start) {
-				start = c.StartBy
+			if c.ExpectedStart.After(start) {
+				start = c.ExpectedStart
 			}
 			if b.now.Before(start.Add(took)) {
 				kept = append(kept, c)
@@ -108,7 +108,7 @@
 				left = append(left, f)
 				continue
 			}
-			b.q.Freed(f.server, f.bytes)
+			b.q.ResultsReleased(f.server, f.bytes)
 		}
 		b.frees = left
 	}
@@ -124,11 +124,11 @@
 }
 
 func (b *bench) end(c *Call) {
-	a := Answer{}
+	a := Response{}
 	for i := range c.Items {
 		a.Results = append(a.Results, Result{Handle: fmt.Sprintf("h%d", i), ServerID: c.Server.ID})
 	}
-	b.q.Ended(c, a, b.now)
+	b.q.CompleteCall(c, a, b.now)
 }
 
 // Items of many requests wait while all servers work. They share the next
@@ -142,7 +142,7 @@
 	}
 	b.now = b.now.Add(100 * time.Millisecond)
 	b.g.Expect(b.next()).To(BeEmpty(), "the server still works")
-	b.now = b.calls[0].FreeAt
+	b.now = b.calls[0].ExpectedEnd
 	calls := b.next()
 	b.g.Expect(calls).To(HaveLen(1))
 	b.g.Expect(calls[0].Items).To(HaveLen(14))
@@ -157,9 +157,9 @@
 	b.submit("1", 1, time.Second, "x")
 	c := b.next()[0]
 	b.submit("2", 1, time.Second, "x")
-	b.now = c.FreeAt.Add(-51 * time.Millisecond)
+	b.now = c.ExpectedEnd.Add(-51 * time.Millisecond)
 	b.g.Expect(b.next()).To(BeEmpty())
-	b.now = c.FreeAt.Add(-50 * time.Millisecond)
+	b.now = c.ExpectedEnd.Add(-50 * time.Millisecond)
 	b.g.Expect(b.next()).To(HaveLen(1))
 	b.submit("3", 1, time.Second, "x")
 	b.g.Expect(b.next()).To(BeEmpty(), "one call waits at the server already")
@@ -174,7 +174,7 @@
 	}
 	b.run(2*time.Second, time.Hour)
 	b.g.Expect(len(b.done)).To(Equal(25), "0.96 of the room for 26")
-	b.q.Freed("a", 4*resultBytes)
+	b.q.ResultsReleased("a", 4*resultBytes)
 	b.run(time.Second, time.Hour)
 	b.g.Expect(len(b.done)).To(Equal(29))
 	b.run(4*time.Second, time.Hour)
@@ -187,12 +187,12 @@
 	b := newBench(t, sheet, map[string]string{"a": "x"})
 	b.submit("1", 4, time.Second, "x")
 	c := b.next()[0]
-	refused := Answer{Results: make([]Result, 4)}
+	refused := Response{Results: make([]Result, 4)}
 	for i := range refused.Results {
-		refused.Results[i].Reason = NoRoom
+		refused.Results[i].Reason = NoCapacity
 	}
 	for range 5 {
-		b.q.Ended(c, refused, b.now)
+		b.q.CompleteCall(c, refused, b.now)
 		b.g.Expect(b.next()).To(BeEmpty())
 		b.now = b.now.Add(fullPause)
 		calls := b.next()
@@ -200,9 +200,9 @@
 		c = calls[0]
 	}
 	b.g.Expect(b.done).To(BeEmpty())
-	b.q.Ended(c, refused, b.now)
+	b.q.CompleteCall(c, refused, b.now)
 	b.g.Expect(b.next()).To(BeEmpty())
-	b.q.Freed("a", resultBytes)
+	b.q.ResultsReleased("a", resultBytes)
 	calls := b.next()
 	b.g.Expect(calls).To(HaveLen(1), "a result was freed there: asked again at once")
 	b.end(calls[0])
@@ -220,7 +220,7 @@
 		b.g.Expect(calls).To(HaveLen(1))
 		seen[calls[0].Server.ID] = true
 		calls[0].Server.Failed(b.now)
-		b.q.Ended(calls[0], Answer{Err: errors.New("reset")}, b.now)
+		b.q.CompleteCall(calls[0], Response{Err: errors.New("reset")}, b.now)
 		if len(seen) == 2 {
 			b.now = b.now.Add(2 * time.Second)
 		}
@@ -238,7 +238,7 @@
 	first := b.next()[0]
 	b.now = b.now.Add(time.Second)
 	first.Server.Failed(b.now)
-	b.q.Ended(first, Answer{Err: errors.New("no answer")}, b.now)
+	b.q.CompleteCall(first, Response{Err: errors.New("no answer")}, b.now)
 	second := b.next()[0]
 	b.g.Expect(second.Server.ID).NotTo(Equal(first.Server.ID))
 	b.end(second)
@@ -275,7 +275,7 @@
 	calls := b.next()
 	b.g.Expect(calls).To(HaveLen(2))
 	b.now = b.now.Add(2 * time.Second)
-	b.q.Ended(calls[0], Answer{Err: errors.New("no answer")}, b.now)
+	b.q.CompleteCall(calls[0], Response{Err: errors.New("no answer")}, b.now)
 	b.g.Expect(b.q.servers[calls[0].Server.ID].slow).To(BeNumerically("~", 2/0.45, 0.1))
 	b.g.Expect(b.q.servers[calls[1].Server.ID].slow).To(BeNumerically("==", 1))
 }
@@ -322,16 +322,16 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			opts := sheet
-			opts.RoomBytes = 0
+			opts.ResultMemoryBytes = 0
 			b := newBench(t, opts, map[string]string{"home": "x", "away": "y"})
 			b.submit("before", 1, time.Second, "x")
 			b.g.Expect(b.next()).To(HaveLen(1))
-			b.q.servers["home"].calls[0].FreeAt = b.now.Add(c.busyFor)
+			b.q.servers["home"].calls[0].ExpectedEnd = b.now.Add(c.busyFor)
 			for i := range c.ahead / 2 {
 				b.submit(fmt.Sprintf("ahead-%d", i), 2, 1900*time.Millisecond, "x")
 			}
 			j := b.submit("job", c.items, c.aim, "x")
-			j.AwayBytes = int64(c.items) * c.bytes
+			j.RemoteBytes = int64(c.items) * c.bytes
 			calls := b.next()
 			if c.madeBy == "home" {
 				b.g.Expect(calls).To(BeEmpty())
@@ -352,13 +352,13 @@
 	b.submit("busy", 14, time.Second, "x")
 	b.next()
 	late := b.submit("late", 1, time.Second, "x")
-	late.DieBy = b.now.Add(50 * time.Millisecond)
+	late.Deadline = b.now.Add(50 * time.Millisecond)
 	b.submit("left", 1, time.Second, "x")
 	b.q.Cancel("left")
 	b.next()
-	b.g.Expect(b.done["late/0"].Reason).To(Equal(Late))
+	b.g.Expect(b.done["late/0"].Reason).To(Equal(TooLate))
 	b.g.Expect(b.done["left/0"].Reason).To(Equal(Cancelled))
-	b.g.Expect(b.q.Waiting()).To(BeZero())
+	b.g.Expect(b.q.WaitingItems()).To(BeZero())
 }
 
 // The load of a burst: 120 items a second in requests of four, results held for
@@ -386,7 +386,7 @@
 	b.submit("1", 1, time.Second, "x")
 	first := b.next()[0]
 	b.g.Expect(first.Server.ID).To(Equal("a"))
-	b.q.Ended(first, Answer{Results: []Result{{Reason: Failed}}}, b.now)
+	b.q.CompleteCall(first, Response{Results: []Result{{Reason: Failed}}}, b.now)
 	second := b.next()[0]
 	b.g.Expect(second.Server.ID).To(Equal("b"))
 	b.end(second)
@@ -399,13 +399,13 @@
 	b := newBench(t, sheet, map[string]string{"a": "x"})
 	s := b.q.servers["a"]
 	all := b.q.roomOf(s)
-	b.q.Recover()
+	b.q.DecayEstimates()
 	b.g.Expect(b.q.roomOf(s)).To(Equal(all))
 	b.submit("1", 1, time.Second, "x")
-	b.q.Ended(b.next()[0], Answer{Results: []Result{{Reason: NoRoom}}}, b.now)
+	b.q.CompleteCall(b.next()[0], Response{Results: []Result{{Reason: NoCapacity}}}, b.now)
 	b.g.Expect(b.q.roomOf(s)).To(BeNumerically("<", all))
 	for range 5 {
-		b.q.Recover()
+		b.q.DecayEstimates()
 	}
 	b.g.Expect(b.q.roomOf(s)).To(Equal(all))
 }
@@ -414,21 +414,21 @@
 // one that waits.
 func TestServersWithSeveralSlotsGetSeveralCalls(t *testing.T) {
 	opts := sheet
-	opts.Slots, opts.RoomBytes = 2, 0
+	opts.Slots, opts.ResultMemoryBytes = 2, 0
 	b := newBench(t, opts, map[string]string{"a": "x"})
 	for i := range 4 {
 		b.submit(fmt.Sprint(i), 14, 10*time.Second, "x")
 	}
 	calls := b.next()
 	b.g.Expect(calls).To(HaveLen(2))
-	b.g.Expect(b.q.Capacity(b.now).Rate).To(BeNumerically("~", 2*14/0.45, 1))
-	b.now = calls[0].FreeAt.Add(-5 * time.Millisecond)
+	b.g.Expect(b.q.Capacity(b.now).ItemsPerSecond).To(BeNumerically("~", 2*14/0.45, 1))
+	b.now = calls[0].ExpectedEnd.Add(-5 * time.Millisecond)
 	third := b.next()
 	b.g.Expect(third).To(HaveLen(1))
 	b.g.Expect(b.next()).To(BeEmpty())
-	b.now = calls[0].FreeAt.Add(time.Millisecond)
+	b.now = calls[0].ExpectedEnd.Add(time.Millisecond)
 	b.end(calls[0])
-	b.g.Expect(third[0].StartBy).To(Equal(b.now.Add(-time.Millisecond)))
+	b.g.Expect(third[0].ExpectedStart).To(Equal(b.now.Add(-time.Millisecond)))
 	b.end(calls[1])
 	b.g.Expect(b.next()).To(HaveLen(1))
 }
@@ -441,10 +441,10 @@
 	fetched := 0
 	b.submit("ahead", 4, 5*time.Second, "x")
 	ahead := b.next()[0]
-	b.submit("behind", 4, 5*time.Second, "x").Fetched = func() { fetched++ }
-	b.now = ahead.FreeAt.Add(-sendLead)
+	b.submit("behind", 4, 5*time.Second, "x").OnInputsFetched = func() { fetched++ }
+	b.now = ahead.ExpectedEnd.Add(-sendLead)
 	behind := b.next()[0]
-	b.now = b.now.Add(behind.Expect) // the call ahead of it takes longer than expected
+	b.now = b.now.Add(behind.ExpectedDuration) // the call ahead of it takes longer than expected
 	b.next()
 	b.g.Expect(fetched).To(BeZero())
 	b.end(ahead)
--- a/process/batcher/regions_test.go
+++ b/process/batcher/regions_test.go
@@ -29,17 +29,17 @@
 				allowed[id] = set
 			}
 			j := b.submit(id, rapid.IntRange(1, 20).Draw(rt, "items"), time.Second, rapid.SampledFrom(domains).Draw(rt, "home"))
-			j.Allowed = allowed[id]
+			j.AllowedRegions = allowed[id]
 		}
 		for range 30 {
 			for _, c := range b.next() {
 				for _, part := range c.Items {
-					if !part.Job.Allowed.Allows(c.Server.Region) {
-						rt.Fatalf("%s, bound to %v, in %s", part.Job.Items[0].RequestID, part.Job.Allowed, c.Server.Region)
+					if !part.Job.AllowedRegions.Allows(c.Server.Region) {
+						rt.Fatalf("%s, bound to %v, in %s", part.Job.Items[0].RequestID, part.Job.AllowedRegions, c.Server.Region)
 					}
 				}
 				if rapid.Bool().Draw(rt, "fails") {
-					b.q.Ended(c, Answer{Err: fmt.Errorf("cut")}, b.now)
+					b.q.CompleteCall(c, Response{Err: fmt.Errorf("cut")}, b.now)
 				}
 			}
 			b.now = b.now.Add(20 * time.Millisecond)
--- a/process/batcher/room.go
+++ b/process/batcher/room.go
@@ -11,7 +11,7 @@
 
 // roomOf is the room for results at a server; 0: not bounded.
 func (q *Queue) roomOf(s *server) int64 {
-	room := int64(roomShare * float64(q.opts.RoomBytes))
+	room := int64(roomShare * float64(q.opts.ResultMemoryBytes))
 	if s.room > 0 {
 		room = min(room, s.room)
 	}
@@ -19,7 +19,7 @@
 }
 
 // Freed notes that a server no longer holds results of the given size.
-func (q *Queue) Freed(serverID string, bytes int64) {
+func (q *Queue) ResultsReleased(serverID string, bytes int64) {
 	s := q.servers[serverID]
 	if s == nil {
 		return
@@ -50,7 +50,7 @@
 // seconds what nobody can name any more; calls sent into that came back without
 // results, and the requests behind them waited for nothing.
 func (q *Queue) begin(now time.Time) {
-	if q.opts.RoomBytes > 0 && now.Sub(q.worked) > q.opts.ResultTTL {
+	if q.opts.ResultMemoryBytes > 0 && now.Sub(q.worked) > q.opts.ResultTTL {
 		for _, s := range q.servers {
 			s.ask = true
 		}
@@ -60,7 +60,7 @@
 
 // Unsure returns the servers to be asked for their room now; RoomTold takes their
 // answers.
-func (q *Queue) Unsure(now time.Time) []*directory.Server {
+func (q *Queue) ServersToProbe(now time.Time) []*directory.Server {
 	var out []*directory.Server
 	for _, s := range q.servers {
 		if s.ask && !now.Before(s.askAt) && !s.Avoided(now) {
@@ -73,7 +73,7 @@
 
 // RoomTold takes the room that a server has left, if it was told. What it holds beyond
 // the results that are known here was made for others, or before a loss of power.
-func (q *Queue) RoomTold(serverID string, free int64, told bool, now time.Time) {
+func (q *Queue) UpdateFreeMemory(serverID string, free int64, told bool, now time.Time) {
 	s := q.servers[serverID]
 	if s == nil || !told {
 		return // a server that fails is found out by its calls
@@ -85,12 +85,12 @@
 		known += r.bytes
 	}
 	for _, c := range s.calls {
-		if !now.Before(c.StartBy) {
+		if !now.Before(c.ExpectedStart) {
 			known += c.bytes
 		}
 	}
-	foreign := q.opts.RoomBytes - free - known
-	if float64(foreign) < leastForeign*float64(q.opts.RoomBytes) {
+	foreign := q.opts.ResultMemoryBytes - free - known
+	if float64(foreign) < leastForeign*float64(q.opts.ResultMemoryBytes) {
 		return
 	}
 	s.foreign, s.room = foreign, 0
--- a/process/batcher/room_test.go
+++ b/process/batcher/room_test.go
@@ -15,9 +15,9 @@
 func TestResultsOfBeforeALossOfPowerAreAskedFor(t *testing.T) {
 	b := newBench(t, sheet, map[string]string{"a": "x"})
 	b.submit("1", 1, time.Second, "x")
-	b.g.Expect(b.q.Unsure(b.now)).To(HaveLen(1))
-	b.g.Expect(b.q.Unsure(b.now)).To(BeEmpty(), "one question at a time")
-	b.q.RoomTold("a", sheet.RoomBytes/10, true, b.now)
+	b.g.Expect(b.q.ServersToProbe(b.now)).To(HaveLen(1))
+	b.g.Expect(b.q.ServersToProbe(b.now)).To(BeEmpty(), "one question at a time")
+	b.q.UpdateFreeMemory("a", sheet.ResultMemoryBytes/10, true, b.now)
 	for i := range 6 {
 		b.submit(fmt.Sprint("more-", i), 2, 5*time.Second, "x")
 	}
@@ -25,32 +25,32 @@
 	b.g.Expect(calls).To(HaveLen(1))
 	b.g.Expect(len(calls[0].Items)).To(BeNumerically("<=", 2), "what fits a tenth of the room")
 	b.now = b.now.Add(askEvery)
-	b.g.Expect(b.q.Unsure(b.now)).To(HaveLen(1), "results of before go within seconds")
-	b.now = calls[0].FreeAt
+	b.g.Expect(b.q.ServersToProbe(b.now)).To(HaveLen(1), "results of before go within seconds")
+	b.now = calls[0].ExpectedEnd
 	b.end(calls[0])
-	b.q.RoomTold("a", sheet.RoomBytes-calls[0].bytes, true, b.now)
+	b.q.UpdateFreeMemory("a", sheet.ResultMemoryBytes-calls[0].bytes, true, b.now)
 	calls = b.next()
 	b.g.Expect(len(calls[0].Items)).To(BeNumerically(">", 6))
 	b.now = b.now.Add(askEvery)
-	b.g.Expect(b.q.Unsure(b.now)).To(BeEmpty())
+	b.g.Expect(b.q.ServersToProbe(b.now)).To(BeEmpty())
 }
 
 // A server has no room for an item though there should be some. It is asked what it
 // holds; one that does not tell, or tells what is known, gets work as before.
 func TestServerWithoutRoomIsAsked(t *testing.T) {
 	for name, answer := range map[string]func(*Queue, time.Time){
-		"it does not tell":      func(q *Queue, now time.Time) { q.RoomTold("a", 0, false, now) },
-		"nothing that is news":  func(q *Queue, now time.Time) { q.RoomTold("a", sheet.RoomBytes, true, now) },
-		"it is no longer there": func(q *Queue, now time.Time) { q.RoomTold("gone", 0, true, now) },
+		"it does not tell":      func(q *Queue, now time.Time) { q.UpdateFreeMemory("a", 0, false, now) },
+		"nothing that is news":  func(q *Queue, now time.Time) { q.UpdateFreeMemory("a", sheet.ResultMemoryBytes, true, now) },
+		"it is no longer there": func(q *Queue, now time.Time) { q.UpdateFreeMemory("gone", 0, true, now) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBench(t, sheet, map[string]string{"a": "x"})
 			b.submit("1", 1, time.Second, "x")
-			b.q.Unsure(b.now)
+			b.q.ServersToProbe(b.now)
 			c := b.next()[0]
-			b.now = c.FreeAt.Add(askEvery)
-			b.q.Ended(c, Answer{Results: []Result{{Reason: NoRoom}}}, b.now)
-			b.g.Expect(b.q.Unsure(b.now)).To(HaveLen(1))
+			b.now = c.ExpectedEnd.Add(askEvery)
+			b.q.CompleteCall(c, Response{Results: []Result{{Reason: NoCapacity}}}, b.now)
+			b.g.Expect(b.q.ServersToProbe(b.now)).To(HaveLen(1))
 			answer(b.q, b.now)
 			b.now = b.now.Add(fullPause)
 			b.g.Expect(b.next()).To(HaveLen(1))
@@ -64,14 +64,14 @@
 	for i := range 20 {
 		b.submit(fmt.Sprint(i), 2, time.Second, "x")
 		if i == 0 {
-			b.g.Expect(b.q.Unsure(b.now)).To(HaveLen(2))
-			b.q.RoomTold("a", sheet.RoomBytes, true, b.now)
-			b.q.RoomTold("b", sheet.RoomBytes, true, b.now)
+			b.g.Expect(b.q.ServersToProbe(b.now)).To(HaveLen(2))
+			b.q.UpdateFreeMemory("a", sheet.ResultMemoryBytes, true, b.now)
+			b.q.UpdateFreeMemory("b", sheet.ResultMemoryBytes, true, b.now)
 		}
 		b.run(500*time.Millisecond, 200*time.Millisecond)
-		b.g.Expect(b.q.Unsure(b.now)).To(BeEmpty())
+		b.g.Expect(b.q.ServersToProbe(b.now)).To(BeEmpty())
 	}
 	b.now = b.now.Add(sheet.ResultTTL + time.Millisecond)
 	b.submit("later", 1, time.Second, "x")
-	b.g.Expect(b.q.Unsure(b.now)).To(HaveLen(2))
+	b.g.Expect(b.q.ServersToProbe(b.now)).To(HaveLen(2))
 }
--- a/process/budget/budget.go
+++ b/process/budget/budget.go
@@ -20,14 +20,14 @@
 }
 
 // Shared is this host's part of the budgets of all services.
-type Shared struct {
+type RetryLimiter struct {
 	opts Options
 	mu   sync.Mutex
 	by   map[string]*window
 }
 
 // New returns a budget without history.
-func New(opts Options) *Shared { return &Shared{opts: opts, by: map[string]*window{}} }
+func New(opts Options) *RetryLimiter { return &RetryLimiter{opts: opts, by: map[string]*window{}} }
 
 // slots is the number of parts of a window. The bound holds for any window that
 // slides; counting one part more than a window holds keeps it.
@@ -44,7 +44,7 @@
 const use = 0.7
 
 // Request counts a request for a service.
-func (s *Shared) Request(service string) {
+func (s *RetryLimiter) RecordRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.window(service)
@@ -52,7 +52,7 @@
 }
 
 // Repeat takes one send beyond the first; false: there is none left.
-func (s *Shared) Repeat(service string) bool {
+func (s *RetryLimiter) AllowRetry(service string) bool {
 	hosts := max(s.opts.Hosts(), 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // window returns the service's counts, moved on to now.
-func (s *Shared) window(service string) *window {
+func (s *RetryLimiter) window(service string) *window {
 	now := s.opts.Clock.Now().UnixNano() / int64(s.opts.Window/slots)
 	w := s.by[service]
 	if w == nil {
--- a/process/budget/budget_test.go
+++ b/process/budget/budget_test.go
@@ -16,7 +16,7 @@
 	g := NewWithT(t)
 	const hosts, ratio, slack = 9, 0.2, 52.0
 	now := clock.NewManual(time.Unix(1000, 0))
-	var parts []*Shared
+	var parts []*RetryLimiter
 	for range hosts {
 		parts = append(parts, New(Options{Ratio: ratio, Window: 10 * time.Second, Slack: slack, Hosts: func() int { return hosts }, Clock: now}))
 	}
@@ -29,10 +29,10 @@
 		s := sent{at: time.Duration(i) * 100 * time.Millisecond}
 		for _, p := range parts {
 			if i%3 == 0 {
-				p.Request("s")
+				p.RecordRequest("s")
 				s.requests++
 			}
-			for p.Repeat("s") {
+			for p.AllowRetry("s") {
 				s.repeat++
 			}
 		}
@@ -57,7 +57,7 @@
 func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
 	g := NewWithT(t)
 	p := New(Options{Window: 10 * time.Second, Slack: 2, Hosts: func() int { return 1 }, Clock: clock.NewManual(time.Unix(1, 0))})
-	g.Expect(p.Repeat("a")).To(BeTrue())
-	g.Expect(p.Repeat("a")).To(BeFalse())
-	g.Expect(p.Repeat("b")).To(BeTrue())
+	g.Expect(p.AllowRetry("a")).To(BeTrue())
+	g.Expect(p.AllowRetry("a")).To(BeFalse())
+	g.Expect(p.AllowRetry("b")).To(BeTrue())
 }
--- a/process/estimate/estimate.go
+++ b/process/estimate/estimate.go
@@ -10,16 +10,16 @@
 )
 
 // Float is an atomic float64.
-type Float struct{ bits atomic.Uint64 }
+type AtomicFloat64 struct{ bits atomic.Uint64 }
 
 // Load returns the value.
-func (f *Float) Load() float64 { return math.Float64frombits(f.bits.Load()) }
+func (f *AtomicFloat64) Load() float64 { return math.Float64frombits(f.bits.Load()) }
 
 // Store sets the value.
-func (f *Float) Store(v float64) { f.bits.Store(math.Float64bits(v)) }
+func (f *AtomicFloat64) Store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
 // Add adds v.
-func (f *Float) Add(v float64) {
+func (f *AtomicFloat64) Add(v float64) {
 	for {
 		old := f.bits.Load()
 		if f.bits.CompareAndSwap(old, math.Float64bits(math.Float64frombits(old)+v)) {
@@ -29,7 +29,7 @@
 }
 
 // Scale multiplies the value by k.
-func (f *Float) Scale(k float64) {
+func (f *AtomicFloat64) Scale(k float64) {
 	for {
 		old := f.bits.Load()
 		if f.bits.CompareAndSwap(old, math.Float64bits(math.Float64frombits(old)*k)) {
@@ -41,8 +41,8 @@
 // Latency estimates the mean and the mean deviation of durations, as round-trip
 // times are estimated: exponentially weighted, recent samples first.
 type Latency struct {
-	mean    Float // seconds
-	dev     Float // seconds
+	mean    AtomicFloat64 // seconds
+	dev     AtomicFloat64 // seconds
 	samples atomic.Int64
 	last    atomic.Int64 // unix nanoseconds of the last sample
 }
@@ -78,4 +78,4 @@
 func (l *Latency) Samples() int64 { return l.samples.Load() }
 
 // Last returns the time of the last sample.
-func (l *Latency) Last() time.Time { return time.Unix(0, l.last.Load()) }
+func (l *Latency) LastSampleTime() time.Time { return time.Unix(0, l.last.Load()) }
--- a/process/limit/budget.go
+++ b/process/limit/budget.go
@@ -6,32 +6,32 @@
 import "sync/atomic"
 
 // BudgetOptions set a Budget.
-type BudgetOptions struct {
+type RetryBudgetOptions struct {
 	Ratio float64 // additional attempts earned by each first attempt
-	Most  float64 // that can be saved up
+	Burst float64 // that can be saved up
 }
 
 // DefaultBudget allows one retry for ten first attempts and ten at once.
-func DefaultBudget() BudgetOptions { return BudgetOptions{Ratio: .1, Most: 10} }
+func DefaultRetryBudget() RetryBudgetOptions { return RetryBudgetOptions{Ratio: .1, Burst: 10} }
 
 const unit = 1000 // a whole attempt, so that earnings are whole numbers
 
 // Budget counts additional attempts at one pool. It takes no lock.
-type Budget struct {
+type RetryBudget struct {
 	earn, most int64
 	saved      atomic.Int64
 	denied     atomic.Int64
 }
 
 // NewBudget returns a full budget.
-func NewBudget(o BudgetOptions) *Budget {
-	b := &Budget{earn: int64(o.Ratio * unit), most: int64(o.Most * unit)}
+func NewRetryBudget(o RetryBudgetOptions) *RetryBudget {
+	b := &RetryBudget{earn: int64(o.Ratio * unit), most: int64(o.Burst * unit)}
 	b.saved.Store(b.most)
 	return b
 }
 
 // First counts a first attempt.
-func (b *Budget) First() {
+func (b *RetryBudget) RecordFirstAttempt() {
 	for {
 		old := b.saved.Load()
 		if old >= b.most || b.saved.CompareAndSwap(old, min(b.most, old+b.earn)) {
@@ -41,7 +41,7 @@
 }
 
 // Allow takes one additional attempt from the budget, or returns false.
-func (b *Budget) Allow() bool {
+func (b *RetryBudget) Allow() bool {
 	for {
 		old := b.saved.Load()
 		if old < unit {
@@ -55,7 +55,7 @@
 }
 
 // Saved returns the additional attempts that are allowed now.
-func (b *Budget) Saved() float64 { return float64(b.saved.Load()) / unit }
+func (b *RetryBudget) Available() float64 { return float64(b.saved.Load()) / unit }
 
 // Denied returns how many were refused so far.
-func (b *Budget) Denied() int64 { return b.denied.Load() }
+func (b *RetryBudget) Denied() int64 { return b.denied.Load() }
--- a/process/limit/budget_test.go
+++ b/process/limit/budget_test.go
@@ -10,10 +10,10 @@
 // just when it can bear the least.
 func TestRetriesAreBoundedByFirstAttempts(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBudget(BudgetOptions{Ratio: .1, Most: 5})
+	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
 	allowed := 0
 	for range 1000 {
-		b.First()
+		b.RecordFirstAttempt()
 		for range 2 {
 			if b.Allow() {
 				allowed++
@@ -27,9 +27,9 @@
 
 func TestSavingsAreBounded(t *testing.T) {
 	g := NewWithT(t)
-	b := NewBudget(BudgetOptions{Ratio: .1, Most: 5})
+	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
 	for range 10_000 {
-		b.First()
+		b.RecordFirstAttempt()
 	}
 	for range 5 {
 		g.Expect(b.Allow()).To(BeTrue())
--- a/process/record/record.go
+++ b/process/record/record.go
@@ -16,19 +16,19 @@
 const queued = 1024
 
 // Writer is an io.Writer that never blocks.
-type Writer struct {
+type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
 // NewWriter returns a writer; Run has to be called.
-func NewWriter(out io.Writer) *Writer {
-	return &Writer{out: out, lines: make(chan []byte, queued)}
+func NewAsyncWriter(out io.Writer) *AsyncWriter {
+	return &AsyncWriter{out: out, lines: make(chan []byte, queued)}
 }
 
 // Write implements io.Writer for one line.
-func (w *Writer) Write(line []byte) (int, error) {
+func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
 	default:
@@ -38,10 +38,10 @@
 }
 
 // Dropped returns the number of lines that were left out.
-func (w *Writer) Dropped() int64 { return w.dropped.Load() }
+func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
 // Run writes lines until ctx ends, then those that wait.
-func (w *Writer) Run(ctx context.Context) error {
+func (w *AsyncWriter) Run(ctx context.Context) error {
 	for {
 		select {
 		case line := <-w.lines:
@@ -53,7 +53,7 @@
 	}
 }
 
-func (w *Writer) rest() {
+func (w *AsyncWriter) rest() {
 	for {
 		select {
 		case line := <-w.lines:
@@ -65,7 +65,7 @@
 }
 
 // write joins waiting lines: each write is a system call.
-func (w *Writer) write(line []byte) {
+func (w *AsyncWriter) write(line []byte) {
 	for len(line) < joined {
 		select {
 		case more := <-w.lines:
@@ -83,7 +83,7 @@
 const joined = 16 << 10 // bytes
 
 // New returns a logger of JSON lines to w.
-func New(w io.Writer, host string) *log.Logger {
+func NewLogger(w io.Writer, host string) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{
 		Level: log.InfoLevel, ReportTimestamp: true, TimeFormat: time.RFC3339Nano, Formatter: log.JSONFormatter,
 	})
@@ -113,4 +113,4 @@
 }
 
 // Left returns the number of lines that were not allowed.
-func (l *Limiter) Left() int64 { return l.left.Load() }
+func (l *Limiter) Suppressed() int64 { return l.left.Load() }
--- a/process/record/record_test.go
+++ b/process/record/record_test.go
@@ -30,14 +30,14 @@
 func TestSlowOutputBlocksNobody(t *testing.T) {
 	g := NewWithT(t)
 	out := &stuck{release: make(chan struct{})}
-	w := NewWriter(out)
+	w := NewAsyncWriter(out)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = w.Run(ctx)
 	}()
-	l := New(w, "front-1")
+	l := NewLogger(w, "front-1")
 	for i := range 3 * queued {
 		l.Info("request", "n", i)
 	}
@@ -65,6 +65,6 @@
 		}
 	}
 	g.Expect(allowed).To(Equal(3))
-	g.Expect(l.Left()).To(BeEquivalentTo(7))
+	g.Expect(l.Suppressed()).To(BeEquivalentTo(7))
 	g.Expect(l.Allow(now.Add(time.Second))).To(BeTrue())
 }
--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -91,8 +91,8 @@
 func (a *Admission) cost(r *Request) float64 {
 	var sum float64
 	for _, s := range r.Stages {
-		if svc, ok := a.service(s.Service); ok && s.Items > 0 && svc.Rate > 0 {
-			sum += float64(s.Items) / svc.Rate
+		if svc, ok := a.service(s.Service); ok && s.Items > 0 && svc.ItemsPerSecond > 0 {
+			sum += float64(s.Items) / svc.ItemsPerSecond
 		}
 	}
 	return sum
@@ -166,7 +166,7 @@
 			needs = t.latePath()
 		}
 		if now.Add(needs).After(t.Request.DieBy) {
-			t.Rejected(batcher.Late)
+			t.Rejected(batcher.TooLate)
 			continue
 		}
 		if a.unserved(t.Request) {
@@ -185,7 +185,7 @@
 // refused at once: waiting would only take the time in which another try may succeed.
 func (a *Admission) unserved(r *Request) bool {
 	for _, s := range r.Stages {
-		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.Listed == 0 || r.Allowed.Bounded() && !r.Allowed.AllowsAny(svc.Regions)) {
+		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.Allowed.Bounded() && !r.Allowed.AllowsAny(svc.Regions)) {
 			return true
 		}
 	}
--- a/process/stages/admission_test.go
+++ b/process/stages/admission_test.go
@@ -14,7 +14,7 @@
 // ms an item, of at most 14, which makes 155 items a second.
 func sheet() Service {
 	o := batcher.Options{MaxItems: 14, CallTime: 240 * time.Millisecond, ItemTime: 15 * time.Millisecond}
-	return Service{Options: o, Capacity: batcher.Capacity{Listed: 5, Servers: 5, Rate: 155}}
+	return Service{Options: o, Capacity: batcher.Capacity{ListedServers: 5, AvailableServers: 5, ItemsPerSecond: 155}}
 }
 
 // line is an admission with simulated time in which begun requests take as long
@@ -149,14 +149,14 @@
 	l := newLine(t, map[string]Service{"s": sheet()})
 	l.offer("hopeless", 1, 1, time.Second, 300*time.Millisecond)
 	l.a.Next(l.now)
-	l.g.Expect(l.rejected).To(HaveKeyWithValue("hopeless", batcher.Late))
+	l.g.Expect(l.rejected).To(HaveKeyWithValue("hopeless", batcher.TooLate))
 }
 
 // The first stage lacks room for large results. A request with large results
 // waits; one with small results does not wait behind it.
 func TestLackOfRoomHoldsOnlyThoseThatNeedIt(t *testing.T) {
 	s := sheet()
-	s.RoomAll, s.Room = 48_000_000, -11_500_000
+	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, -11_500_000
 	l := newLine(t, map[string]Service{"s": s})
 	for i, bytes := range []int64{800_000, 8_000} {
 		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ItemBytes: bytes}}, AimBy: l.now.Add(time.Second), DieBy: l.now.Add(9 * time.Second)}
@@ -171,7 +171,7 @@
 // small ones take of the servers' time is no lack of room.
 func TestSmallResultsDoNotUseUpTheRoomOfLargeOnes(t *testing.T) {
 	s := sheet()
-	s.RoomAll, s.Room = 48_000_000, 48_000_000
+	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, 48_000_000
 	l := newLine(t, map[string]Service{"s": s})
 	l.a.underWay["s"] = amount{items: 60, bytes: 60 * 8_000}
 	for i := range 10 {
--- a/process/stages/bench_test.go
+++ b/process/stages/bench_test.go
@@ -35,7 +35,7 @@
 func overloaded(waiting int) *Coordinator {
 	services := map[string]*batcher.Batcher{}
 	for _, name := range []string{"encode", "retrieve", "rank"} {
-		opts := batcher.Options{MaxItems: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, RoomBytes: 40 << 20}
+		opts := batcher.Options{MaxItems: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, ResultMemoryBytes: 40 << 20}
 		b := batcher.New(name, opts, nil, clock.System{}, quiet{})
 		dir := directory.New()
 		var servers []directory.Entry
@@ -45,7 +45,7 @@
 		dir.Replace(servers, time.Now())
 		b.Configure(opts, dir.View().Servers(name), func(*directory.Server) time.Duration { return 0 })
 		for range 20 {
-			b.Submit(&batcher.Job{Items: make([]batcher.Item, 4), ItemBytes: 60_000, AimBy: time.Now(), DieBy: time.Now().Add(time.Hour)})
+			b.Submit(&batcher.Job{Items: make([]batcher.Item, 4), ResultBytes: 60_000, TargetTime: time.Now(), Deadline: time.Now().Add(time.Hour)})
 		}
 		services[name] = b
 	}
--- a/process/stages/bound.go
+++ b/process/stages/bound.go
@@ -52,9 +52,9 @@
 	// A result holds its room until the request runs, or the stage behind has fetched it.
 	hold := 2*s.call() + callWait + freeing
 	if at.followed {
-		hold = s.call() + callWait + batcher.Fetching(s.call()) + freeing
+		hold = s.call() + callWait + batcher.InputFetchTime(s.call()) + freeing
 	}
-	return amount{int(s.Rate * under.Seconds()), int64(float64(s.RoomAll) * under.Seconds() / hold.Seconds())}
+	return amount{int(s.ItemsPerSecond * under.Seconds()), int64(float64(s.TotalResultBytes) * under.Seconds() / hold.Seconds())}
 }
 
 // call is the time of a full call. With fewer items under way than full calls hold,
@@ -71,11 +71,11 @@
 // keep results until the request runs; items that wait for room there would
 // hold up all behind them.
 func (s Service) full(need int64) bool {
-	if s.RoomAll <= 0 {
+	if s.TotalResultBytes <= 0 {
 		return false
 	}
-	lent := int64(roomLent * float64(s.RoomAll))
-	return need > s.Room+lent && s.Room < s.RoomAll
+	lent := int64(roomLent * float64(s.TotalResultBytes))
+	return need > s.FreeResultBytes+lent && s.FreeResultBytes < s.TotalResultBytes
 }
 
 // roomLent is room that is given away before it is free, so that a server finds
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -131,7 +131,7 @@
 
 func inputGone(err error) bool {
 	var failed *Error
-	return errors.As(err, &failed) && failed.Reason == batcher.InputGone
+	return errors.As(err, &failed) && failed.Reason == batcher.InputLost
 }
 
 // begin lets a request's work begin once more, if there is time for it.
@@ -261,7 +261,7 @@
 			continue
 		}
 		if b := k.batchers(in.Service); b != nil {
-			b.Free(in.ServerID, in.Handle, in.Bytes)
+			b.ReleaseResult(in.ServerID, in.Handle, in.Bytes)
 		}
 	}
 }
--- a/process/stages/coordinator_test.go
+++ b/process/stages/coordinator_test.go
@@ -33,7 +33,7 @@
 	service string
 }
 
-func (b backend) Run(ctx context.Context, c *batcher.Call) batcher.Answer {
+func (b backend) Run(ctx context.Context, c *batcher.Call) batcher.Response {
 	b.w.mu.Lock()
 	hold := b.w.hold
 	b.w.mu.Unlock()
@@ -41,12 +41,12 @@
 		select {
 		case <-hold:
 		case <-ctx.Done():
-			return batcher.Answer{Err: ctx.Err()}
+			return batcher.Response{Err: ctx.Err()}
 		}
 	}
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
-	var a batcher.Answer
+	var a batcher.Response
 	for _, part := range c.Items {
 		item := part.Job.Items[part.Index]
 		r := batcher.Result{Handle: fmt.Sprintf("%s-%s-%d-%d", b.service, item.RequestID, item.Stage, item.Piece), ServerID: c.Server.ID}
@@ -61,19 +61,19 @@
 	return a
 }
 
-func (b backend) Free(_ context.Context, _ *directory.Server, handles []string) error {
+func (b backend) ReleaseResults(_ context.Context, _ *directory.Server, handles []string) error {
 	b.w.mu.Lock()
 	defer b.w.mu.Unlock()
 	b.w.freed = append(b.w.freed, handles...)
 	return nil
 }
 
-func (backend) Room(context.Context, *directory.Server) (int64, error) { return 0, nil }
+func (backend) FreeResultMemory(context.Context, *directory.Server) (int64, error) { return 0, nil }
 
 type quiet struct{}
 
-func (quiet) CallSent(string, *batcher.Call, int)                            {}
-func (quiet) CallEnded(string, *batcher.Call, time.Duration, batcher.Answer) {}
+func (quiet) CallSent(string, *batcher.Call, int)                              {}
+func (quiet) CallEnded(string, *batcher.Call, time.Duration, batcher.Response) {}
 func (quiet) StageWork(*Ticket, time.Duration, time.Duration, error, int, int) {
 }
 func (quiet) OwnerChanged(string, string, uint64)      {}
@@ -142,7 +142,7 @@
 	w.fail = func(service string, _ batcher.Item) batcher.Reason {
 		if service == "portal" && lost {
 			lost = false
-			return batcher.InputGone
+			return batcher.InputLost
 		}
 		return ""
 	}
@@ -152,14 +152,14 @@
 
 	w.fail = func(service string, _ batcher.Item) batcher.Reason {
 		if service == "portal" {
-			return batcher.InputGone
+			return batcher.InputLost
 		}
 		return ""
 	}
 	_, err = w.k.Run(t.Context(), chain("again"))
 	var failed *Error
 	w.g.Expect(errors.As(err, &failed)).To(BeTrue())
-	w.g.Expect(failed.Reason).To(Equal(batcher.InputGone))
+	w.g.Expect(failed.Reason).To(Equal(batcher.InputLost))
 }
 
 // An item fails on every server. The request gets its outcome, what was made for
@@ -215,7 +215,7 @@
 // take next to none of it.
 func TestRoomIsShortForLargeResultsOnly(t *testing.T) {
 	g := NewWithT(t)
-	opts := batcher.Options{MaxItems: 10, CallTime: time.Second, RoomBytes: 2_700_000}
+	opts := batcher.Options{MaxItems: 10, CallTime: time.Second, ResultMemoryBytes: 2_700_000}
 	b := batcher.New("s", opts, nil, clock.System{}, quiet{})
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}}, time.Now())
@@ -223,7 +223,7 @@
 	k := NewCoordinator(func(string) *batcher.Batcher { return b }, noServers, clock.System{}, quiet{})
 	large, small := Stage{Service: "s", ItemBytes: 60_000}, Stage{Service: "s", ItemBytes: 8_000}
 	g.Expect(k.lacksRoom(large)).To(BeFalse(), "all room is free")
-	b.Submit(&batcher.Job{Items: make([]batcher.Item, 30), ItemBytes: 60_000, Done: func(int, batcher.Result) {}})
+	b.Submit(&batcher.Job{Items: make([]batcher.Item, 30), ResultBytes: 60_000, OnResult: func(int, batcher.Result) {}})
 	g.Expect(k.lacksRoom(large)).To(BeTrue())
 	g.Expect(k.lacksRoom(small)).To(BeFalse(), "it would free next to nothing")
 }
--- a/process/stages/inputs.go
+++ b/process/stages/inputs.go
@@ -16,10 +16,10 @@
 // lacksRoom tells whether the servers of a stage have little room for its results left.
 func (k *Coordinator) lacksRoom(s Stage) bool {
 	svc, ok := k.service(s.Service)
-	if !ok || float64(s.ItemBytes) < smallResult*float64(svc.RoomBytes) {
+	if !ok || float64(s.ItemBytes) < smallResult*float64(svc.ResultMemoryBytes) {
 		return false
 	}
-	return svc.RoomAll > 0 && float64(svc.Room) < scarceRoom*float64(svc.RoomAll)
+	return svc.TotalResultBytes > 0 && float64(svc.FreeResultBytes) < scarceRoom*float64(svc.TotalResultBytes)
 }
 
 // fetched gives up the inputs of a stage whose servers have fetched them, if those that
@@ -44,7 +44,7 @@
 	}
 	w.mu.Unlock()
 	if len(used) > 0 {
-		job.Spend()
+		job.MarkInputsReleased()
 	}
 	w.k.free(used...)
 }
--- a/process/stages/load_test.go
+++ b/process/stages/load_test.go
@@ -50,7 +50,7 @@
 }
 
 // Run implements batcher.Backend.
-func (b plantBackend) Run(_ context.Context, c *batcher.Call) batcher.Answer {
+func (b plantBackend) Run(_ context.Context, c *batcher.Call) batcher.Response {
 	p := b.plant
 	s := p.servers[c.Server.ID]
 	time.Sleep(s.oneWay)
@@ -66,22 +66,22 @@
 }
 
 // take gives the items that have room their results.
-func (p *plant) take(b plantBackend, s *plantServer, c *batcher.Call, took time.Duration) (a batcher.Answer) {
+func (p *plant) take(b plantBackend, s *plantServer, c *batcher.Call, took time.Duration) (a batcher.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.busy[b.service] += took
 	p.calls[b.service]++
 	p.items[b.service] += len(c.Items)
 	for _, part := range c.Items {
-		bytes := part.Job.ItemBytes
+		bytes := part.Job.ResultBytes
 		if !p.have(part.Job.Items[part.Index].Inputs) {
 			p.gone++
-			a.Results = append(a.Results, batcher.Result{Reason: batcher.InputGone})
+			a.Results = append(a.Results, batcher.Result{Reason: batcher.InputLost})
 			continue
 		}
-		if b.opts.RoomBytes > 0 && s.room < bytes {
+		if b.opts.ResultMemoryBytes > 0 && s.room < bytes {
 			p.lost++
-			a.Results = append(a.Results, batcher.Result{Reason: batcher.NoRoom})
+			a.Results = append(a.Results, batcher.Result{Reason: batcher.NoCapacity})
 			continue
 		}
 		p.sequence++
@@ -108,7 +108,7 @@
 }
 
 // Room implements batcher.Backend.
-func (b plantBackend) Room(_ context.Context, s *directory.Server) (int64, error) {
+func (b plantBackend) FreeResultMemory(_ context.Context, s *directory.Server) (int64, error) {
 	time.Sleep(2 * b.plant.servers[s.ID].oneWay)
 	b.plant.mu.Lock()
 	defer b.plant.mu.Unlock()
@@ -116,7 +116,7 @@
 }
 
 // Free implements batcher.Backend.
-func (b plantBackend) Free(_ context.Context, s *directory.Server, handles []string) error {
+func (b plantBackend) ReleaseResults(_ context.Context, s *directory.Server, handles []string) error {
 	to := b.plant.servers[s.ID]
 	time.Sleep(to.oneWay)
 	b.plant.mu.Lock()
@@ -183,7 +183,7 @@
 		if l.naive {
 			k.admission = NewAdmission(func(name string) (Service, bool) {
 				s, ok := k.service(name)
-				s.Rate, s.RoomAll = math.MaxInt32, 0
+				s.ItemsPerSecond, s.TotalResultBytes = math.MaxInt32, 0
 				return s, ok
 			})
 		}
@@ -223,7 +223,7 @@
 	var entries []directory.Entry
 	for i, domain := range s.servers {
 		id := fmt.Sprint(name, i)
-		one := &plantServer{turn: make(chan struct{}, 1), oneWay: farAway, room: s.RoomBytes, slow: 1}
+		one := &plantServer{turn: make(chan struct{}, 1), oneWay: farAway, room: s.ResultMemoryBytes, slow: 1}
 		if domain == s.servers[0] {
 			one.oneWay = time.Millisecond
 		}
@@ -300,7 +300,7 @@
 // as much again as the stages take.
 func fourStages() load {
 	opts := func(items int, item time.Duration, room int64) batcher.Options {
-		return batcher.Options{MaxItems: items, CallTime: 150 * time.Millisecond, ItemTime: item, RoomBytes: room, ResultTTL: 4 * time.Second}
+		return batcher.Options{MaxItems: items, CallTime: 150 * time.Millisecond, ItemTime: item, ResultMemoryBytes: room, ResultTTL: 4 * time.Second}
 	}
 	drafts := func(r *rand.Rand) []Stage {
 		return []Stage{{Service: "encode", Items: about(r, 1.75), ItemBytes: 3_000_000}}
@@ -401,7 +401,7 @@
 // calls half empty while items wait.
 func roomInTheMiddle() load {
 	opts := func(items int, item time.Duration, room int64) batcher.Options {
-		return batcher.Options{MaxItems: items, CallTime: 240 * time.Millisecond, ItemTime: item, RoomBytes: room, ResultTTL: 4 * time.Second}
+		return batcher.Options{MaxItems: items, CallTime: 240 * time.Millisecond, ItemTime: item, ResultMemoryBytes: room, ResultTTL: 4 * time.Second}
 	}
 	questions := func(r *rand.Rand) []Stage {
 		return []Stage{
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -93,7 +93,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	a := NewAdmission(func(string) (Service, bool) {
-		return Service{Capacity: batcher.Capacity{Listed: 2, Servers: 2, Rate: 100, Regions: []string{"r1", "r2"}}}, true
+		return Service{Capacity: batcher.Capacity{ListedServers: 2, AvailableServers: 2, ItemsPerSecond: 100, Regions: []string{"r1", "r2"}}}, true
 	})
 	outcome := func(set residency.Set) string {
 		out := "waits"
--- a/process/stages/serve.go
+++ b/process/stages/serve.go
@@ -91,7 +91,7 @@
 	case errors.As(err, &failed):
 		return runAnswer{Reason: failed.Reason, Stage: failed.Stage, ReadyMS: failed.Ready.Milliseconds()}
 	default: // of ctx: the time is over, or the request
-		return runAnswer{Reason: batcher.Late}
+		return runAnswer{Reason: batcher.TooLate}
 	}
 }
 
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -104,12 +104,12 @@
 	rest := w.rest(i)
 	domain, away := w.domain(i)
 	job := &batcher.Job{
-		Items: items, Domain: domain, AwayBytes: away, Allowed: w.r.Allowed, ItemBytes: s.ItemBytes,
-		AimBy: w.aim.Add(-rest), DieBy: w.r.DieBy.Add(-rest),
-		Done: func(p int, r batcher.Result) { w.item(i, p, r) },
+		Items: items, Domain: domain, RemoteBytes: away, AllowedRegions: w.r.Allowed, ResultBytes: s.ItemBytes,
+		TargetTime: w.aim.Add(-rest), Deadline: w.r.DieBy.Add(-rest),
+		OnResult: func(p int, r batcher.Result) { w.item(i, p, r) },
 	}
 	if len(s.After) > 0 {
-		job.Fetched = func() { go w.fetched(i, job) }
+		job.OnInputsFetched = func() { go w.fetched(i, job) }
 	}
 	return job
 }
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -52,8 +52,8 @@
 
 // Budget bounds the sends beyond the first of each request, by service.
 type Budget interface {
-	Request(service string)
-	Repeat(service string) bool
+	RecordRequest(service string)
+	AllowRetry(service string) bool
 }
 
 // Gateway is the handler of clients' requests.
@@ -193,7 +193,7 @@
 	x.aim = x.start.Add(x.route.TargetLatency)
 	x.service = x.route.Choose(x.opts.Rand.Float64())
 	x.rec.Service = x.service
-	x.opts.Budget.Request(x.service)
+	x.opts.Budget.RecordRequest(x.service)
 	return nil
 }
 
--- a/request/gateway/place_test.go
+++ b/request/gateway/place_test.go
@@ -22,8 +22,8 @@
 
 type unbounded struct{}
 
-func (unbounded) Request(string)     {}
-func (unbounded) Repeat(string) bool { return true }
+func (unbounded) RecordRequest(string)   {}
+func (unbounded) AllowRetry(string) bool { return true }
 
 // noPeers is a link of a host that knows no other.
 type noPeers struct{ stages.Link }
--- a/request/gateway/plain.go
+++ b/request/gateway/plain.go
@@ -51,7 +51,7 @@
 		return nil
 	}
 	// A send that reached nobody adds nothing to what servers get.
-	if x.arrived && !x.opts.Budget.Repeat(x.service) {
+	if x.arrived && !x.opts.Budget.AllowRetry(x.service) {
 		t.last = fmt.Errorf("no further attempt within the retry budget: %w", t.last)
 		return nil
 	}
--- a/request/gateway/retry_test.go
+++ b/request/gateway/retry_test.go
@@ -15,7 +15,7 @@
 // spent is a retry budget of which nothing is left.
 type spent struct{ unbounded }
 
-func (spent) Repeat(string) bool { return false }
+func (spent) AllowRetry(string) bool { return false }
 
 // The pattern: a quarter of the engines crash at once, and each host finds more of them
 // gone than its part of the retry budget has repeats. Guards against refusing a request
--- a/request/pipeline/options.go
+++ b/request/pipeline/options.go
@@ -24,9 +24,9 @@
 
 // DefaultOptions returns the defaults.
 func DefaultOptions() Options {
-	budget := limit.DefaultBudget()
+	budget := limit.DefaultRetryBudget()
 	return Options{
-		MaxAttempts: 3, RetryShare: budget.Ratio, RetryBurst: budget.Most, MinSilence: 100 * time.Millisecond,
+		MaxAttempts: 3, RetryShare: budget.Ratio, RetryBurst: budget.Burst, MinSilence: 100 * time.Millisecond,
 		MaxIdle: time.Second, ProbeTime: 300 * time.Millisecond, Settle: 10 * time.Second,
 	}
 }
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -132,7 +132,7 @@
 	start := x.Clock.Now()
 	x.Admission.StageStart(start, x.req.Admitted, st.Index)
 	x.tried = nil
-	x.pool(st).budget.First()
+	x.pool(st).budget.RecordFirstAttempt()
 	x.req.Admitted.Running = 0
 	var out []byte
 	var err *kind.Error
--- a/request/pipeline/pools.go
+++ b/request/pipeline/pools.go
@@ -13,7 +13,7 @@
 type pools struct{ byName sync.Map }
 
 type poolState struct {
-	budget    *limit.Budget // of retries
+	budget    *limit.RetryBudget // of retries
 	firstByte progress
 	gap       progress // between chunks
 }
@@ -22,7 +22,7 @@
 	if p, ok := r.pools.byName.Load(st.Pool.Name); ok {
 		return p.(*poolState)
 	}
-	fresh := &poolState{budget: limit.NewBudget(limit.BudgetOptions{Ratio: r.Options.RetryShare, Most: r.Options.RetryBurst})}
+	fresh := &poolState{budget: limit.NewRetryBudget(limit.RetryBudgetOptions{Ratio: r.Options.RetryShare, Burst: r.Options.RetryBurst})}
 	p, _ := r.pools.byName.LoadOrStore(st.Pool.Name, fresh)
 	return p.(*poolState)
 }
