--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -38,15 +38,15 @@
 	Sent bool
 	// Reused tells that the connection had served an earlier request, so the
 	// failure may be the connection's and not the server's.
-	Reused bool
+	ReusedConn bool
 	// Dial tells that no connection could be made.
-	Dial  bool
-	Cause error
+	DialFailed bool
+	Cause      error
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return fmt.Sprintf("upstream (sent=%t reused=%t dial=%t): %v", e.Sent, e.Reused, e.Dial, e.Cause)
+	return fmt.Sprintf("upstream (sent=%t reused=%t dial=%t): %v", e.Sent, e.ReusedConn, e.DialFailed, e.Cause)
 }
 
 // Unwrap returns the cause.
@@ -57,17 +57,17 @@
 	// DialBound is the time to open a connection. Default 300 ms: 40 ms is the
 	// way there and back between regions, and a server that does not answer
 	// within several of these is treated as down.
-	DialBound time.Duration
+	DialTimeout time.Duration
 	// UserTimeout ends a connection whose sent bytes are not acknowledged.
 	// Default 2 s: longer than a lost packet's repeats, shorter than clients wait.
-	UserTimeout time.Duration
+	TCPUserTimeout time.Duration
 	// IdleDefault is how long a connection is kept where the server does not
 	// say; default 3 s.
-	IdleDefault time.Duration
+	DefaultIdleTimeout time.Duration
 	// KeepAlive reads the idle time after which the server closes; 0: not said.
-	KeepAlive func(http.Header) time.Duration
+	ServerIdleTimeout func(http.Header) time.Duration
 	// Opened is called for each new connection.
-	Opened func(address string)
+	OnConnect func(address string)
 }
 
 // Client keeps connections to backend servers by address.
@@ -84,20 +84,20 @@
 
 // New returns a client without connections.
 func New(opts Options) *Client {
-	if opts.DialBound <= 0 {
-		opts.DialBound = 300 * time.Millisecond
+	if opts.DialTimeout <= 0 {
+		opts.DialTimeout = 300 * time.Millisecond
 	}
-	if opts.UserTimeout <= 0 {
-		opts.UserTimeout = 2 * time.Second
+	if opts.TCPUserTimeout <= 0 {
+		opts.TCPUserTimeout = 2 * time.Second
 	}
-	if opts.IdleDefault <= 0 {
-		opts.IdleDefault = 3 * time.Second
+	if opts.DefaultIdleTimeout <= 0 {
+		opts.DefaultIdleTimeout = 3 * time.Second
 	}
 	return &Client{opts: opts, pools: map[string]*pool{}}
 }
 
 // Open returns the number of open connections.
-func (c *Client) Open() int64 { return c.open.Load() }
+func (c *Client) OpenConnections() int64 { return c.open.Load() }
 
 type conn struct {
 	client  *Client
@@ -150,7 +150,7 @@
 }
 
 // Forget closes the idle connections to an address.
-func (c *Client) Forget(address string) {
+func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	p := c.pools[address]
 	delete(c.pools, address)
@@ -165,7 +165,7 @@
 
 // Sweep closes connections that have been idle for too long; the owner calls
 // it from time to time.
-func (c *Client) Sweep() {
+func (c *Client) CloseExpired() {
 	now := time.Now()
 	var old []*conn
 	c.mu.Lock()
@@ -190,32 +190,32 @@
 }
 
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, c.opts.DialBound)
+	ctx, cancel := context.WithTimeout(ctx, c.opts.DialTimeout)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	tcp := raw.(*net.TCPConn)
-	if err := setUserTimeout(tcp, c.opts.UserTimeout); err != nil {
+	if err := setUserTimeout(tcp, c.opts.TCPUserTimeout); err != nil {
 		_ = raw.Close()
 		return nil, err
 	}
 	c.open.Add(1)
-	if c.opts.Opened != nil {
-		c.opts.Opened(address)
+	if c.opts.OnConnect != nil {
+		c.opts.OnConnect(address)
 	}
 	return &conn{client: c, address: address, raw: tcp, r: bufio.NewReaderSize(tcp, 4096)}, nil
 }
 
 // Answer is the head of an answer; its body is read by Read. Close must be
 // called once.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length of the body; negative where the server did not say.
-	Length int64
-	Reused bool
+	ContentLength int64
+	ReusedConn    bool
 
 	conn    *conn
 	body    io.ReadCloser
@@ -227,13 +227,13 @@
 
 // Do sends a request and returns the head of the answer. The error is an
 // *Error. The exchange ends when ctx does, also while the body is read.
-func (c *Client) Do(ctx context.Context, address string, q *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, address string, q *Request) (*Response, error) {
 	k := c.take(address)
 	reused := k != nil
 	if k == nil {
 		var err error
 		if k, err = c.dial(ctx, address); err != nil {
-			return nil, &Error{Dial: true, Cause: err}
+			return nil, &Error{DialFailed: true, Cause: err}
 		}
 	}
 	// The deadline of the connection is the only way to interrupt a read.
@@ -245,9 +245,9 @@
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", ctx.Err(), err)
 		}
-		return nil, &Error{Sent: true, Reused: reused, Cause: err}
+		return nil, &Error{Sent: true, ReusedConn: reused, Cause: err}
 	}
-	a.stop, a.Reused = stop, reused
+	a.stop, a.ReusedConn = stop, reused
 	return a, nil
 }
 
@@ -255,7 +255,7 @@
 // window, so that the write cannot block on a server that does not read.
 const smallBody = 8 << 10
 
-func (c *Client) exchange(k *conn, q *Request) (*Answer, error) {
+func (c *Client) exchange(k *conn, q *Request) (*Response, error) {
 	hr := &http.Request{
 		Method: q.Method, Host: q.Host, Header: q.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
 		URL: rawURL(q.URI),
@@ -288,14 +288,14 @@
 		return nil, err
 	}
 	k.served++
-	a := &Answer{
-		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength,
+	a := &Response{
+		Status: resp.StatusCode, Header: resp.Header, ContentLength: resp.ContentLength,
 		conn: k, body: resp.Body, written: written,
 	}
 	a.keep = !resp.Close && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
-	k.keep = c.opts.IdleDefault
-	if c.opts.KeepAlive != nil {
-		if said := c.opts.KeepAlive(resp.Header); said > 0 {
+	k.keep = c.opts.DefaultIdleTimeout
+	if c.opts.ServerIdleTimeout != nil {
+		if said := c.opts.ServerIdleTimeout(resp.Header); said > 0 {
 			// A request must not cross the server's close: whole seconds are
 			// said, and the way there takes its time.
 			k.keep = max(said-time.Second, said/2)
@@ -318,7 +318,7 @@
 }
 
 // Read implements io.Reader. io.EOF means that the answer is whole.
-func (a *Answer) Read(b []byte) (int, error) {
+func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
 		a.ended = true
@@ -329,7 +329,7 @@
 // Close ends the exchange. The connection is kept only if the answer was read
 // to its marked end, nothing follows it and the request was sent whole: a
 // server that answered early still expects the rest of that body.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	stopped := a.stop()
 	sent := false
 	select {
@@ -345,7 +345,7 @@
 }
 
 // Discard closes the connection whatever the state of the answer.
-func (a *Answer) Discard() {
+func (a *Response) Discard() {
 	a.keep = false
 	a.Close()
 }
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -149,7 +149,7 @@
 	var failed *Error
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
 	g.Expect(failed.Sent).To(BeTrue())
-	g.Expect(failed.Reused).To(BeTrue())
+	g.Expect(failed.ReusedConn).To(BeTrue())
 	requests, _ := s.counts()
 	g.Expect(requests).To(Equal(2))
 }
@@ -190,7 +190,7 @@
 	body, err := get(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("whole"))
-	g.Expect(c.Open()).To(BeZero())
+	g.Expect(c.OpenConnections()).To(BeZero())
 }
 
 // A server answers before it has read a long body, keeps the connection and
@@ -234,7 +234,7 @@
 	var failed *Error
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
 	g.Expect(failed.Sent).To(BeFalse())
-	g.Expect(failed.Dial).To(BeTrue())
+	g.Expect(failed.DialFailed).To(BeTrue())
 }
 
 // The server never answers. The request ends with its context, and the
@@ -247,15 +247,15 @@
 	time.AfterFunc(50*time.Millisecond, cancel)
 	_, err := c.Do(ctx, s.l.Addr().String(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 	g.Expect(err).To(MatchError(context.Canceled))
-	g.Expect(c.Open()).To(BeZero())
+	g.Expect(c.OpenConnections()).To(BeZero())
 }
 
 func TestIdleConnectionsAreClosedInTime(t *testing.T) {
 	g := NewWithT(t)
 	s := newServer(t, ok)
-	c := New(Options{KeepAlive: func(http.Header) time.Duration { return time.Nanosecond }})
+	c := New(Options{ServerIdleTimeout: func(http.Header) time.Duration { return time.Nanosecond }})
 	_, err := get(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
-	c.Sweep()
-	g.Expect(c.Open()).To(BeZero())
+	c.CloseExpired()
+	g.Expect(c.OpenConnections()).To(BeZero())
 }
--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -78,8 +78,8 @@
 			continue
 		}
 		opts := batcher.Options{
-			Slots: batch.Slots, MaxItems: batch.MaxItems, CallTime: batch.CallTime, ItemTime: batch.ItemTime,
-			ResultMemoryBytes: batch.RoomBytes, ResultTTL: batch.ResultTTL,
+			Slots: batch.ConcurrentCalls, MaxItems: batch.MaxItemsPerCall, CallTime: batch.TimePerCall, ItemTime: batch.TimePerItem,
+			ResultMemoryBytes: batch.ResultCapacityBytes, ResultTTL: batch.ResultTTL,
 		}
 		one := b.by[name]
 		if one == nil {
@@ -138,8 +138,8 @@
 var errBusy = errors.New("the server has too much work")
 
 func (c *stageCalls) noteLoad(s *directory.Server, status int, header http.Header) {
-	if head := (platform.Headers{}).DecodeServer(status, header); head.HasLoad {
-		s.Load(head.Running, head.Waiting, c.clock.Now())
+	if head := (platform.Headers{}).DecodeServerResponse(status, header); head.LoadReported {
+		s.Load(head.RunningRequests, head.QueuedRequests, c.clock.Now())
 	}
 }
 
@@ -161,7 +161,7 @@
 	return free, nil
 }
 
-func readRoom(answer *upstream.Answer) (int64, error) {
+func readRoom(answer *upstream.Response) (int64, error) {
 	body, err := io.ReadAll(io.LimitReader(answer, maxStageAnswer))
 	if err != nil {
 		answer.Discard()
--- a/edge/beliefs_test.go
+++ b/edge/beliefs_test.go
@@ -177,7 +177,7 @@
 	g := NewWithT(t)
 	p := newPlace(t)
 	p.route("staged").Timeout, p.route("staged").TargetLatency = 20*time.Second, 5*time.Second
-	p.config.Services[3].Batch.CallTime = 4 * time.Second // so that the call is awaited
+	p.config.Services[3].Batch.TimePerCall = 4 * time.Second // so that the call is awaited
 	p.store.PutConfig(p.config)
 	h := p.start("front-1")
 	hold := make(chan struct{})
@@ -237,7 +237,7 @@
 // if the service had no server.
 func TestBatchersAreThereBeforeThePlanThatNeedsThem(t *testing.T) {
 	g, _, h := begin(t)
-	c := plan.Config{Version: 100, Services: []plan.Service{{Name: "new", Batch: &plan.Batch{Slots: 1, MaxItems: 1}}}}
+	c := plan.Config{Version: 100, Services: []plan.Service{{Name: "new", Batch: &plan.Batch{ConcurrentCalls: 1, MaxItemsPerCall: 1}}}}
 	done := make(chan struct{})
 	h.batchers.mu.Lock() // the batchers cannot be changed yet
 	go func() {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -110,10 +110,10 @@
 	h.limits = newRecordLimits()
 	h.store.OnCall(h.countCall)
 	h.upstream = upstream.New(upstream.Options{
-		KeepAlive: func(header http.Header) time.Duration {
-			return platform.Headers{}.DecodeServer(http.StatusOK, header).KeepAlive
+		ServerIdleTimeout: func(header http.Header) time.Duration {
+			return platform.Headers{}.DecodeServerResponse(http.StatusOK, header).IdleTimeout
 		},
-		Opened: func(string) { h.meter.Add("upstream_connections_opened", 1) },
+		OnConnect: func(string) { h.meter.Add("upstream_connections_opened", 1) },
 	})
 	if err := h.listen(); err != nil {
 		return nil, err
@@ -129,9 +129,9 @@
 	h.cold = coldstart.New(set.Host, h.knownHosts)
 	h.gateway = gateway.New(gateway.Options{
 		Domain: set.Domain, Distance: h.distance, Plan: &h.plan, Directory: h.directory, Upstream: h.upstream, Headers: platform.Headers{},
-		Pool: h.stages, Budget: h.budget, Cold: h.cold, Clock: h.clock, Rand: h.rand, KeysFresh: h.keysFresh,
-		Closing: h.stopping.Load, RefuseLong: h.refuseLong.Load,
-		Stopping: h.told, StopEnd: func() time.Time { return *h.stopEnd.Load() }, Log: h.logRequest,
+		Pool: h.stages, Budget: h.budget, ColdStart: h.cold, Clock: h.clock, Rand: h.rand, KeysFresh: h.keysFresh,
+		ShuttingDown: h.stopping.Load, RefuseStreams: h.refuseLong.Load,
+		ShutdownStarted: h.told, ShutdownDeadline: func() time.Time { return *h.stopEnd.Load() }, Log: h.logRequest,
 	})
 	h.wireServers()
 	h.gauges()
@@ -277,7 +277,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-h.clock.After(sweepEvery):
-			h.upstream.Sweep()
+			h.upstream.CloseExpired()
 		}
 	}
 }
--- a/edge/place_test.go
+++ b/edge/place_test.go
@@ -63,12 +63,12 @@
 			{Name: "floor", Batch: batch()},
 			{Name: "portal", Batch: batch()},
 		},
-		Limits:   plan.Limits{HeaderBytes: 16384, BodyBytes: 4096, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
+		Limits:   plan.Limits{MaxHeaderBytes: 16384, MaxBodyBytes: 4096, HeaderTimeout: 3 * time.Second, IdleTimeout: 15 * time.Second},
 		Accounts: []plan.Account{{Name: "boilers", Keys: []string{testKey}}},
 	}
 	p.route("open").Public = true
 	p.route("resume").Resumable = true
-	p.route("staged").Stages = []plan.Stage{{Service: "floor", ResultBytes: 1000}, {Service: "portal", After: []int{0}, ResultBytes: 1000}}
+	p.route("staged").Stages = []plan.Stage{{Service: "floor", ResultBytes: 1000}, {Service: "portal", DependsOn: []int{0}, ResultBytes: 1000}}
 	p.store.PutConfig(p.config)
 	return p
 }
@@ -83,13 +83,13 @@
 
 func batch() *plan.Batch {
 	return &plan.Batch{
-		Slots: 1, Queue: 2, MaxItems: 8, CallTime: 5 * time.Millisecond, ItemTime: time.Millisecond,
-		RoomBytes: 1_000_000, ResultTTL: 4 * time.Second,
+		ConcurrentCalls: 1, QueuedCalls: 2, MaxItemsPerCall: 8, TimePerCall: 5 * time.Millisecond, TimePerItem: time.Millisecond,
+		ResultCapacityBytes: 1_000_000, ResultTTL: 4 * time.Second,
 	}
 }
 
 // route returns a route under the path /stream/NAME/ or /NAME/.
-func route(name string, kind plan.Kind, service string) plan.Route {
+func route(name string, kind plan.RouteKind, service string) plan.Route {
 	path := "/" + name + "/"
 	if kind == plan.Stream {
 		path = "/stream" + path
--- a/edge/records.go
+++ b/edge/records.go
@@ -37,14 +37,14 @@
 func ms(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
 
 // logRequest writes the line of one request and counts it.
-func (h *Host) logRequest(r *gateway.Record) {
+func (h *Host) logRequest(r *gateway.LogEntry) {
 	name := string(r.Kind)
 	if name == "" {
 		name = fmt.Sprintf("answered_%dxx", r.Status/100)
 	}
 	h.meter.Add("requests_"+name, 1)
 	if r.Route != "" {
-		h.meter.Observe("request_"+r.Route, r.Took)
+		h.meter.Observe("request_"+r.Route, r.Duration)
 	}
 	if r.Attempts > 1 {
 		h.meter.Add("repeats", int64(r.Attempts-1))
@@ -56,10 +56,10 @@
 	kv := []any{
 		"id", r.ID, "route", r.Route, "account", r.Account, "config", r.PlanVersion, "key_age_ms", ms(r.KeyAge),
 		"service", r.Service, "server", r.Server, "attempts", r.Attempts, "status", r.Status,
-		"stages_ms", ms(r.StageTook), "first_byte_ms", ms(r.FirstByte), "took_ms", ms(r.Took), "left_ms", ms(r.Left),
+		"stages_ms", ms(r.StageDuration), "first_byte_ms", ms(r.TimeToFirstByte), "took_ms", ms(r.Duration), "left_ms", ms(r.DeadlineRemaining),
 	}
-	if r.Resumed > 0 {
-		kv = append(kv, "resumed", r.Resumed)
+	if r.Resumptions > 0 {
+		kv = append(kv, "resumed", r.Resumptions)
 	}
 	if r.Kind != "" {
 		kv = append(kv, "kind", r.Kind, "ran", r.Ran, "detail", r.Detail, "retry_after_ms", ms(r.RetryAfter))
@@ -160,7 +160,7 @@
 
 func (h *Host) gauges() {
 	h.meter.Gauge("requests_active", func() float64 { return float64(h.active.Load()) })
-	h.meter.Gauge("upstream_connections_open", func() float64 { return float64(h.upstream.Open()) })
+	h.meter.Gauge("upstream_connections_open", func() float64 { return float64(h.upstream.OpenConnections()) })
 	h.meter.Gauge("peers_known", func() float64 { return float64(len(h.mesh.Peers())) })
 	h.meter.Gauge("log_lines_dropped", func() float64 { return float64(h.out.Dropped()) })
 	h.meter.Gauge("log_lines_left_out", func() float64 {
--- a/edge/state.go
+++ b/edge/state.go
@@ -92,7 +92,7 @@
 		return false
 	}
 	service := p.Service(s.Service)
-	return service != nil && service.Cold.PerSecond > 0 && s.Cold(now, service.Cold.Cold)
+	return service != nil && service.ColdStart.PerSecond > 0 && s.Cold(now, service.ColdStart.Cold)
 }
 
 func (h *Host) serveState(w http.ResponseWriter, _ *http.Request) {
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -210,7 +210,7 @@
 	p.version += 3
 	version, keys := p.version, append([]string(nil), p.keys...)
 	p.mu.Unlock()
-	route := func(name string, kind plan.Kind, service string) plan.Route {
+	route := func(name string, kind plan.RouteKind, service string) plan.Route {
 		path := "/" + name + "/"
 		if kind == plan.Stream {
 			path = "/stream" + path
@@ -225,22 +225,22 @@
 	draft.MaxAttempts = 1
 	bound, boundDraft := route("bound", plan.Safe, "ledger"), route("bounddraft", plan.Stream, "model")
 	bound.Regions, boundDraft.Regions = []string{farRegion}, []string{farRegion}
-	draft.Stages = []plan.Stage{{Service: "floor", ResultBytes: 1000}, {Service: "portal", After: []int{0}, ResultBytes: 1000}}
+	draft.Stages = []plan.Stage{{Service: "floor", ResultBytes: 1000}, {Service: "portal", DependsOn: []int{0}, ResultBytes: 1000}}
 	boundDraft.Stages = draft.Stages
 	batch := &plan.Batch{
-		Slots: 1, Queue: 2, MaxItems: 8, CallTime: 5 * time.Millisecond, ItemTime: time.Millisecond,
-		RoomBytes: 1_000_000, ResultTTL: 4 * time.Second,
+		ConcurrentCalls: 1, QueuedCalls: 2, MaxItemsPerCall: 8, TimePerCall: 5 * time.Millisecond, TimePerItem: time.Millisecond,
+		ResultCapacityBytes: 1_000_000, ResultTTL: 4 * time.Second,
 	}
 	p.store.PutConfig(plan.Config{
 		Version: int64(version),
 		Routes:  []plan.Route{route("transfer", plan.Unsafe, "ledger"), route("status", plan.Safe, "ledger"), chat, draft, bound, boundDraft},
 		Services: []plan.Service{
 			{Name: "ledger"},
-			{Name: "model", Engine: &plan.Engine{Slots: 8}, Cold: coldstart.Limit{PerSecond: coldRate, Cold: coldTime}},
+			{Name: "model", Engine: &plan.Engine{Slots: 8}, ColdStart: coldstart.Limit{PerSecond: coldRate, Cold: coldTime}},
 			{Name: "floor", Batch: batch},
 			{Name: "portal", Batch: batch},
 		},
-		Limits:   plan.Limits{BodyBytes: 100_000},
+		Limits:   plan.Limits{MaxBodyBytes: 100_000},
 		Accounts: []plan.Account{{Name: "soap", Keys: keys}},
 	})
 }
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -16,8 +16,8 @@
 // attempt is one send of the request to one backend server.
 type attempt struct {
 	server *directory.Server
-	answer *upstream.Answer
-	head   wire.ServerAnswer
+	answer *upstream.Response
+	head   wire.ServerResponse
 	cancel context.CancelFunc
 }
 
@@ -49,8 +49,8 @@
 	q := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Body: x.body,
 		HasBody: x.r.ContentLength != 0 || x.r.Method != http.MethodGet,
-		Header: x.opts.Headers.EncodeServer(x.r.Header, wire.ServerRequest{
-			ServerID: s.ID, Account: x.account, Deadline: left, Inputs: x.inputs, LastEvent: lastEvent, Priority: x.rank(now), FetchFrom: x.fetchFrom(s, now),
+		Header: x.opts.Headers.EncodeServerRequest(x.r.Header, wire.ServerRequest{
+			ServerID: s.ID, Account: x.account, Timeout: left, InputHandles: x.inputs, LastEventID: lastEvent, Priority: x.rank(now), KVSource: x.fetchFrom(s, now),
 		}),
 	}
 	var timer *time.Timer
@@ -71,7 +71,7 @@
 		return nil, x.sendFailed(s, now, err)
 	}
 	x.arrived = true
-	a := &attempt{server: s, answer: answer, cancel: cancel, head: x.opts.Headers.DecodeServer(answer.Status, answer.Header)}
+	a := &attempt{server: s, answer: answer, cancel: cancel, head: x.opts.Headers.DecodeServerResponse(answer.Status, answer.Header)}
 	if err := x.check(a); err != nil {
 		a.close(errors.Is(err, errNotRun) && a.drain())
 		return nil, err
@@ -127,7 +127,7 @@
 	}
 	if x.blame(began) {
 		s.Failed(x.opts.Clock.Now())
-		x.opts.Upstream.Forget(s.Address)
+		x.opts.Upstream.CloseIdle(s.Address)
 	}
 	if !failed.Sent {
 		return fmt.Errorf("%w: %s: %w", errNotSent, s.ID, err)
@@ -140,14 +140,14 @@
 // refusal may come without an id, from a process that is not the server: on a
 // new connection it can only be the answer to this request.
 func (x *exchange) check(a *attempt) error {
-	anonymous := a.head.AttemptID == "" && a.head.NotRun && !a.answer.Reused
+	anonymous := a.head.AttemptID == "" && a.head.NotRun && !a.answer.ReusedConn
 	if a.head.AttemptID != x.client.AttemptID && !anonymous {
 		// An answer to another request, or bytes of a faulty server.
 		x.sent = true
 		return fmt.Errorf("%w: %s: the answer carries the id %q", errBroken, a.server.ID, a.head.AttemptID)
 	}
-	if a.head.HasLoad {
-		a.server.Load(a.head.Running, a.head.Waiting, x.opts.Clock.Now())
+	if a.head.LoadReported {
+		a.server.Load(a.head.RunningRequests, a.head.QueuedRequests, x.opts.Clock.Now())
 	}
 	if a.head.NotRun && a.answer.Status == http.StatusConflict {
 		return fmt.Errorf("%w: %s", errInputsGone, a.server.ID)
@@ -157,7 +157,7 @@
 		return fmt.Errorf("%w: %s: status %d", errNotRun, a.server.ID, a.answer.Status)
 	}
 	x.sent = true
-	if a.head.Encoded || a.answer.Status/100 == 2 && !a.head.Stamped {
+	if a.head.ContentEncoded || a.answer.Status/100 == 2 && !a.head.Signed {
 		return fmt.Errorf("%w: %s: status %d without the server's signature", errBroken, a.server.ID, a.answer.Status)
 	}
 	return nil
--- a/request/gateway/choose.go
+++ b/request/gateway/choose.go
@@ -22,7 +22,7 @@
 func (x *exchange) chosen(t tried) *directory.Server {
 	s := x.opts.Directory.View().Server(x.target)
 	now := x.opts.Clock.Now()
-	if s == nil || !s.Takes() || s.Service != x.service || !x.allowed.Allows(s.Region) || t[s.ID] || s.Avoided(now) || !x.opts.Cold.May(s, x.cold(), now) {
+	if s == nil || !s.Takes() || s.Service != x.service || !x.allowed.Allows(s.Region) || t[s.ID] || s.Avoided(now) || !x.opts.ColdStart.May(s, x.cold(), now) {
 		return nil
 	}
 	return s
@@ -36,7 +36,7 @@
 // cold is what the request's servers bear while they are cold.
 func (x *exchange) cold() coldstart.Limit {
 	if s := x.plan.Service(x.service); s != nil {
-		return s.Cold
+		return s.ColdStart
 	}
 	return coldstart.Limit{}
 }
@@ -47,6 +47,6 @@
 	return balance.Query{
 		Servers: x.candidates(), Distance: x.opts.Distance,
 		Affinity: affinity, SharedTokens: tokens, TokenTime: x.reads.token(x.service), Near: x.near, NearBytes: x.nearBytes,
-		Exclude: func(s *directory.Server) bool { return t[s.ID] || !x.opts.Cold.May(s, cold, now) }, Now: now,
+		Exclude: func(s *directory.Server) bool { return t[s.ID] || !x.opts.ColdStart.May(s, cold, now) }, Now: now,
 	}
 }
--- a/request/gateway/fetch_test.go
+++ b/request/gateway/fetch_test.go
@@ -27,7 +27,7 @@
 	}
 	g := NewWithT(t)
 	g.Expect(from("has", "to")).To(BeEmpty(), "engines that cannot")
-	x.plan = plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", Engine: &plan.Engine{TokenBytes: 18432, LinkRate: 4e10}}}})
+	x.plan = plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", Engine: &plan.Engine{KVBytesPerToken: 18432, LinkBytesPerSecond: 4e10}}}})
 	g.Expect(from("has", "to")).To(Equal("has:1"))
 	g.Expect(from("", "has")).To(Equal("has:1"), "the chosen server has it, but refused the request")
 	for _, bad := range []string{"", "to", "far", "leaves", "unknown"} {
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -32,26 +32,26 @@
 	Upstream  *upstream.Client
 	Headers   wire.Headers // of the platform
 	Pool      *stages.Pool
-	Budget    Budget
-	Cold      *coldstart.Gate
+	Budget    RetryBudget
+	ColdStart *coldstart.Gate
 	Clock     clock.Clock
 	Rand      clock.Rand
 	// KeysFresh reports whether the keys of the plan in force are recent enough
 	// to be honoured, and the age of that knowledge.
 	KeysFresh func() (ok bool, age time.Duration)
 	// Closing reports whether the process is about to stop.
-	Closing func() bool
+	ShuttingDown func() bool
 	// RefuseLong reports whether streams would be cut by the stop of the process.
-	RefuseLong func() bool
+	RefuseStreams func() bool
 	// Stopping is closed when the process is told to stop; StopEnd tells from
 	// then on when requests will be cut.
-	Stopping <-chan struct{}
-	StopEnd  func() time.Time
-	Log      func(*Record)
+	ShutdownStarted  <-chan struct{}
+	ShutdownDeadline func() time.Time
+	Log              func(*LogEntry)
 }
 
 // Budget bounds the sends beyond the first of each request, by service.
-type Budget interface {
+type RetryBudget interface {
 	RecordRequest(service string)
 	AllowRetry(service string) bool
 }
@@ -67,25 +67,25 @@
 func New(opts Options) *Gateway { return &Gateway{opts: opts} }
 
 // Record is what is logged of one request.
-type Record struct {
-	ID          string
-	Route       string
-	Account     string
-	Service     string
-	PlanVersion int64
-	Status      int
-	Kind        kind.Kind // empty: a backend server's answer
-	Ran         kind.Ran
-	Detail      string
-	Server      string
-	Attempts    int
-	Took        time.Duration
-	StageTook   time.Duration
-	FirstByte   time.Duration // from arrival; 0: none
-	Left        time.Duration // of the client's deadline, at the end
-	RetryAfter  time.Duration
-	Resumed     int
-	KeyAge      time.Duration // of the knowledge that the key holds
+type LogEntry struct {
+	ID                string
+	Route             string
+	Account           string
+	Service           string
+	PlanVersion       int64
+	Status            int
+	Kind              kind.Kind // empty: a backend server's answer
+	Ran               kind.Ran
+	Detail            string
+	Server            string
+	Attempts          int
+	Duration          time.Duration
+	StageDuration     time.Duration
+	TimeToFirstByte   time.Duration // from arrival; 0: none
+	DeadlineRemaining time.Duration // of the client's deadline, at the end
+	RetryAfter        time.Duration
+	Resumptions       int
+	KeyAge            time.Duration // of the knowledge that the key holds
 }
 
 // exchange is one request on its way.
@@ -111,7 +111,7 @@
 	fetch     string // server that has read the shared part of the prompt; empty: none known
 	near      string // failure domain that holds most of the inputs
 	nearBytes int64
-	rec       Record
+	rec       LogEntry
 	begun     bool      // the head of the answer is on its way
 	abort     bool      // the answer has to end as incomplete
 	sent      bool      // a backend server may have run the request
@@ -121,15 +121,15 @@
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClient(r.Header)}
+	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClientRequest(r.Header)}
 	x.rec.ID = x.client.AttemptID
 	if err := x.serve(); err != nil {
 		x.answerError(kind.From(err))
 	}
 	x.freeInputs()
-	x.rec.Took = g.opts.Clock.Now().Sub(x.start)
+	x.rec.Duration = g.opts.Clock.Now().Sub(x.start)
 	if !x.deadline.IsZero() {
-		x.rec.Left = x.deadline.Sub(g.opts.Clock.Now())
+		x.rec.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
 	}
 	g.opts.Log(&x.rec)
 	if x.abort {
@@ -171,7 +171,7 @@
 		return kind.New(kind.NoRoute, "no route for host %q and path %q", x.r.Host, x.r.URL.Path)
 	}
 	x.rec.Route = x.route.Name
-	if x.route.Kind == plan.Stream && x.opts.RefuseLong() {
+	if x.route.Kind == plan.Stream && x.opts.RefuseStreams() {
 		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetry}
 	}
 	x.priority = x.route.Priority
@@ -183,7 +183,7 @@
 		return kind.New(kind.BadRequest, "the request has no id")
 	}
 	wait := x.route.Timeout
-	if d := x.client.Deadline; d > 0 && (wait <= 0 || d < wait) {
+	if d := x.client.Timeout; d > 0 && (wait <= 0 || d < wait) {
 		wait = d
 	}
 	if wait <= 0 {
@@ -191,7 +191,7 @@
 	}
 	x.deadline = x.start.Add(wait)
 	x.aim = x.start.Add(x.route.TargetLatency)
-	x.service = x.route.Choose(x.opts.Rand.Float64())
+	x.service = x.route.PickService(x.opts.Rand.Float64())
 	x.rec.Service = x.service
 	x.opts.Budget.RecordRequest(x.service)
 	return nil
@@ -210,7 +210,7 @@
 	if !fresh {
 		return kind.New(kind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
 	}
-	a := x.plan.Account(x.client.Key)
+	a := x.plan.AccountByKey(x.client.APIKey)
 	if a == nil {
 		return kind.New(kind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
@@ -223,7 +223,7 @@
 }
 
 func (x *exchange) readBody() error {
-	limit := x.plan.Limits.BodyBytes
+	limit := x.plan.Limits.MaxBodyBytes
 	if limit <= 0 {
 		limit = defaultBody
 	}
--- a/request/gateway/place_test.go
+++ b/request/gateway/place_test.go
@@ -34,11 +34,11 @@
 func placed(dir *directory.Directory, now time.Time, allowed residency.Set) *exchange {
 	gw := New(Options{
 		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Budget: unbounded{},
-		Distance: func(string) time.Duration { return time.Millisecond }, Cold: coldstart.New("h", func() []string { return []string{"h"} }),
+		Distance: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
-	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", Cold: coldstart.Limit{PerSecond: 2, Cold: time.Second}}}})
-	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, Affinity: true}, service: "s", allowed: allowed, start: now}
+	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", ColdStart: coldstart.Limit{PerSecond: 2, Cold: time.Second}}}})
+	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, PrefixAffinity: true}, service: "s", allowed: allowed, start: now}
 }
 
 // Guards against a request that is served where its route or account forbids it, or in an
@@ -69,7 +69,7 @@
 		}
 		some := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID)
 		x := placed(dir, now, residency.Set{Route: some.Draw(t, "route"), Account: some.Draw(t, "account")})
-		x.client.Parts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
+		x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
 		x.target = fmt.Sprint("e", rapid.IntRange(0, 8).Draw(t, "target"))
 		may := func(s *directory.Server) bool {
 			return x.allowed.Allows(s.Region) && !s.Draining && s.Domain != evacuated
@@ -88,7 +88,7 @@
 				t.Fatalf("%+v may not run on %s", x.allowed, target.ID)
 			}
 		}
-		open := func(s *directory.Server) bool { return x.opts.Cold.May(s, x.cold(), now) }
+		open := func(s *directory.Server) bool { return x.opts.ColdStart.May(s, x.cold(), now) }
 		if domain := x.likelyDomain(); x.candidates().Any(open) && !x.allowed.Allows(domain[:2]) {
 			t.Fatalf("stage work for %+v in %s", x.allowed, domain)
 		}
@@ -140,7 +140,7 @@
 		got = append(got, x.next(context.Background(), &tries{seen: tried{}}).ID)
 	}
 	g.Expect(got).To(Equal([]string{"cold", "cold", "warm", "warm"}))
-	x.client.Parts = []wire.PromptPart{{ID: "part", Tokens: 5000}}
+	x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}}
 	r := &stages.Request{}
 	x.setTargets(r)
 	g.Expect(r.Targets).To(HaveLen(1), "none that this host may not send to")
--- a/request/gateway/plain.go
+++ b/request/gateway/plain.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	s := x.choose(t.seen)
-	for s != nil && !x.opts.Cold.Take(s, x.cold(), x.opts.Clock.Now()) {
+	for s != nil && !x.opts.ColdStart.Take(s, x.cold(), x.opts.Clock.Now()) {
 		t.seen[s.ID] = true // it is cold, and another request took this host's share
 		s = x.choose(t.seen)
 	}
@@ -169,7 +169,7 @@
 	h["Content-Length"] = []string{strconv.Itoa(len(r.body))}
 	x.begun = true
 	x.rec.Status, x.rec.Ran = r.status, kind.RanYes
-	x.rec.FirstByte = x.opts.Clock.Now().Sub(x.start)
+	x.rec.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
 	x.w.WriteHeader(r.status)
 	if _, err := x.w.Write(r.body); err != nil {
 		x.abort = true
@@ -181,6 +181,6 @@
 // head sets the headers of a server's answer; net/http adds none of its own.
 func (x *exchange) head(to, from http.Header) {
 	to["Date"], to["Content-Type"] = nil, nil
-	x.opts.Headers.CopyAnswer(to, from)
+	x.opts.Headers.CopyResponseHeaders(to, from)
 	x.closeIfLeaving(to)
 }
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -8,8 +8,8 @@
 
 // prefix names the shared part before the longest one; empty: there is none.
 func (x *exchange) prefix() string {
-	if n := len(x.client.Parts); x.route.Affinity && n > 2 {
-		return x.client.Parts[n-3].ID
+	if n := len(x.client.PromptParts); x.route.PrefixAffinity && n > 2 {
+		return x.client.PromptParts[n-3].ID
 	}
 	return ""
 }
@@ -17,7 +17,7 @@
 // fetchTime is how long an engine takes to get so many tokens from another one.
 func (x *exchange) fetchTime(tokens int) time.Duration {
 	if s := x.plan.Service(x.service); s != nil {
-		return s.Engine.FetchTime(tokens)
+		return s.Engine.KVTransferTime(tokens)
 	}
 	return 0
 }
@@ -38,11 +38,11 @@
 // but the last, which belongs to this request or its session. tokens counts it
 // and the parts before it.
 func (x *exchange) affinity() (part string, tokens int) {
-	n := len(x.client.Parts)
-	if !x.route.Affinity || n == 0 {
+	n := len(x.client.PromptParts)
+	if !x.route.PrefixAffinity || n == 0 {
 		return "", 0
 	}
-	shared := x.client.Parts[:max(n-1, 1)]
+	shared := x.client.PromptParts[:max(n-1, 1)]
 	for _, p := range shared {
 		tokens += p.Tokens
 	}
--- a/request/gateway/refusal.go
+++ b/request/gateway/refusal.go
@@ -47,7 +47,7 @@
 }
 
 func (x *exchange) closeIfLeaving(h http.Header) {
-	if x.opts.Closing() {
+	if x.opts.ShuttingDown() {
 		h["Connection"] = []string{"close"}
 	}
 }
--- a/request/gateway/retry_test.go
+++ b/request/gateway/retry_test.go
@@ -32,7 +32,7 @@
 	for range 2 {
 		s := x.next(t.Context(), tries)
 		g.Expect(s).NotTo(BeNil())
-		tries.note(x.sendFailed(s, now, &upstream.Error{Dial: true}))
+		tries.note(x.sendFailed(s, now, &upstream.Error{DialFailed: true}))
 		x.rec.Attempts++
 	}
 	s := x.next(t.Context(), tries)
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -23,7 +23,7 @@
 	ctx, leave := x.untilStop(ctx)
 	defer leave()
 	made, err := x.opts.Pool.Run(ctx, r)
-	x.rec.StageTook = x.opts.Clock.Now().Sub(x.start)
+	x.rec.StageDuration = x.opts.Clock.Now().Sub(x.start)
 	if err != nil && errors.Is(context.Cause(ctx), errStops) {
 		return &kind.Error{Kind: kind.Draining, Detail: errStops.Error(), RetryAfter: drainingRetry, Cause: err}
 	}
@@ -47,12 +47,12 @@
 	takes := x.times.expect(x.route.Name).total()
 	go func() {
 		select {
-		case <-x.opts.Stopping:
+		case <-x.opts.ShutdownStarted:
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case <-x.opts.Clock.After(x.opts.StopEnd().Add(-takes).Sub(x.opts.Clock.Now())):
+		case <-x.opts.Clock.After(x.opts.ShutdownDeadline().Add(-takes).Sub(x.opts.Clock.Now())):
 			cancel(errStops)
 		case <-ctx.Done():
 		}
@@ -62,12 +62,12 @@
 
 func (x *exchange) stageRequest() *stages.Request {
 	r := &stages.Request{
-		ID: x.client.AttemptID, Round: x.round, Key: x.client.PieceKey, Domain: x.likelyDomain(), From: x.opts.Domain,
+		ID: x.client.AttemptID, Round: x.round, Key: x.client.StageInputKey, Domain: x.likelyDomain(), From: x.opts.Domain,
 		Allowed: x.allowed, Worth: x.worth(),
 		Stages: make([]stages.Stage, len(x.route.Stages)),
 	}
 	for i, s := range x.route.Stages {
-		r.Stages[i] = stages.Stage{Service: s.Service, After: s.After, ItemBytes: s.ResultBytes, Items: x.items(i)}
+		r.Stages[i] = stages.Stage{Service: s.Service, After: s.DependsOn, ItemBytes: s.ResultBytes, Items: x.items(i)}
 	}
 	x.setTargets(r)
 	takes := x.times.expect(x.route.Name)
@@ -87,7 +87,7 @@
 // setTargets names the servers on which the request may run, for the host that does
 // its stage work to choose from.
 func (x *exchange) setTargets(r *stages.Request) {
-	if len(x.client.Parts) == 0 {
+	if len(x.client.PromptParts) == 0 {
 		return // nothing is read that others would wait for
 	}
 	q := x.query(nil)
@@ -107,8 +107,8 @@
 // items is the number of items of a stage; a stage that the client does not
 // mention has one.
 func (x *exchange) items(stage int) int {
-	if stage < len(x.client.Pieces) {
-		return x.client.Pieces[stage]
+	if stage < len(x.client.StageItems) {
+		return x.client.StageItems[stage]
 	}
 	return 1
 }
@@ -179,7 +179,7 @@
 // worth estimates what a request is worth relative to others. A generation is
 // worth its size, in which a generated token counts as ten that are read.
 func (x *exchange) worth() float64 {
-	size := float64(x.client.InputTokens + 10*x.client.MaxOutput)
+	size := float64(x.client.InputTokens + 10*x.client.MaxOutputTokens)
 	return max(size, 1) * urgency[min(max(x.priority, 0), len(urgency)-1)]
 }
 
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -21,7 +21,7 @@
 // event that the client has got.
 func (x *exchange) stream(ctx context.Context) error {
 	t := &tries{seen: tried{}}
-	st := &streaming{last: x.client.LastEvent}
+	st := &streaming{last: x.client.LastEventID}
 	remakes := 0
 	for {
 		s := x.next(ctx, t)
@@ -92,7 +92,7 @@
 	a.close(err == nil)
 	if err != nil {
 		x.brokeOff(a)
-		x.rec.Resumed++
+		x.rec.Resumptions++
 		return fmt.Errorf("%w: %s after event %q: %w", errBroken, a.server.ID, st.last, err)
 	}
 	now := x.opts.Clock.Now()
@@ -106,7 +106,7 @@
 
 // noteTimes learns from a stream that has ended.
 func (x *exchange) noteTimes(end time.Time) {
-	first := x.firstAt.Sub(x.start) - x.rec.StageTook
+	first := x.firstAt.Sub(x.start) - x.rec.StageDuration
 	x.times.note(x.route.Name, streamTime{first: first, rest: end.Sub(x.firstAt)})
 	if x.client.InputTokens > 0 && x.rec.Attempts == 1 {
 		// What is shared has been read before, mostly.
@@ -197,7 +197,7 @@
 	x.begun = true
 	x.rec.Status, x.rec.Ran = a.answer.Status, kind.RanYes
 	now := x.opts.Clock.Now()
-	x.rec.FirstByte = now.Sub(x.start)
+	x.rec.TimeToFirstByte = now.Sub(x.start)
 	x.firstAt = now
 	x.w.WriteHeader(a.answer.Status)
 	// The engine has read its inputs before it made the first event.
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -12,17 +12,17 @@
 )
 
 // Kind tells what may be repeated.
-type Kind int
+type RouteKind int
 
 // Kinds of routes.
 const (
-	Safe   Kind = iota // may run more than once
-	Unsafe             // runs at most once for each attempt of the client
-	Stream             // a series of events; as Unsafe unless resumable
+	Safe   RouteKind = iota // may run more than once
+	Unsafe                  // runs at most once for each attempt of the client
+	Stream                  // a series of events; as Unsafe unless resumable
 )
 
 // String returns the kind for logs.
-func (k Kind) String() string {
+func (k RouteKind) String() string {
 	return [...]string{"safe", "unsafe", "stream"}[k]
 }
 
@@ -36,39 +36,39 @@
 // the inputs of the stages that name it in After, or of the request itself.
 type Stage struct {
 	Service     string
-	After       []int // indexes of the stages whose results it needs
+	DependsOn   []int // indexes of the stages whose results it needs
 	ResultBytes int64 // approximate
 }
 
 // Route says which requests go to which service, through which stages.
 type Route struct {
-	Name          string
-	Host          string
-	PathPrefix    string
-	Kind          Kind
-	Timeout       time.Duration // longest time a request may be kept waiting
-	TargetLatency time.Duration // full worth up to here
-	MaxEventGap   time.Duration // longest pause between events that is on time
-	Priority      int           // 0 is the most urgent
-	Targets       []Target
-	MaxAttempts   int
-	Stages        []Stage
-	Public        bool // needs no API key
-	Affinity      bool // requests share prompt prefixes
-	Resumable     bool // a stream may go on at another backend server
+	Name           string
+	Host           string
+	PathPrefix     string
+	Kind           RouteKind
+	Timeout        time.Duration // longest time a request may be kept waiting
+	TargetLatency  time.Duration // full worth up to here
+	MaxEventGap    time.Duration // longest pause between events that is on time
+	Priority       int           // 0 is the most urgent
+	Targets        []Target
+	MaxAttempts    int
+	Stages         []Stage
+	Public         bool // needs no API key
+	PrefixAffinity bool // requests share prompt prefixes
+	Resumable      bool // a stream may go on at another backend server
 	// Regions in which its requests may be served; empty: every one.
 	Regions []string
 }
 
 // Service is a group of backend servers that can stand in for each other.
 type Service struct {
-	Name       string
-	HealthPath string
-	MaxConns   int // connections that a server accepts from all hosts together
-	Engine     *Engine
-	Batch      *Batch
+	Name           string
+	HealthPath     string
+	MaxConnections int // connections that a server accepts from all hosts together
+	Engine         *Engine
+	Batch          *Batch
 	// Cold is what its servers bear after their start.
-	Cold coldstart.Limit
+	ColdStart coldstart.Limit
 }
 
 // Engine describes the model engines of a service.
@@ -77,8 +77,8 @@
 	KVTokens int64
 	// TokenBytes is the size of a token in an engine's memory, and LinkRate the bytes a
 	// second in which an engine gets them from another; 0: not known.
-	TokenBytes int64
-	LinkRate   float64
+	KVBytesPerToken    int64
+	LinkBytesPerSecond float64
 }
 
 // fetchSetup is the time in which two engines agree on a transfer.
@@ -86,22 +86,22 @@
 
 // FetchTime is how long an engine takes to get so many tokens from another one that has
 // read them; 0: it cannot.
-func (e *Engine) FetchTime(tokens int) time.Duration {
-	if e == nil || e.TokenBytes <= 0 || e.LinkRate <= 0 {
+func (e *Engine) KVTransferTime(tokens int) time.Duration {
+	if e == nil || e.KVBytesPerToken <= 0 || e.LinkBytesPerSecond <= 0 {
 		return 0
 	}
-	return fetchSetup + time.Duration(float64(tokens)*float64(e.TokenBytes)/e.LinkRate*float64(time.Second))
+	return fetchSetup + time.Duration(float64(tokens)*float64(e.KVBytesPerToken)/e.LinkBytesPerSecond*float64(time.Second))
 }
 
 // Batch describes how servers of a stage take work: calls with several items.
 type Batch struct {
-	Slots     int // calls that run at once
-	Queue     int // calls that may wait
-	MaxItems  int // items of one call
-	CallTime  time.Duration
-	ItemTime  time.Duration
-	RoomBytes int64         // for results that nobody has freed yet
-	ResultTTL time.Duration // after which a result is freed by itself
+	ConcurrentCalls     int // calls that run at once
+	QueuedCalls         int // calls that may wait
+	MaxItemsPerCall     int // items of one call
+	TimePerCall         time.Duration
+	TimePerItem         time.Duration
+	ResultCapacityBytes int64         // for results that nobody has freed yet
+	ResultTTL           time.Duration // after which a result is freed by itself
 }
 
 // Account is a client account with its API keys.
@@ -117,10 +117,10 @@
 
 // Limits bound what a client may send.
 type Limits struct {
-	HeaderBytes   int
-	BodyBytes     int64
-	HeaderTimeout time.Duration
-	IdleTimeout   time.Duration
+	MaxHeaderBytes int
+	MaxBodyBytes   int64
+	HeaderTimeout  time.Duration
+	IdleTimeout    time.Duration
 }
 
 // Config is the decoded configuration from which a Plan is compiled.
@@ -187,7 +187,7 @@
 }
 
 // Account returns the holder of an API key, or nil.
-func (p *Plan) Account(key string) *Account { return p.keys[key] }
+func (p *Plan) AccountByKey(key string) *Account { return p.keys[key] }
 
 // HasAccounts reports whether requests need a key at all. They do also where
 // every key was taken away.
@@ -201,7 +201,7 @@
 
 // Choose picks the service of one request by the weights of the route's
 // targets; u is uniform in [0,1).
-func (r *Route) Choose(u float64) string {
+func (r *Route) PickService(u float64) string {
 	var sum float64
 	for _, t := range r.Targets {
 		sum += t.Weight
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -27,18 +27,18 @@
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}, {"none", 0}}}
 	n := map[string]int{}
 	for i := range 1000 {
-		n[r.Choose(float64(i)/1000)]++
+		n[r.PickService(float64(i)/1000)]++
 	}
 	g.Expect(n).To(Equal(map[string]int{"a": 900, "b": 100}))
-	g.Expect((&Route{}).Choose(0.5)).To(BeEmpty())
+	g.Expect((&Route{}).PickService(0.5)).To(BeEmpty())
 }
 
 func TestKeysNameTheirAccount(t *testing.T) {
 	g := NewWithT(t)
 	p := Compile(Config{Accounts: []Account{{Name: "a", Keys: []string{"1", "2"}}, {Name: "b", Keys: []string{"3"}}}})
-	g.Expect(p.Account("2").Name).To(Equal("a"))
-	g.Expect(p.Account("3").Name).To(Equal("b"))
-	g.Expect(p.Account("")).To(BeNil())
+	g.Expect(p.AccountByKey("2").Name).To(Equal("a"))
+	g.Expect(p.AccountByKey("3").Name).To(Equal("b"))
+	g.Expect(p.AccountByKey("")).To(BeNil())
 	g.Expect(p.HasAccounts()).To(BeTrue())
 	g.Expect(Compile(Config{}).HasAccounts()).To(BeFalse())
 	g.Expect(Compile(Config{Accounts: []Account{{Name: "a"}}}).HasAccounts()).To(BeTrue(), "all its keys were taken away")
