--- a/edge/records.go
+++ b/edge/records.go
@@ -92,7 +92,7 @@
 	h.log.Warn("stage work", "outcome", "host did not answer; passed over", "name", host, "passed_ms", ms(passed), "err", err)
 }
 
-// StageWork implements stages.Log.
+// StageWorkEnded implements stages.Log.
 func (h *Host) StageWork(t *stages.Ticket, waited, took time.Duration, err error, onTime, lateWaiting int) {
 	h.meter.Observe("stage_work", took)
 	h.meter.Observe("stage_work_wait", waited)
