--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -79,7 +79,7 @@
 		}
 		opts := batcher.Options{
 			Slots: batch.ConcurrentCalls, MaxItems: batch.MaxItemsPerCall, CallTime: batch.TimePerCall, ItemTime: batch.TimePerItem,
-			ResultMemoryBytes: batch.ResultCapacityBytes, ResultTTL: batch.ResultTTL,
+			ResultMemoryBytes: batch.ResultMemoryBytes, ResultTTL: batch.ResultTTL,
 		}
 		one := b.by[name]
 		if one == nil {
--- a/edge/place_test.go
+++ b/edge/place_test.go
@@ -84,7 +84,7 @@
 func batch() *plan.Batch {
 	return &plan.Batch{
 		ConcurrentCalls: 1, QueuedCalls: 2, MaxItemsPerCall: 8, TimePerCall: 5 * time.Millisecond, TimePerItem: time.Millisecond,
-		ResultCapacityBytes: 1_000_000, ResultTTL: 4 * time.Second,
+		ResultMemoryBytes: 1_000_000, ResultTTL: 4 * time.Second,
 	}
 }
 
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -229,7 +229,7 @@
 	boundDraft.Stages = draft.Stages
 	batch := &plan.Batch{
 		ConcurrentCalls: 1, QueuedCalls: 2, MaxItemsPerCall: 8, TimePerCall: 5 * time.Millisecond, TimePerItem: time.Millisecond,
-		ResultCapacityBytes: 1_000_000, ResultTTL: 4 * time.Second,
+		ResultMemoryBytes: 1_000_000, ResultTTL: 4 * time.Second,
 	}
 	p.store.PutConfig(plan.Config{
 		Version: int64(version),
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -95,13 +95,13 @@
 
 // Batch describes how servers of a stage take work: calls with several items.
 type Batch struct {
-	ConcurrentCalls     int // calls that run at once
-	QueuedCalls         int // calls that may wait
-	MaxItemsPerCall     int // items of one call
-	TimePerCall         time.Duration
-	TimePerItem         time.Duration
-	ResultCapacityBytes int64         // for results that nobody has freed yet
-	ResultTTL           time.Duration // after which a result is freed by itself
+	ConcurrentCalls   int // calls that run at once
+	QueuedCalls       int // calls that may wait
+	MaxItemsPerCall   int // items of one call
+	TimePerCall       time.Duration
+	TimePerItem       time.Duration
+	ResultMemoryBytes int64         // for results that nobody has freed yet
+	ResultTTL         time.Duration // after which a result is freed by itself
 }
 
 // Account is a client account with its API keys.
