--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -133,7 +133,7 @@
 	if err != nil {
 		return batcher.Response{Err: err}
 	}
-	call.Server.Succeeded()
+	call.Server.RecordSuccess()
 	return batcher.Response{Results: results}
 }
 
@@ -141,7 +141,7 @@
 
 func (c *stageBackend) recordLoad(s *directory.Server, status int, header http.Header) {
 	if head := (platform.Headers{}).DecodeServerResponse(status, header); head.LoadReported {
-		s.Load(head.RunningRequests, head.QueuedRequests, c.clock.Now())
+		s.RecordLoad(head.RunningRequests, head.QueuedRequests, c.clock.Now())
 	}
 }
 
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -67,8 +67,8 @@
 	evacuations *follow.Follower[platform.Evacuation]
 	// evacuationsKnown is set once they have been listed.
 	evacuationsListed atomic.Bool
-	coldStart         *coldstart.Gate
-	reach             *reach.Reach
+	coldStart         *coldstart.Limiter
+	reach             *reach.Monitor
 	configConfirmedAt atomic.Int64 // of the configuration, boot clock, nanoseconds; 0: never
 	upstream          *upstream.Client
 	budget            *budget.RetryLimiter
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -20,10 +20,10 @@
 	wait := watchWait(h.settings.EvacuateBound, evacuationsWaitShare)
 	h.evacuations = follow.New(follow.Options[platform.Evacuation]{
 		Source: relaySource(h, "evacuations", wait, platform.EvacuationSource(h.store)), Clock: h.bootClock, Rand: h.rand,
-		Wait: wait, Answer: responseTimeout, Changed: h.evacuationsChanged,
-		Proved:   func(time.Time) {},
-		Lost:     func(err error) { h.logDependencyLost("evacuations", err) },
-		Regained: func(d time.Duration) { h.logDependencyRegained("evacuations", d) },
+		WatchWait: wait, ResponseTimeout: responseTimeout, OnChange: h.evacuationsChanged,
+		OnConfirmed: func(time.Time) {},
+		OnLost:      func(err error) { h.logDependencyLost("evacuations", err) },
+		OnRegained:  func(d time.Duration) { h.logDependencyRegained("evacuations", d) },
 	})
 	h.evacuations.Serve(h.mesh, "evacuations")
 }
@@ -34,7 +34,7 @@
 	for domain := range objects {
 		domains = append(domains, domain)
 	}
-	h.directory.Evacuate(domains, h.clock.Now())
+	h.directory.SetEvacuated(domains, h.clock.Now())
 	h.evacuationsListed.Store(true)
 	after := h.directory.View()
 	for domain := range h.settings.Regions {
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -76,27 +76,27 @@
 // wireBeliefs makes the followers. They ask one host of the region, which asks
 // the platform.
 func (h *Host) createFollowers() {
-	h.reach = reach.New(reach.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, Changed: h.platformReachabilityChanged, Waited: func() bool { return len(h.readers()) == 0 }})
+	h.reach = reach.New(reach.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformReachabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
 	configWait, serversWait := h.configWatchWait(), h.serversWatchWait()
 	h.config = follow.New(follow.Options[plan.Config]{
 		Source: relaySource(h, "config", configWait, platform.ConfigSource(h.store)), Clock: h.bootClock, Rand: h.rand,
-		Wait: configWait, Answer: responseTimeout, Changed: h.configChanged,
-		Proved:   h.confirmConfig,
-		Lost:     func(err error) { h.logDependencyLost("configuration", err) },
-		Regained: func(d time.Duration) { h.logDependencyRegained("configuration", d) },
+		WatchWait: configWait, ResponseTimeout: responseTimeout, OnChange: h.configChanged,
+		OnConfirmed: h.confirmConfig,
+		OnLost:      func(err error) { h.logDependencyLost("configuration", err) },
+		OnRegained:  func(d time.Duration) { h.logDependencyRegained("configuration", d) },
 	})
 	h.servers = follow.New(follow.Options[directory.Entry]{
 		Source: relaySource(h, "servers", serversWait, platform.ServerSource(h.store)), Clock: h.bootClock, Rand: h.rand,
-		Wait: serversWait, Answer: responseTimeout, Settle: h.serversSettleDelay(), Changed: h.serversChanged,
-		Proved:   func(time.Time) {},
-		Lost:     func(err error) { h.logDependencyLost("list of backend servers", err) },
-		Regained: func(d time.Duration) { h.logDependencyRegained("list of backend servers", d) },
+		WatchWait: serversWait, ResponseTimeout: responseTimeout, CoalesceDelay: h.serversSettleDelay(), OnChange: h.serversChanged,
+		OnConfirmed: func(time.Time) {},
+		OnLost:      func(err error) { h.logDependencyLost("list of backend servers", err) },
+		OnRegained:  func(d time.Duration) { h.logDependencyRegained("list of backend servers", d) },
 	})
 	h.entryHosts = follow.New(follow.Options[peer.Identity]{
 		Source: relaySource(h, "hosts", hostsWatchWait, h.hostSource()), Clock: h.bootClock, Rand: h.rand,
-		Wait: hostsWatchWait, Answer: responseTimeout, Settle: hostsSettleDelay, Changed: h.hostsChanged,
-		Proved: func(time.Time) {}, Lost: func(err error) { h.logDependencyLost("list of entry hosts", err) },
-		Regained: func(d time.Duration) { h.logDependencyRegained("list of entry hosts", d) },
+		WatchWait: hostsWatchWait, ResponseTimeout: responseTimeout, CoalesceDelay: hostsSettleDelay, OnChange: h.hostsChanged,
+		OnConfirmed: func(time.Time) {}, OnLost: func(err error) { h.logDependencyLost("list of entry hosts", err) },
+		OnRegained: func(d time.Duration) { h.logDependencyRegained("list of entry hosts", d) },
 	})
 	h.createEvacuationFollower()
 	h.entryHosts.Serve(h.mesh, "hosts")
@@ -109,9 +109,9 @@
 const relayMargin = 500 * time.Millisecond
 
 func relaySource[T any](h *Host, kind string, wait time.Duration, direct follow.Source[T]) follow.Source[T] {
-	return &follow.Relay[T]{
-		Kind: kind, Link: h.mesh, Direct: follow.Through(h.reach, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
-		Silent: h.reach.Silent, Readers: h.readers,
+	return &follow.PeerSource[T]{
+		Kind: kind, Link: h.mesh, Direct: follow.Monitored(h.reach, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
+		APIUnresponsive: h.reach.Unresponsive, Readers: h.readers,
 	}
 }
 
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -88,7 +88,7 @@
 		if _, err := rand.Read(offer[:]); err != nil {
 			return err
 		}
-		secret, err := reach.Ask(ctx, h.reach, 0, func(ctx context.Context, _ bool) (string, error) {
+		secret, err := reach.Call(ctx, h.reach, 0, func(ctx context.Context, _ bool) (string, error) {
 			return platform.PeerSecret(ctx, h.store, hex.EncodeToString(offer[:]), h.settings.FirstStart)
 		})
 		if err != nil {
@@ -96,7 +96,7 @@
 		}
 		h.peerSecret.Store(&secret)
 	}
-	_, err := reach.Ask(ctx, h.reach, 0, func(ctx context.Context, _ bool) (struct{}, error) {
+	_, err := reach.Call(ctx, h.reach, 0, func(ctx context.Context, _ bool) (struct{}, error) {
 		return struct{}{}, platform.RegisterHost(ctx, h.store, h.self, h.settings.FirstStart)
 	})
 	return err
--- a/edge/requests_test.go
+++ b/edge/requests_test.go
@@ -161,7 +161,7 @@
 	g.Expect(p.send(h, "GET", "/status/1", "").status).To(Equal(http.StatusOK))
 	cut[<-first] = true
 	for id := range p.servers {
-		g.Expect(h.directory.View().Server(id).Avoided(h.clock.Now())).To(Equal(cut[id]), id)
+		g.Expect(h.directory.View().Server(id).InBackoff(h.clock.Now())).To(Equal(cut[id]), id)
 	}
 }
 
@@ -265,7 +265,7 @@
 	g.Expect(r.err).NotTo(HaveOccurred())
 	g.Expect(r.body).To(Equal("id: 1\ndata: piece 1\n\nid: 2\ndata: piece 2\n\nid: 3\ndata: piece 3\n\nid: 4\ndata: piece 4\n\nid: 5\ndata: piece 5\n\n"))
 	g.Expect(p.runs("model")).To(HaveLen(2))
-	avoided := func(id string) bool { return h.directory.View().Server(id).Avoided(h.clock.Now()) }
+	avoided := func(id string) bool { return h.directory.View().Server(id).InBackoff(h.clock.Now()) }
 	g.Expect(avoided("model-1")).NotTo(Equal(avoided("model-2")), "the one that broke off")
 
 	r = p.send(h, "POST", "/stream/stream/1", "x")
@@ -373,7 +373,7 @@
 	_ = conn.Close()
 	g.Eventually(stopped, "10s").Should(BeClosed())
 	g.Eventually(h.activeRequests.Load, "10s").Should(BeZero())
-	g.Expect(h.directory.View().Server("model-1").Avoided(h.clock.Now())).To(BeFalse())
+	g.Expect(h.directory.View().Server("model-1").InBackoff(h.clock.Now())).To(BeFalse())
 	g.Expect(p.runs("model")).To(HaveLen(1))
 }
 
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -29,7 +29,7 @@
 func (h *Host) logServerChanges(before, after *directory.View, why string) {
 	for _, s := range after.All() {
 		old := before.Server(s.ID)
-		if old == nil || old.Draining != s.Draining || old.Born != s.Born {
+		if old == nil || old.Draining != s.Draining || old.StartedUnixMS != s.StartedUnixMS {
 			h.log.Info("backend server", "outcome", serverStatus(s), "id", s.ID, "service", s.Service, "address", s.Address, "domain", s.Domain, "by", why)
 		}
 	}
@@ -51,9 +51,9 @@
 // now, or not allowed.
 func (h *Host) stageTarget(id string, r *stages.Request) (stages.Target, bool) {
 	s, now := h.directory.View().Server(id), h.clock.Now()
-	if s == nil || !s.Takes() || !r.Allowed.Allows(s.Region) || s.Avoided(now) {
+	if s == nil || !s.AcceptsWork() || !r.Allowed.Allows(s.Region) || s.InBackoff(now) {
 		return stages.Target{}, false
 	}
-	q := balance.Query{Distance: func(domain string) time.Duration { return h.delayBetween(r.From, domain) }, Now: now}
+	q := balance.Query{OneWayLatency: func(domain string) time.Duration { return h.delayBetween(r.From, domain) }, Now: now}
 	return stages.Target{ID: id, Domain: s.Domain, Cost: q.Cost(s)}, true
 }
--- a/edge/state.go
+++ b/edge/state.go
@@ -67,7 +67,7 @@
 	for _, srv := range view.All() {
 		s.Servers = append(s.Servers, serverState{
 			ID: srv.ID, Service: srv.Service, Address: srv.Address, Domain: srv.Domain, UnusedReason: unusedReason(srv, now), Cold: isCold(p, srv, now),
-			InFlight: srv.Inflight.Load(), Load: balance.Load(srv, now), ErrorRate: srv.Errors(now),
+			InFlight: srv.InFlight.Load(), Load: balance.EstimatedLoad(srv, now), ErrorRate: srv.FailureRate(now),
 		})
 	}
 	sort.Slice(s.Servers, func(i, j int) bool { return s.Servers[i].ID < s.Servers[j].ID })
@@ -80,7 +80,7 @@
 		return "it leaves"
 	case s.Evacuated:
 		return "its failure domain is evacuated"
-	case s.Avoided(now):
+	case s.InBackoff(now):
 		return "it did not answer a moment ago"
 	}
 	return ""
@@ -92,7 +92,7 @@
 		return false
 	}
 	service := p.Service(s.Service)
-	return service != nil && service.ColdStart.PerSecond > 0 && s.Cold(now, service.ColdStart.Cold)
+	return service != nil && service.ColdStart.RequestsPerSecond > 0 && s.MayBeCold(now, service.ColdStart.ColdDuration)
 }
 
 func (h *Host) serveState(w http.ResponseWriter, _ *http.Request) {
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -236,7 +236,7 @@
 		Routes:  []plan.Route{route("transfer", plan.Unsafe, "ledger"), route("status", plan.Safe, "ledger"), chat, draft, bound, boundDraft},
 		Services: []plan.Service{
 			{Name: "ledger"},
-			{Name: "model", Engine: &plan.Engine{Slots: 8}, ColdStart: coldstart.Limit{PerSecond: coldRate, Cold: coldTime}},
+			{Name: "model", Engine: &plan.Engine{Slots: 8}, ColdStart: coldstart.Limit{RequestsPerSecond: coldRate, ColdDuration: coldTime}},
 			{Name: "floor", Batch: batch},
 			{Name: "portal", Batch: batch},
 		},
--- a/process/balance/balance.go
+++ b/process/balance/balance.go
@@ -13,23 +13,23 @@
 
 // Query is what a choice depends on.
 type Query struct {
-	Servers  directory.Candidates
-	Distance func(domain string) time.Duration // one way
+	Servers       directory.Candidates
+	OneWayLatency func(domain string) time.Duration // one way
 	// Affinity names the part of the prompt that requests share, of SharedTokens
 	// tokens with those before it. They go to the same server, wherever it is,
 	// while it is not fuller than others. Empty: none.
-	Affinity     string
-	SharedTokens int
+	AffinityKey  string
+	PrefixTokens int
 	// TokenTime is how long a server reads a token of a prompt.
-	TokenTime time.Duration
+	PrefillTimePerToken time.Duration
 	// Near is the failure domain that holds the request's inputs, of NearBytes;
 	// empty: none.
-	Near      string
-	NearBytes int64
+	InputDomain string
+	InputBytes  int64
 	// Busy is the cost of a failure domain whose stage work waits; nil: none.
-	Busy    func(domain string) time.Duration
-	Exclude func(*directory.Server) bool
-	Now     time.Time
+	QueueingCost func(domain string) time.Duration
+	Exclude      func(*directory.Server) bool
+	Now          time.Time
 }
 
 const (
@@ -67,7 +67,7 @@
 
 // Choose returns the cheapest server, or nil if there is none.
 func Choose(q Query) *directory.Server {
-	var best Choice
+	var best ScoredServer
 	home := q.home()
 	for s := range q.Servers.All() {
 		if q.Exclude != nil && q.Exclude(s) {
@@ -81,7 +81,7 @@
 }
 
 // Choice is a server that a request may go to.
-type Choice struct {
+type ScoredServer struct {
 	Server *directory.Server
 	// Cost against other servers; in that of a Rank no home has its gain.
 	Cost time.Duration
@@ -90,14 +90,14 @@
 
 // Rank returns servers to choose from: the home of the shared part, the next one in
 // its place, and the cheapest others, n at most in all.
-func Rank(q Query, n int) []Choice {
+func Rank(q Query, n int) []ScoredServer {
 	home, next := q.homes()
-	var homes, others []Choice
+	var homes, others []ScoredServer
 	for s := range q.Servers.All() {
 		if q.Exclude != nil && q.Exclude(s) {
 			continue
 		}
-		c := Choice{Server: s, Cost: q.Cost(s), Home: s == home}
+		c := ScoredServer{Server: s, Cost: q.Cost(s), Home: s == home}
 		if s == home || s == next {
 			homes = append(homes, c)
 			continue
@@ -114,48 +114,50 @@
 	return append(homes, others[:min(len(others), n-len(homes))]...)
 }
 
-func (q *Query) choice(s, home *directory.Server) Choice {
-	c := Choice{Server: s, Cost: q.Cost(s), Home: s == home}
+func (q *Query) choice(s, home *directory.Server) ScoredServer {
+	c := ScoredServer{Server: s, Cost: q.Cost(s), Home: s == home}
 	if c.Home {
-		c.Cost -= q.Gain()
+		c.Cost -= q.AffinityDiscount()
 	}
 	return c
 }
 
-func (q *Query) before(a, b Choice) bool {
+func (q *Query) before(a, b ScoredServer) bool {
 	return a.Cost < b.Cost || a.Cost == b.Cost && q.tie(a.Server) > q.tie(b.Server)
 }
 
 // Reading is how long the shared part takes to read.
-func (q *Query) Reading() time.Duration { return time.Duration(q.SharedTokens) * q.TokenTime }
+func (q *Query) PrefillTime() time.Duration {
+	return time.Duration(q.PrefixTokens) * q.PrefillTimePerToken
+}
 
 // Gain is what a server is worth that has read the shared part.
-func (q *Query) Gain() time.Duration {
-	if q.Affinity == "" || q.SharedTokens < leastShared {
+func (q *Query) AffinityDiscount() time.Duration {
+	if q.AffinityKey == "" || q.PrefixTokens < leastShared {
 		return 0
 	}
-	part := min(float64(q.Reading())/float64(wholeGain), 1)
-	return time.Duration(part*float64(affinityGain)) + q.Reading()
+	part := min(float64(q.PrefillTime())/float64(wholeGain), 1)
+	return time.Duration(part*float64(affinityGain)) + q.PrefillTime()
 }
 
 // Cost is what a request costs at a server, but for what was read there before.
 func (q *Query) Cost(s *directory.Server) time.Duration {
-	load := Load(s, q.Now)
-	c := 2*q.Distance(s.Domain) + time.Duration(load)*shareCost
+	load := EstimatedLoad(s, q.Now)
+	c := 2*q.OneWayLatency(s.Domain) + time.Duration(load)*shareCost
 	if over := load + 1 - s.Slots; over > 0 {
 		c += time.Duration(over) * fullCost
 	}
-	if q.Near != "" && s.Domain != q.Near {
-		c += AwayCost(q.NearBytes)
+	if q.InputDomain != "" && s.Domain != q.InputDomain {
+		c += RemoteInputCost(q.InputBytes)
 	}
-	if q.Busy != nil {
-		c += q.Busy(s.Domain)
+	if q.QueueingCost != nil {
+		c += q.QueueingCost(s.Domain)
 	}
-	if s.Avoided(q.Now) {
+	if s.InBackoff(q.Now) {
 		c += avoidCost
 	}
-	c += time.Duration(s.Errors(q.Now) * float64(errorCost))
-	if s.ColdLeft > 0 {
+	c += time.Duration(s.FailureRate(q.Now) * float64(errorCost))
+	if s.ColdRemaining > 0 {
 		c += fullCost
 	}
 	return c
@@ -163,15 +165,15 @@
 
 // AwayCost is what it costs a request that so many bytes of its inputs lie in other
 // failure domains.
-func AwayCost(bytes int64) time.Duration {
+func RemoteInputCost(bytes int64) time.Duration {
 	return min(time.Duration(float64(nearTime)*float64(bytes)/1e6), maxNear)
 }
 
 // Load is the number of requests at a server: this host's, or all as the
 // server last said, whichever is more.
-func Load(s *directory.Server, now time.Time) int {
-	load := int(s.Inflight.Load())
-	if running, waiting, age := s.Reported(now); age < reportMaxAge {
+func EstimatedLoad(s *directory.Server, now time.Time) int {
+	load := int(s.InFlight.Load())
+	if running, waiting, age := s.ReportedLoad(now); age < reportMaxAge {
 		load = max(load, running+waiting)
 	}
 	return load
@@ -185,12 +187,12 @@
 
 // homes are the first two servers by hashing, so that every host names the same.
 func (q *Query) homes() (home, next *directory.Server) {
-	if q.Affinity == "" || q.SharedTokens < leastShared {
+	if q.AffinityKey == "" || q.PrefixTokens < leastShared {
 		return nil, nil
 	}
 	var first, second uint64
 	for s := range q.Servers.All() {
-		if s.Avoided(q.Now) {
+		if s.InBackoff(q.Now) {
 			continue
 		}
 		switch h := q.tie(s); {
@@ -205,5 +207,5 @@
 
 // tie spreads equal servers differently for each thing asked about.
 func (q *Query) tie(s *directory.Server) uint64 {
-	return xxhash.Sum64String(q.Affinity + "\x00" + s.ID)
+	return xxhash.Sum64String(q.AffinityKey + "\x00" + s.ID)
 }
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -43,11 +43,11 @@
 	g := NewWithT(t)
 	fleet := servers(1)
 	list := slices.Collect(fleet.All())
-	q := Query{Servers: fleet, Distance: from("y"), Now: now}
+	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: now}
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
-	list[1].Load(6, 3, now)
+	list[1].RecordLoad(6, 3, now)
 	g.Expect(Choose(q).Domain).NotTo(Equal("y"), "three wait there already")
-	list[1].Load(6, 3, now.Add(-time.Second))
+	list[1].RecordLoad(6, 3, now.Add(-time.Second))
 	g.Expect(Choose(q).ID).To(Equal("y-0"), "an old report")
 }
 
@@ -57,13 +57,13 @@
 	g := NewWithT(t)
 	fleet := servers(1)
 	list := slices.Collect(fleet.All())
-	q := Query{Servers: fleet, Distance: from("y"), Now: now}
-	list[1].Failed(now)
+	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: now}
+	list[1].RecordFailure(now)
 	g.Expect(Choose(q).Domain).NotTo(Equal("y"))
 	q.Now = now.Add(time.Second)
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
 	q.Exclude = func(s *directory.Server) bool { return s.ID != "y-0" }
-	list[1].Failed(q.Now)
+	list[1].RecordFailure(q.Now)
 	g.Expect(Choose(q).ID).To(Equal("y-0"), "there is no other")
 	q.Exclude = func(*directory.Server) bool { return true }
 	g.Expect(Choose(q)).To(BeNil())
@@ -77,16 +77,16 @@
 	list := slices.Collect(fleet.All())
 	homes := map[string]bool{}
 	for _, home := range []string{"x", "y", "z"} {
-		s := Choose(Query{Servers: fleet, Distance: from(home), Affinity: "part", SharedTokens: 5000, TokenTime: tokenTime, Now: now})
+		s := Choose(Query{Servers: fleet, OneWayLatency: from(home), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now})
 		homes[s.ID] = true
 	}
 	g.Expect(homes).To(HaveLen(1))
 	for _, s := range list {
 		if homes[s.ID] {
-			s.Inflight.Store(100)
+			s.InFlight.Store(100)
 		}
 	}
-	s := Choose(Query{Servers: fleet, Distance: from("x"), Affinity: "part", SharedTokens: 5000, TokenTime: tokenTime, Now: now})
+	s := Choose(Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now})
 	g.Expect(homes).NotTo(HaveKey(s.ID))
 	g.Expect(s.Domain).To(Equal("x"))
 }
@@ -99,9 +99,9 @@
 	fleet := servers(4)
 	away := 0
 	for i := range 60 {
-		q := Query{Servers: fleet, Distance: from("x"), Affinity: fmt.Sprint(i), SharedTokens: 200, TokenTime: tokenTime, Now: now}
+		q := Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 200, PrefillTimePerToken: tokenTime, Now: now}
 		g.Expect(Choose(q).Domain).To(Equal("x"))
-		q.SharedTokens = 5000
+		q.PrefixTokens = 5000
 		if Choose(q).Domain != "x" {
 			away++
 		}
@@ -114,8 +114,8 @@
 // much stay with their server, whose memory saves more than the wait costs.
 func TestBusyRegionIsLeftByWhatIsFreeToGo(t *testing.T) {
 	g := NewWithT(t)
-	q := Query{Servers: servers(4), Distance: from("x"), Affinity: "part", SharedTokens: 200, TokenTime: tokenTime, Now: now}
-	q.Busy = func(domain string) time.Duration {
+	q := Query{Servers: servers(4), OneWayLatency: from("x"), AffinityKey: "part", PrefixTokens: 200, PrefillTimePerToken: tokenTime, Now: now}
+	q.QueueingCost = func(domain string) time.Duration {
 		if domain == "x" {
 			return 60 * time.Millisecond
 		}
@@ -123,9 +123,9 @@
 	}
 	g.Expect(Choose(q).Domain).NotTo(Equal("x"))
 	for i := range 60 {
-		q.Affinity, q.SharedTokens, q.Busy = fmt.Sprint(i), 5000, nil
+		q.AffinityKey, q.PrefixTokens, q.QueueingCost = fmt.Sprint(i), 5000, nil
 		home := Choose(q)
-		q.Busy = func(domain string) time.Duration {
+		q.QueueingCost = func(domain string) time.Duration {
 			if domain == home.Domain {
 				return 60 * time.Millisecond
 			}
@@ -140,7 +140,7 @@
 	fleet := servers(4)
 	byServer := map[string]int{}
 	for i := range 600 {
-		byServer[Choose(Query{Servers: fleet, Distance: from("x"), Affinity: fmt.Sprint(i), SharedTokens: 5000, TokenTime: tokenTime, Now: now}).ID]++
+		byServer[Choose(Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now}).ID]++
 	}
 	g.Expect(byServer).To(HaveLen(12))
 	for id, n := range byServer {
@@ -151,9 +151,9 @@
 func TestLargeInputsDrawTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(1)
-	q := Query{Servers: fleet, Distance: from("x"), Near: "z", NearBytes: 2_000_000, Now: now}
+	q := Query{Servers: fleet, OneWayLatency: from("x"), InputDomain: "z", InputBytes: 2_000_000, Now: now}
 	g.Expect(Choose(q).Domain).To(Equal("z"))
-	q.NearBytes = 10_000
+	q.InputBytes = 10_000
 	g.Expect(Choose(q).Domain).To(Equal("x"))
 }
 
@@ -166,11 +166,11 @@
 	at := now
 	for i := range 60 {
 		for k, s := range list {
-			s.Answered(i%10 == 0 || k == 1 && i%9 < 4, at)
+			s.RecordResponse(i%10 == 0 || k == 1 && i%9 < 4, at)
 		}
 		at = at.Add(10 * time.Millisecond)
 	}
-	q := Query{Servers: fleet, Distance: from("y"), Now: at}
+	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: at}
 	g.Expect(Choose(q).Domain).NotTo(Equal("y"))
 	q.Now = at.Add(6 * time.Second)
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
@@ -182,7 +182,7 @@
 	g := NewWithT(t)
 	homes := map[string]bool{}
 	for _, region := range []string{"x", "y", "z"} {
-		list := Rank(Query{Servers: servers(4), Distance: from(region), Affinity: "part", SharedTokens: 5000, TokenTime: tokenTime, Now: now}, 4)
+		list := Rank(Query{Servers: servers(4), OneWayLatency: from(region), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now}, 4)
 		g.Expect(list).To(HaveLen(4))
 		g.Expect(list[0].Home != list[1].Home).To(BeTrue(), "one of the two is the first")
 		homes[list[0].Server.ID], homes[list[1].Server.ID] = true, true
@@ -190,5 +190,5 @@
 		g.Expect(list[3].Server.Domain).To(Equal(region))
 	}
 	g.Expect(homes).To(HaveLen(2))
-	g.Expect(Rank(Query{Servers: servers(1), Distance: from("x"), Now: now}, 4)).To(HaveLen(3))
+	g.Expect(Rank(Query{Servers: servers(1), OneWayLatency: from("x"), Now: now}, 4)).To(HaveLen(3))
 }
--- a/process/balance/bench_test.go
+++ b/process/balance/bench_test.go
@@ -22,8 +22,8 @@
 				}
 				d.Replace(list, time.Unix(1000, 0))
 				q := Query{
-					Servers: d.View().Candidates("model", residency.Set{}), Distance: func(string) time.Duration { return time.Millisecond },
-					Affinity: affinity, SharedTokens: 800, Now: time.Unix(1000, 0),
+					Servers: d.View().Candidates("model", residency.Set{}), OneWayLatency: func(string) time.Duration { return time.Millisecond },
+					AffinityKey: affinity, PrefixTokens: 800, Now: time.Unix(1000, 0),
 				}
 				b.ReportAllocs()
 				for b.Loop() {
--- a/process/batcher/batcher.go
+++ b/process/batcher/batcher.go
@@ -165,7 +165,7 @@
 	b.mu.Lock()
 	already := c.ended
 	if failed && !already && !a.Busy {
-		c.Server.Failed(now)
+		c.Server.RecordFailure(now)
 	}
 	b.queue.CompleteCall(c, a, now)
 	b.mu.Unlock()
--- a/process/batcher/batcher_test.go
+++ b/process/batcher/batcher_test.go
@@ -59,6 +59,6 @@
 	var r Result
 	g.Eventually(done, "10s").Should(Receive(&r))
 	g.Expect(r.ServerID).To(Equal("sound"))
-	g.Expect(dir.View().Server("broken").Avoided(now)).To(BeTrue())
-	g.Expect(dir.View().Server("busy").Avoided(now)).To(BeFalse())
+	g.Expect(dir.View().Server("broken").InBackoff(now)).To(BeTrue())
+	g.Expect(dir.View().Server("busy").InBackoff(now)).To(BeFalse())
 }
--- a/process/batcher/compose.go
+++ b/process/batcher/compose.go
@@ -74,7 +74,7 @@
 func (q *Queue) soonerElsewhere(slow *server, j *Job, now time.Time) bool {
 	done := now.Add(q.takes(slow, j))
 	for _, s := range q.servers {
-		if s != slow && !s.Avoided(now) && q.take(nil, s, j) > 0 && q.freeAt(s, now).Add(q.takes(s, j)).Before(done) {
+		if s != slow && !s.InBackoff(now) && q.take(nil, s, j) > 0 && q.freeAt(s, now).Add(q.takes(s, j)).Before(done) {
 			return true
 		}
 	}
--- a/process/batcher/hold.go
+++ b/process/batcher/hold.go
@@ -44,7 +44,7 @@
 
 // works tells whether a server can be expected to take a call soon.
 func (q *Queue) works(s *server, now time.Time) bool {
-	return !s.Avoided(now) && !now.Before(s.fullTil) && s.slow <= slowFrom && len(s.calls) <= q.opts.slots()
+	return !s.InBackoff(now) && !now.Before(s.fullTil) && s.slow <= slowFrom && len(s.calls) <= q.opts.slots()
 }
 
 // holdUntil is how long a job may wait for a server.
--- a/process/batcher/outcome.go
+++ b/process/batcher/outcome.go
@@ -19,7 +19,7 @@
 	}
 	c.ended = true
 	s := q.servers[c.Server.ID]
-	if s != nil && s.State == c.Server.State {
+	if s != nil && s.LocalState == c.Server.LocalState {
 		q.settle(s, c, a, now)
 	}
 	again := map[*Job]bool{}
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -67,7 +67,7 @@
 	next := make(map[string]*server, len(list))
 	for _, d := range list {
 		s := q.servers[d.ID]
-		if s == nil || s.State != d.State {
+		if s == nil || s.LocalState != d.LocalState {
 			s = &server{slow: 1}
 		}
 		s.Server, s.oneWay = d, oneWay(d)
@@ -138,7 +138,7 @@
 	}
 	at := earlier(fetched, now.Add(maxSleep))
 	for _, s := range q.servers {
-		if s.Avoided(now) || len(s.calls) != q.opts.slots() {
+		if s.InBackoff(now) || len(s.calls) != q.opts.slots() {
 			continue
 		}
 		if t := s.sendAt(); t.After(now) && t.Before(at) {
@@ -182,7 +182,7 @@
 	var out []*server
 	for _, s := range q.servers {
 		s.expire(now)
-		if s.Avoided(now) || s.Gone() || len(s.calls) > q.opts.slots() || now.Before(s.fullTil) {
+		if s.InBackoff(now) || s.Delisted() || len(s.calls) > q.opts.slots() || now.Before(s.fullTil) {
 			continue
 		}
 		if len(s.calls) == q.opts.slots() && now.Before(s.sendAt()) {
@@ -222,7 +222,7 @@
 // served tells whether some server may take a job, now or later. A service without any
 // server is told of by Fail.
 func (q *Queue) served(j *Job) bool {
-	if !j.AllowedRegions.Bounded() {
+	if !j.AllowedRegions.Restricted() {
 		return true
 	}
 	for _, s := range q.servers {
@@ -270,7 +270,7 @@
 		if !slices.Contains(c.Regions, s.Region) {
 			c.Regions = append(c.Regions, s.Region)
 		}
-		if !s.Avoided(now) {
+		if !s.InBackoff(now) {
 			c.AvailableServers++
 			c.ItemsPerSecond += float64(q.opts.slots()*q.opts.MaxItems) / (full * s.slow)
 			c.TotalResultBytes += q.roomOf(s)
--- a/process/batcher/queue_test.go
+++ b/process/batcher/queue_test.go
@@ -219,7 +219,7 @@
 		calls := b.next()
 		b.g.Expect(calls).To(HaveLen(1))
 		seen[calls[0].Server.ID] = true
-		calls[0].Server.Failed(b.now)
+		calls[0].Server.RecordFailure(b.now)
 		b.q.CompleteCall(calls[0], Response{Err: errors.New("reset")}, b.now)
 		if len(seen) == 2 {
 			b.now = b.now.Add(2 * time.Second)
@@ -237,7 +237,7 @@
 	b.submit("1", 1, time.Second, "x")
 	first := b.next()[0]
 	b.now = b.now.Add(time.Second)
-	first.Server.Failed(b.now)
+	first.Server.RecordFailure(b.now)
 	b.q.CompleteCall(first, Response{Err: errors.New("no answer")}, b.now)
 	second := b.next()[0]
 	b.g.Expect(second.Server.ID).NotTo(Equal(first.Server.ID))
--- a/process/batcher/regions_test.go
+++ b/process/batcher/regions_test.go
@@ -25,7 +25,7 @@
 			id := fmt.Sprint("job", i)
 			for _, domain := range rapid.SliceOfNDistinct(rapid.SampledFrom(domains), 0, 2, rapid.ID).Draw(rt, "allowed") {
 				set := allowed[id]
-				set.Route = append(set.Route, "region of "+domain)
+				set.RouteRegions = append(set.RouteRegions, "region of "+domain)
 				allowed[id] = set
 			}
 			j := b.submit(id, rapid.IntRange(1, 20).Draw(rt, "items"), time.Second, rapid.SampledFrom(domains).Draw(rt, "home"))
--- a/process/batcher/room.go
+++ b/process/batcher/room.go
@@ -63,7 +63,7 @@
 func (q *Queue) ServersToProbe(now time.Time) []*directory.Server {
 	var out []*directory.Server
 	for _, s := range q.servers {
-		if s.ask && !now.Before(s.askAt) && !s.Avoided(now) {
+		if s.ask && !now.Before(s.askAt) && !s.InBackoff(now) {
 			s.ask, s.askAt = false, now.Add(askEvery)
 			out = append(out, s.Server)
 		}
--- a/process/coldstart/coldstart.go
+++ b/process/coldstart/coldstart.go
@@ -21,12 +21,12 @@
 
 // Limit is what cold servers of a service bear.
 type Limit struct {
-	PerSecond float64       // requests, of all hosts together; 0: not bounded
-	Cold      time.Duration // how long a server stays cold after its start
+	RequestsPerSecond float64       // requests, of all hosts together; 0: not bounded
+	ColdDuration      time.Duration // how long a server stays cold after its start
 }
 
 // parts is the number of requests a second that hosts may send.
-func (l Limit) parts() int { return max(int(math.Floor(l.PerSecond)), 1) }
+func (l Limit) parts() int { return max(int(math.Floor(l.RequestsPerSecond)), 1) }
 
 // Hosts returns the names of all entry hosts that are known, this one included; none as
 // long as the others are not known.
@@ -39,7 +39,7 @@
 // whose name, hashed with the server's and the part's number, comes first. While two
 // hosts know different lists, a part may count for both; the bound of the platform is
 // over twice the rate that is dealt.
-type Gate struct {
+type Limiter struct {
 	self  string
 	hosts Hosts
 
@@ -55,12 +55,12 @@
 }
 
 // New returns a gate for the host of a name.
-func New(self string, hosts Hosts) *Gate {
-	return &Gate{self: self, hosts: hosts, shares: map[string]*share{}}
+func New(self string, hosts Hosts) *Limiter {
+	return &Limiter{self: self, hosts: hosts, shares: map[string]*share{}}
 }
 
 // May reports whether a request may be sent to a server now.
-func (g *Gate) May(s *directory.Server, l Limit, now time.Time) bool {
+func (g *Limiter) WouldAllow(s *directory.Server, l Limit, now time.Time) bool {
 	if !g.applies(s, l, now) {
 		return true
 	}
@@ -70,7 +70,7 @@
 }
 
 // Take reports whether a request may be sent to a server now, and counts it.
-func (g *Gate) Take(s *directory.Server, l Limit, now time.Time) bool {
+func (g *Limiter) Allow(s *directory.Server, l Limit, now time.Time) bool {
 	if !g.applies(s, l, now) {
 		return true
 	}
@@ -84,8 +84,8 @@
 	return true
 }
 
-func (g *Gate) applies(s *directory.Server, l Limit, now time.Time) bool {
-	return l.PerSecond > 0 && s.Cold(now, l.Cold)
+func (g *Limiter) applies(s *directory.Server, l Limit, now time.Time) bool {
+	return l.RequestsPerSecond > 0 && s.MayBeCold(now, l.ColdDuration)
 }
 
 const (
@@ -96,7 +96,7 @@
 )
 
 // share returns this host's share of a server. It is called with g.mu held.
-func (g *Gate) share(id string, l Limit, now time.Time) *share {
+func (g *Limiter) share(id string, l Limit, now time.Time) *share {
 	s := g.shares[id]
 	if s == nil {
 		g.drop(now)
@@ -111,7 +111,7 @@
 }
 
 // drop forgets shares that were not used within the window. It is called with g.mu held.
-func (g *Gate) drop(now time.Time) {
+func (g *Limiter) drop(now time.Time) {
 	if len(g.shares) < maxShares {
 		return
 	}
--- a/process/coldstart/coldstart_test.go
+++ b/process/coldstart/coldstart_test.go
@@ -18,7 +18,7 @@
 // server returns a server that is cold for a time from the start.
 func server(cold time.Duration) *directory.Server {
 	d := directory.New()
-	d.Replace([]directory.Entry{{ID: "e", Service: "s", ColdLeft: cold}}, start)
+	d.Replace([]directory.Entry{{ID: "e", Service: "s", ColdRemaining: cold}}, start)
 	return d.View().Server("e")
 }
 
@@ -31,11 +31,11 @@
 }
 
 // play has every host send all that it may for a while, and returns the moments.
-func play(gates []*Gate, s *directory.Server, l Limit) []time.Time {
+func play(gates []*Limiter, s *directory.Server, l Limit) []time.Time {
 	var sent []time.Time
 	for at := start; at.Before(start.Add(2500 * time.Millisecond)); at = at.Add(50 * time.Millisecond) {
 		for _, g := range gates {
-			for g.May(s, l, at) && g.Take(s, l, at) {
+			for g.WouldAllow(s, l, at) && g.Allow(s, l, at) {
 				sent = append(sent, at)
 			}
 		}
@@ -60,13 +60,13 @@
 func TestAllHostsTogetherKeepTheRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := names(rapid.IntRange(1, 400).Draw(t, "hosts"))
-		limit := Limit{PerSecond: rapid.Float64Range(1, 40).Draw(t, "rate"), Cold: coldTime}
-		gates := make([]*Gate, len(list))
+		limit := Limit{RequestsPerSecond: rapid.Float64Range(1, 40).Draw(t, "rate"), ColdDuration: coldTime}
+		gates := make([]*Limiter, len(list))
 		for i, name := range list {
 			gates[i] = New(name, func() []string { return list })
 		}
 		if n := most(play(gates, server(coldTime), limit)); n != limit.parts() {
-			t.Fatalf("%d requests in a second, of %v", n, limit.PerSecond)
+			t.Fatalf("%d requests in a second, of %v", n, limit.RequestsPerSecond)
 		}
 	})
 }
@@ -75,8 +75,8 @@
 // a fleet has forgotten the other half, which has forgotten nobody.
 func TestHostsWithDifferentListsStayBelowTwiceTheRate(t *testing.T) {
 	g := NewWithT(t)
-	all, limit := names(80), Limit{PerSecond: 9.3, Cold: coldTime}
-	var gates []*Gate
+	all, limit := names(80), Limit{RequestsPerSecond: 9.3, ColdDuration: coldTime}
+	var gates []*Limiter
 	for i, name := range all {
 		known := all
 		if i < 40 {
@@ -92,36 +92,36 @@
 func TestHostThatKnowsNoOtherSendsNothing(t *testing.T) {
 	g := NewWithT(t)
 	gate := New("host-1", func() []string { return nil })
-	g.Expect(play([]*Gate{gate}, server(coldTime), Limit{PerSecond: 9.3, Cold: coldTime})).To(BeEmpty())
+	g.Expect(play([]*Limiter{gate}, server(coldTime), Limit{RequestsPerSecond: 9.3, ColdDuration: coldTime})).To(BeEmpty())
 }
 
 // Guards against a server that started again under its address before the list tells so,
 // and one whose failure domain was evacuated and may have become cold meanwhile.
 func TestServersThatMayBeColdCountAsCold(t *testing.T) {
 	g := NewWithT(t)
-	limit := Limit{PerSecond: 9.3, Cold: coldTime}
+	limit := Limit{RequestsPerSecond: 9.3, ColdDuration: coldTime}
 	gate := New("host-1", func() []string { return nil })
 	warm := server(0)
-	g.Expect(gate.Take(warm, limit, start)).To(BeTrue())
-	warm.Failed(start)
-	g.Expect(gate.Take(warm, limit, start.Add(coldTime-1))).To(BeFalse())
-	g.Expect(gate.Take(warm, limit, start.Add(coldTime))).To(BeTrue())
+	g.Expect(gate.Allow(warm, limit, start)).To(BeTrue())
+	warm.RecordFailure(start)
+	g.Expect(gate.Allow(warm, limit, start.Add(coldTime-1))).To(BeFalse())
+	g.Expect(gate.Allow(warm, limit, start.Add(coldTime))).To(BeTrue())
 
 	d := directory.New()
 	d.Replace([]directory.Entry{{ID: "e", Service: "s", Domain: "x"}}, start)
-	d.Evacuate([]string{"x"}, start)
+	d.SetEvacuated([]string{"x"}, start)
 	g.Expect(d.View().Servers("s")).To(BeEmpty())
-	d.Evacuate(nil, start.Add(time.Minute))
+	d.SetEvacuated(nil, start.Add(time.Minute))
 	again := d.View().Server("e")
-	g.Expect(gate.Take(again, limit, start.Add(time.Minute))).To(BeFalse())
-	g.Expect(gate.Take(again, limit, start.Add(time.Minute+coldTime))).To(BeTrue())
+	g.Expect(gate.Allow(again, limit, start.Add(time.Minute))).To(BeFalse())
+	g.Expect(gate.Allow(again, limit, start.Add(time.Minute+coldTime))).To(BeTrue())
 }
 
 // Guards against a bound on servers of services that bear any rate while they are cold.
 func TestServicesWithoutARateAreNotBounded(t *testing.T) {
 	g := NewWithT(t)
 	gate := New("host-1", func() []string { return nil })
-	g.Expect(gate.Take(server(coldTime), Limit{Cold: coldTime}, start)).To(BeTrue())
+	g.Expect(gate.Allow(server(coldTime), Limit{ColdDuration: coldTime}, start)).To(BeTrue())
 }
 
 // Guards against one host that owns the rate of all servers: others could send none of
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -16,36 +16,36 @@
 
 // Entry is one backend server as the platform lists it.
 type Entry struct {
-	ID       string // of this incarnation; other processes at the address have another
-	Service  string
-	Address  string // host:port
-	Domain   string // failure domain
-	Region   string // of the failure domain
-	Version  string // of its software
-	Slots    int
-	Draining bool
-	ColdLeft time.Duration // how much longer it is slow after its start
-	Born     int64         // Unix milliseconds of its start, by its own clock
+	ID            string // of this incarnation; other processes at the address have another
+	Service       string
+	Address       string // host:port
+	Domain        string // failure domain
+	Region        string // of the failure domain
+	Version       string // of its software
+	Slots         int
+	Draining      bool
+	ColdRemaining time.Duration // how much longer it is slow after its start
+	StartedUnixMS int64         // Unix milliseconds of its start, by its own clock
 }
 
 // Server is a listed backend server and what this host knows of it. The entry
 // does not change; a changed entry makes a new Server that shares State.
 type Server struct {
 	Entry
-	*State
+	*LocalState
 	// Evacuated tells that the operators want no work sent to its failure domain.
 	Evacuated bool
 	// OpenSince is when the last evacuation of its failure domain was taken back;
 	// zero: none was.
-	OpenSince time.Time
+	EvacuationEndedAt time.Time
 }
 
 // Takes reports whether the server may get new work.
-func (s *Server) Takes() bool { return !s.Draining && !s.Evacuated }
+func (s *Server) AcceptsWork() bool { return !s.Draining && !s.Evacuated }
 
 // State is what this host has seen of a backend server.
-type State struct {
-	Inflight atomic.Int64 // requests of this host at the server
+type LocalState struct {
+	InFlight atomic.Int64 // requests of this host at the server
 	// running, waiting: as the server last said
 	running, waiting atomic.Int64
 	loadAt           atomic.Int64 // nanoseconds of the clock passed in; 0: never
@@ -69,7 +69,7 @@
 )
 
 // Failed notes a failure to reach the server or to get its answer.
-func (s *State) Failed(now time.Time) {
+func (s *LocalState) RecordFailure(now time.Time) {
 	n := min(s.failures.Add(1), 8)
 	d := min(minAvoid<<(n-1), maxAvoid)
 	s.avoidUntil.Store(now.Add(d).UnixNano())
@@ -77,7 +77,7 @@
 }
 
 // Succeeded notes an answer.
-func (s *State) Succeeded() {
+func (s *LocalState) RecordSuccess() {
 	s.failures.Store(0)
 	s.avoidUntil.Store(0)
 }
@@ -93,7 +93,7 @@
 )
 
 // Answered notes whether an answer was a failure of the server.
-func (s *State) Answered(failed bool, now time.Time) {
+func (s *LocalState) RecordResponse(failed bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	share := s.faded(now)
@@ -106,14 +106,14 @@
 }
 
 // Errors returns the share of late answers that were failures, 0 to 1.
-func (s *State) Errors(now time.Time) float64 {
+func (s *LocalState) FailureRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faded(now)
 }
 
 // faded is called with s.mu held.
-func (s *State) faded(now time.Time) float64 {
+func (s *LocalState) faded(now time.Time) float64 {
 	if s.errors == 0 {
 		return 0
 	}
@@ -121,32 +121,32 @@
 }
 
 // Avoided reports whether the server failed a short time ago.
-func (s *State) Avoided(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
+func (s *LocalState) InBackoff(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
 
 // Cold reports whether a server that stays cold for a time after its start may be so
 // now: the list says so, or it failed a moment ago and may have started again, or its
 // failure domain was evacuated until a moment ago. The list tells of a start only with
 // the server's next heartbeat.
-func (s *Server) Cold(now time.Time, after time.Duration) bool {
+func (s *Server) MayBeCold(now time.Time, after time.Duration) bool {
 	recent := func(at int64) bool { return at > 0 && now.UnixNano()-at < int64(after) }
 	return s.coldUntil.Load() > now.UnixNano() || recent(s.failedAt.Load()) ||
-		!s.OpenSince.IsZero() && recent(s.OpenSince.UnixNano())
+		!s.EvacuationEndedAt.IsZero() && recent(s.EvacuationEndedAt.UnixNano())
 }
 
 // Load notes the server's own report of its running and waiting requests.
-func (s *State) Load(running, waiting int, now time.Time) {
+func (s *LocalState) RecordLoad(running, waiting int, now time.Time) {
 	s.running.Store(int64(running))
 	s.waiting.Store(int64(waiting))
 	s.loadAt.Store(now.UnixNano())
 }
 
 // Reported returns the last report and its age; a large age if there is none.
-func (s *State) Reported(now time.Time) (running, waiting int, age time.Duration) {
+func (s *LocalState) ReportedLoad(now time.Time) (running, waiting int, age time.Duration) {
 	return int(s.running.Load()), int(s.waiting.Load()), time.Duration(now.UnixNano() - s.loadAt.Load())
 }
 
 // Gone reports whether the platform no longer lists the server.
-func (s *State) Gone() bool { return s.gone.Load() }
+func (s *LocalState) Delisted() bool { return s.gone.Load() }
 
 // View is an immutable state of the list.
 type View struct {
@@ -212,13 +212,13 @@
 type Directory struct {
 	view   atomic.Pointer[View]
 	mu     sync.Mutex // held by writers
-	states map[string]*State
+	states map[string]*LocalState
 	opened map[string]time.Time // when evacuations were taken back, by failure domain
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	d := &Directory{states: map[string]*State{}, opened: map[string]time.Time{}}
+	d := &Directory{states: map[string]*LocalState{}, opened: map[string]time.Time{}}
 	d.view.Store(&View{})
 	return d
 }
@@ -232,15 +232,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.view.Load()
-	states := make(map[string]*State, len(entries))
+	states := make(map[string]*LocalState, len(entries))
 	for i := range entries {
 		e := &entries[i]
 		state, before := d.states[e.ID], old.byID[e.ID]
-		if state == nil || before != nil && (before.Born != e.Born || before.Address != e.Address) {
-			state, before = &State{}, nil
+		if state == nil || before != nil && (before.StartedUnixMS != e.StartedUnixMS || before.Address != e.Address) {
+			state, before = &LocalState{}, nil
 		}
-		if before == nil || before.ColdLeft != e.ColdLeft {
-			state.setCold(e.ColdLeft, now)
+		if before == nil || before.ColdRemaining != e.ColdRemaining {
+			state.setCold(e.ColdRemaining, now)
 		}
 		states[e.ID] = state
 	}
@@ -253,7 +253,7 @@
 	d.show(entries, old.evacuated)
 }
 
-func (s *State) setCold(left time.Duration, now time.Time) {
+func (s *LocalState) setCold(left time.Duration, now time.Time) {
 	until := int64(0)
 	if left > 0 {
 		until = now.Add(left).UnixNano()
@@ -262,7 +262,7 @@
 }
 
 // Evacuate puts the failure domains in force, from now on, that are to get no work.
-func (d *Directory) Evacuate(domains []string, now time.Time) {
+func (d *Directory) SetEvacuated(domains []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	old := d.view.Load()
@@ -286,9 +286,9 @@
 func (d *Directory) show(entries []Entry, evacuated map[string]bool) {
 	v := &View{services: map[string][]*Server{}, byID: make(map[string]*Server, len(entries)), evacuated: evacuated}
 	for _, e := range entries {
-		s := &Server{Entry: e, State: d.states[e.ID], Evacuated: evacuated[e.Domain], OpenSince: d.opened[e.Domain]}
+		s := &Server{Entry: e, LocalState: d.states[e.ID], Evacuated: evacuated[e.Domain], EvacuationEndedAt: d.opened[e.Domain]}
 		v.byID[e.ID] = s
-		if s.Takes() {
+		if s.AcceptsWork() {
 			v.services[e.Service] = append(v.services[e.Service], s)
 		}
 	}
--- a/process/follow/age_test.go
+++ b/process/follow/age_test.go
@@ -17,7 +17,7 @@
 	r := newRelayed(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	type result struct {
-		a   Answer[string]
+		a   Response[string]
 		err error
 	}
 	done := make(chan result, 1)
--- a/process/follow/begin_test.go
+++ b/process/follow/begin_test.go
@@ -16,7 +16,7 @@
 func TestFleetThatBeginsListsOnce(t *testing.T) {
 	const hosts = 100
 	r := newRelayed(t)
-	answers := make(chan Answer[string], hosts)
+	answers := make(chan Response[string], hosts)
 	for range hosts {
 		relay := *r.relay
 		go func() {
@@ -39,7 +39,7 @@
 func TestNewsComesWithItsProof(t *testing.T) {
 	r := newRelayed(t)
 	asked, seen := 0, []string{}
-	r.reader.opts.Changed = func(map[string]Object[string], string) {
+	r.reader.opts.OnChange = func(map[string]Object[string], string) {
 		a, err := r.relay.List(t.Context(), "")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(a.Age).To(BeZero())
@@ -59,7 +59,7 @@
 func TestOnlyTheFirstListMayBeOld(t *testing.T) {
 	g := NewWithT(t)
 	old, exact := &api{value: "old", rev: 3}, &api{value: "new", rev: 9}
-	source := Begin[string](old, exact)
+	source := WithInitialList[string](old, exact)
 	f := newFollower(source, clock.NewManual(time.Unix(1000, 0)))
 	g.Expect(f.step(t.Context())).To(Succeed())
 	g.Expect(f.objects["a"].Value).To(Equal("old"))
@@ -92,7 +92,7 @@
 	now := clock.NewManual(time.Unix(1000, 0))
 	source := &api{value: "1", rev: 5}
 	f := newFollower(source, now)
-	f.opts.Settle = 200 * time.Millisecond
+	f.opts.CoalesceDelay = 200 * time.Millisecond
 	g.Expect(f.step(t.Context())).To(Succeed())
 	source.value, source.rev = "2", 6
 	watched := make(chan error, 1)
@@ -100,7 +100,7 @@
 	g.Eventually(source.count, "30s", "1ms").Should(Equal(2))
 	g.Consistently(watched, "20ms").ShouldNot(Receive())
 	g.Eventually(func() bool {
-		now.Advance(f.opts.Settle)
+		now.Advance(f.opts.CoalesceDelay)
 		return len(watched) > 0
 	}, "30s", "1ms").Should(BeTrue())
 	g.Expect(<-watched).To(Succeed())
--- a/process/follow/follow.go
+++ b/process/follow/follow.go
@@ -25,7 +25,7 @@
 }
 
 // Answer is what a Source says.
-type Answer[T any] struct {
+type Response[T any] struct {
 	Objects []Object[T] // all of them, or the changes
 	AsOf    Revision
 	// Age is how long before the question the source itself had last made sure
@@ -33,17 +33,17 @@
 	// Below 0: it made sure while the question waited there.
 	Age time.Duration
 	// Next is the name after which a list goes on; empty: this is its end.
-	Next string
+	ContinueAfter string
 }
 
 // Source reads the objects of one kind.
 type Source[T any] interface {
 	// List returns the objects after a name, or a first part of them with Next.
 	// ErrRefused means that the same may be asked for again a little later.
-	List(ctx context.Context, after string) (Answer[T], error)
+	List(ctx context.Context, after string) (Response[T], error)
 	// Watch returns the changes after from as soon as there are some, or none
 	// after wait. ErrHistoryGone means that from is too old.
-	Watch(ctx context.Context, from Revision, wait time.Duration) (Answer[T], error)
+	Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error)
 }
 
 // ErrHistoryGone is returned by Watch when the changes after the revision are
@@ -63,20 +63,20 @@
 	Rand   clock.Rand
 	// Wait bounds one watch, and so how old the knowledge may get while all is
 	// well: an answered watch proves that nothing changed before it was sent.
-	Wait time.Duration
+	WatchWait time.Duration
 	// Answer bounds the wait for an answer beyond Wait.
-	Answer time.Duration
+	ResponseTimeout time.Duration
 	// Settle is the pause after an answer with changes, so that changes that come
 	// one after the other come in one answer; 0: none.
-	Settle time.Duration
+	CoalesceDelay time.Duration
 	// Changed is called with the whole copy after each list or change.
-	Changed func(objects map[string]Object[T], why string)
+	OnChange func(objects map[string]Object[T], why string)
 	// Proved is called when an answer has shown that the copy held everything
 	// that was accepted before at.
-	Proved func(at time.Time)
+	OnConfirmed func(at time.Time)
 	// Lost and Regained tell of the source itself.
-	Lost     func(err error)
-	Regained func(after time.Duration)
+	OnLost     func(err error)
+	OnRegained func(after time.Duration)
 }
 
 // Follower keeps the copy. Run is called once.
@@ -122,9 +122,9 @@
 	if !f.listed {
 		return f.list(ctx, sent)
 	}
-	bounded, cancel := context.WithTimeout(ctx, f.opts.Wait+f.opts.Answer)
+	bounded, cancel := context.WithTimeout(ctx, f.opts.WatchWait+f.opts.ResponseTimeout)
 	defer cancel()
-	a, err := f.opts.Source.Watch(bounded, f.from, f.opts.Wait)
+	a, err := f.opts.Source.Watch(bounded, f.from, f.opts.WatchWait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.listed = false
 		return nil
@@ -137,14 +137,14 @@
 		f.change(a, proved)
 	}
 	f.answered(proved)
-	if len(a.Objects) > 0 && f.opts.Settle > 0 {
-		f.wait(ctx, f.opts.Settle)
+	if len(a.Objects) > 0 && f.opts.CoalesceDelay > 0 {
+		f.wait(ctx, f.opts.CoalesceDelay)
 	}
 	return nil
 }
 
 // change takes the changes that a watch brought.
-func (f *Follower[T]) change(a Answer[T], proved time.Time) {
+func (f *Follower[T]) change(a Response[T], proved time.Time) {
 	// The watch goes on from the last answer that held changes, never from the
 	// state that an empty answer names: a watch to which a disturbed store
 	// delivered nothing would otherwise skip the changes made meanwhile for good.
@@ -153,13 +153,13 @@
 	}
 	f.from = max(f.from, a.AsOf)
 	f.history.add(a.Objects, f.from, proved)
-	f.opts.Changed(f.objects, "watch")
+	f.opts.OnChange(f.objects, "watch")
 }
 
 // pages reads a list to its end. A page that was refused is asked for again:
 // beginning anew would cost all pages before it once more. AsOf is that of the
 // oldest page: changes between the pages come again with the watch.
-func (f *Follower[T]) pages(ctx context.Context) (all Answer[T], err error) {
+func (f *Follower[T]) pages(ctx context.Context) (all Response[T], err error) {
 	after, refused := "", 0
 	for first := true; ; first = false {
 		page, err := f.page(ctx, after)
@@ -176,13 +176,13 @@
 		}
 		all.Age = max(all.Age, page.Age)
 		all.Objects = append(all.Objects, page.Objects...)
-		if after = page.Next; after == "" {
+		if after = page.ContinueAfter; after == "" {
 			return all, nil
 		}
 	}
 }
 
-func (f *Follower[T]) page(ctx context.Context, after string) (Answer[T], error) {
+func (f *Follower[T]) page(ctx context.Context, after string) (Response[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, pageBound)
 	defer cancel()
 	return f.opts.Source.List(ctx, after)
@@ -225,7 +225,7 @@
 	} else {
 		f.history.reset(a.Objects, f.from, proved)
 	}
-	f.opts.Changed(f.objects, "list")
+	f.opts.OnChange(f.objects, "list")
 	f.answered(proved)
 	return nil
 }
@@ -264,18 +264,18 @@
 func (f *Follower[T]) answered(proved time.Time) {
 	f.tries = 0
 	if !f.failing.IsZero() {
-		f.opts.Regained(f.opts.Clock.Now().Sub(f.failing))
+		f.opts.OnRegained(f.opts.Clock.Now().Sub(f.failing))
 		f.failing = time.Time{}
 	}
 	f.history.prove(proved)
-	f.opts.Proved(proved)
+	f.opts.OnConfirmed(proved)
 }
 
 func (f *Follower[T]) failed(err error) {
 	f.tries++
 	if f.failing.IsZero() {
 		f.failing = f.opts.Clock.Now()
-		f.opts.Lost(err)
+		f.opts.OnLost(err)
 	}
 }
 
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -36,19 +36,19 @@
 	return first
 }
 
-func (s *script) List(_ context.Context, after string) (Answer[string], error) {
+func (s *script) List(_ context.Context, after string) (Response[string], error) {
 	s.asked = append(s.asked, "list"+after)
 	x := s.next()
-	return Answer[string]{Objects: x.objects, AsOf: x.asOf, Next: x.next}, x.err
+	return Response[string]{Objects: x.objects, AsOf: x.asOf, ContinueAfter: x.next}, x.err
 }
 
-func (s *script) Watch(_ context.Context, from Revision, _ time.Duration) (Answer[string], error) {
+func (s *script) Watch(_ context.Context, from Revision, _ time.Duration) (Response[string], error) {
 	s.asked = append(s.asked, "watch")
 	if len(s.steps) > 0 && s.steps[0].asOf < 0 && from != -s.steps[0].asOf {
-		return Answer[string]{}, errors.New("watched from another revision")
+		return Response[string]{}, errors.New("watched from another revision")
 	}
 	x := s.next()
-	return Answer[string]{Objects: x.objects, AsOf: max(x.asOf, 0)}, x.err
+	return Response[string]{Objects: x.objects, AsOf: max(x.asOf, 0)}, x.err
 }
 
 // wanted is the revision from which the next watch has to go on.
@@ -63,16 +63,16 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	s = &script{steps: steps, end: cancel}
 	f := New(Options[string]{
-		Source: s, Clock: clock.System{}, Rand: clock.NewSeeded(1), Wait: time.Second, Answer: time.Second,
-		Changed: func(objects map[string]Object[string], _ string) {
+		Source: s, Clock: clock.System{}, Rand: clock.NewSeeded(1), WatchWait: time.Second, ResponseTimeout: time.Second,
+		OnChange: func(objects map[string]Object[string], _ string) {
 			c := map[string]string{}
 			for name, o := range objects {
 				c[name] = o.Value
 			}
 			copies = append(copies, c)
 		},
-		Proved: func(time.Time) { proved++ }, Lost: func(err error) { lost = append(lost, err) },
-		Regained: func(time.Duration) {},
+		OnConfirmed: func(time.Time) { proved++ }, OnLost: func(err error) { lost = append(lost, err) },
+		OnRegained: func(time.Duration) {},
 	})
 	NewWithT(t).Expect(f.Run(ctx)).To(Succeed())
 	return s, copies, proved, lost
--- a/process/follow/pack_test.go
+++ b/process/follow/pack_test.go
@@ -16,7 +16,7 @@
 // many is a source of as many entries as a large fleet has servers.
 type many struct{ *api }
 
-func (m many) List(ctx context.Context, after string) (Answer[string], error) {
+func (m many) List(ctx context.Context, after string) (Response[string], error) {
 	a, err := m.api.List(ctx, after)
 	for i := range 3000 {
 		a.Objects = append(a.Objects, object(fmt.Sprintf("server-%04d", i), Revision(i), fmt.Sprintf("service=recipe-model address=10.0.%d.%d:8540 domain=khomas-a state=ready", i/250, i%250)))
@@ -48,7 +48,7 @@
 	ask(relayRequest{List: true, Packs: true})
 	g.Expect(&reader.history.packed.bytes[0]).To(BeIdenticalTo(first), "made once")
 
-	relay := &Relay[string]{Kind: "k", Link: w, Clock: now, MaxAge: maxAge, Silent: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
+	relay := &PeerSource[string]{Kind: "k", Link: w, Clock: now, MaxAge: maxAge, APIUnresponsive: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
 	a, err := relay.List(t.Context(), "")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.answered.Load()).To(BeNumerically("<", len(plain)/5))
--- a/process/follow/relay.go
+++ b/process/follow/relay.go
@@ -14,7 +14,7 @@
 // object API do not grow with the fleet. That host's answer counts as old as
 // its own knowledge; when it cannot answer or has not made sure of late, the
 // object API is asked itself.
-type Relay[T any] struct {
+type PeerSource[T any] struct {
 	Kind   string
 	Link   peer.Link
 	Direct Source[T]
@@ -23,7 +23,7 @@
 	// watch when that is answered, and twice as old before the next one is.
 	MaxAge time.Duration
 	// Silent reports whether the object API is known not to answer this host.
-	Silent func() bool
+	APIUnresponsive func() bool
 	// Readers returns the hosts to ask, the best one first; this host is not
 	// among them. None: this host is the one that asks the object API.
 	Readers func() []string
@@ -75,20 +75,20 @@
 )
 
 // List implements Source.
-func (r *Relay[T]) List(ctx context.Context, after string) (Answer[T], error) {
+func (r *PeerSource[T]) List(ctx context.Context, after string) (Response[T], error) {
 	if after != "" {
 		return r.Direct.List(ctx, after) // only the object API gives a part of a list
 	}
 	q := relayRequest{List: true, WaitMS: unreadyWait.Milliseconds(), Packs: true}
-	return r.ask(ctx, q, func(ctx context.Context, _ time.Duration, _ bool) (Answer[T], error) {
+	return r.ask(ctx, q, func(ctx context.Context, _ time.Duration, _ bool) (Response[T], error) {
 		return r.Direct.List(ctx, after)
 	})
 }
 
 // Watch implements Source.
-func (r *Relay[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Answer[T], error) {
+func (r *PeerSource[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
 	q := relayRequest{From: from, WaitMS: wait.Milliseconds(), MaxAgeUS: r.MaxAge.Microseconds()}
-	return r.ask(ctx, q, func(ctx context.Context, spent time.Duration, atOnce bool) (Answer[T], error) {
+	return r.ask(ctx, q, func(ctx context.Context, spent time.Duration, atOnce bool) (Response[T], error) {
 		left := max(wait-spent, 0)
 		if atOnce {
 			left = 0
@@ -99,10 +99,10 @@
 
 // direct asks the object API itself. spent is the time that went to others; with atOnce
 // the answer has to come without a wait for changes.
-type direct[T any] func(ctx context.Context, spent time.Duration, atOnce bool) (Answer[T], error)
+type direct[T any] func(ctx context.Context, spent time.Duration, atOnce bool) (Response[T], error)
 
 // ask asks the readers, or the object API while none of them can answer.
-func (r *Relay[T]) ask(ctx context.Context, q relayRequest, direct direct[T]) (Answer[T], error) {
+func (r *PeerSource[T]) ask(ctx context.Context, q relayRequest, direct direct[T]) (Response[T], error) {
 	readers := r.Readers()
 	if len(readers) == 0 {
 		return direct(ctx, 0, false)
@@ -125,7 +125,7 @@
 
 // askReaders asks the readers in turn; errNobody: none of them can tell, and none is
 // waited for.
-func (r *Relay[T]) askReaders(ctx context.Context, readers []string, q relayRequest, asked time.Time) (a Answer[T], err error) {
+func (r *PeerSource[T]) askReaders(ctx context.Context, readers []string, q relayRequest, asked time.Time) (a Response[T], err error) {
 	waiting := errNobody
 	unheard := 0 // hosts that did not answer at all
 	for i, host := range readers {
@@ -154,7 +154,7 @@
 
 // passOver has a host that could not answer passed over for a while. It returns 1 if the
 // host did not answer at all.
-func (r *Relay[T]) passOver(host string, cause error) (unheard int) {
+func (r *PeerSource[T]) passOver(host string, cause error) (unheard int) {
 	if !errors.Is(cause, errTooOld) && !errors.Is(cause, errUnready) {
 		unheard = 1
 	}
@@ -178,7 +178,7 @@
 
 // waitFor tells whether a host that could not answer a question of some time is still
 // waited for.
-func (r *Relay[T]) waitFor(host string, patience time.Duration, asked time.Time) bool {
+func (r *PeerSource[T]) waitFor(host string, patience time.Duration, asked time.Time) bool {
 	if patience == 0 {
 		return false
 	}
@@ -198,8 +198,8 @@
 }
 
 // askDirect asks the object API; if that fails, the other hosts come first again.
-func (r *Relay[T]) askDirect(ctx context.Context, spent time.Duration, direct direct[T]) (a Answer[T], err error) {
-	if r.Silent() {
+func (r *PeerSource[T]) askDirect(ctx context.Context, spent time.Duration, direct direct[T]) (a Response[T], err error) {
+	if r.APIUnresponsive() {
 		// Waiting for its return here would leave the readers unheard, and have
 		// the whole fleet ask it at once.
 		err = errSilent
@@ -216,7 +216,7 @@
 	return a, err
 }
 
-func (r *Relay[T]) askReader(ctx context.Context, reader string, q relayRequest) (a Answer[T], err error) {
+func (r *PeerSource[T]) askReader(ctx context.Context, reader string, q relayRequest) (a Response[T], err error) {
 	if !q.List {
 		limited, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+relayAnswerTime)
 		defer cancel()
@@ -241,7 +241,7 @@
 		// From the question's arrival there, not from the answer: the wait in between is
 		// no part of how old the knowledge is.
 		before := time.Duration(got.BeforeUS) * time.Microsecond
-		return Answer[T]{Objects: decode(got.Objects), AsOf: got.AsOf, Age: before}, nil
+		return Response[T]{Objects: decode(got.Objects), AsOf: got.AsOf, Age: before}, nil
 	}
 	return a, fmt.Errorf("%w: %s: %w", errRelay, reader, err)
 }
--- a/process/follow/relay_test.go
+++ b/process/follow/relay_test.go
@@ -53,22 +53,22 @@
 	waits []time.Duration // of the watches
 }
 
-func (a *api) List(context.Context, string) (Answer[string], error) {
+func (a *api) List(context.Context, string) (Response[string], error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
-	return Answer[string]{Objects: []Object[string]{object("a", a.rev, a.value)}, AsOf: a.rev}, nil
+	return Response[string]{Objects: []Object[string]{object("a", a.rev, a.value)}, AsOf: a.rev}, nil
 }
 
-func (a *api) Watch(_ context.Context, from Revision, wait time.Duration) (Answer[string], error) {
+func (a *api) Watch(_ context.Context, from Revision, wait time.Duration) (Response[string], error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.calls++
 	a.waits = append(a.waits, wait)
 	if a.rev > from {
-		return Answer[string]{Objects: []Object[string]{object("a", a.rev, a.value)}, AsOf: a.rev}, nil
+		return Response[string]{Objects: []Object[string]{object("a", a.rev, a.value)}, AsOf: a.rev}, nil
 	}
-	return Answer[string]{AsOf: a.rev}, nil
+	return Response[string]{AsOf: a.rev}, nil
 }
 
 func (a *api) count() int {
@@ -79,9 +79,9 @@
 
 func newFollower(source Source[string], now clock.Clock) *Follower[string] {
 	return New(Options[string]{
-		Source: source, Clock: now, Rand: clock.NewSeeded(1), Wait: time.Second, Answer: time.Second,
-		Changed: func(map[string]Object[string], string) {}, Proved: func(time.Time) {},
-		Lost: func(error) {}, Regained: func(time.Duration) {},
+		Source: source, Clock: now, Rand: clock.NewSeeded(1), WatchWait: time.Second, ResponseTimeout: time.Second,
+		OnChange: func(map[string]Object[string], string) {}, OnConfirmed: func(time.Time) {},
+		OnLost: func(error) {}, OnRegained: func(time.Duration) {},
 	})
 }
 
@@ -93,7 +93,7 @@
 	api    *api
 	wire   *wire
 	reader *Follower[string]
-	relay  *Relay[string]
+	relay  *PeerSource[string]
 }
 
 func newRelayed(t *testing.T) *relayed {
@@ -103,7 +103,7 @@
 	}
 	r.reader = newFollower(r.api, r.now)
 	r.reader.Serve(r.wire, "k")
-	r.relay = &Relay[string]{Kind: "k", Link: r.wire, Direct: r.api, Clock: r.now, MaxAge: maxAge, Silent: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
+	r.relay = &PeerSource[string]{Kind: "k", Link: r.wire, Direct: r.api, Clock: r.now, MaxAge: maxAge, APIUnresponsive: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
 	return r
 }
 
@@ -193,14 +193,14 @@
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(maxAge - 100*time.Millisecond)
 	r.api.value, r.api.rev = "2", 6 // which the reader does not see
-	got := make(chan Answer[string], 1)
+	got := make(chan Response[string], 1)
 	go func() {
 		a, _ := r.relay.Watch(context.Background(), 5, time.Hour)
 		got <- a
 	}()
 	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(1))
 	r.now.Advance(101 * time.Millisecond)
-	var a Answer[string]
+	var a Response[string]
 	r.g.Eventually(got, "10s").Should(Receive(&a))
 	r.g.Expect(a.Objects).To(HaveLen(1), "from the platform")
 }
@@ -281,7 +281,7 @@
 	r.now.Advance(1500 * time.Millisecond)
 	var proved []time.Time
 	f := newFollower(r.relay, r.now)
-	f.opts.Proved = func(at time.Time) { proved = append(proved, at) }
+	f.opts.OnConfirmed = func(at time.Time) { proved = append(proved, at) }
 	r.g.Expect(r.step(f)).To(Succeed())
 	r.g.Expect(proved).To(HaveLen(1))
 	r.g.Expect(proved[0]).To(BeTemporally("~", known, time.Millisecond))
@@ -299,7 +299,7 @@
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(1500 * time.Millisecond)
 	var proved []time.Time
-	f.opts.Proved = func(at time.Time) { proved = append(proved, at) }
+	f.opts.OnConfirmed = func(at time.Time) { proved = append(proved, at) }
 	r.g.Expect(r.step(f)).To(Succeed())
 	r.g.Expect(f.objects["a"].Value).To(Equal("2"))
 	r.g.Expect(proved).To(HaveLen(1))
@@ -355,8 +355,8 @@
 	err error
 }
 
-func (f failing) Watch(context.Context, Revision, time.Duration) (Answer[string], error) {
-	return Answer[string]{}, f.err
+func (f failing) Watch(context.Context, Revision, time.Duration) (Response[string], error) {
+	return Response[string]{}, f.err
 }
 
 // The pattern: the platform is away for the reader as for all, and back after some
@@ -370,7 +370,7 @@
 	_, err := r.relay.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).To(HaveOccurred())
 	type result struct {
-		a   Answer[string]
+		a   Response[string]
 		err error
 	}
 	done := make(chan result, 1)
@@ -400,7 +400,7 @@
 	r := newRelayed(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(maxAge + time.Millisecond)
-	r.relay.Silent = func() bool { return true }
+	r.relay.APIUnresponsive = func() bool { return true }
 	calls := r.api.count()
 	_, err := r.relay.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).To(MatchError(errSilent))
--- a/process/follow/through.go
+++ b/process/follow/through.go
@@ -11,28 +11,28 @@
 // errUnheard has the follower list again.
 var errUnheard = fmt.Errorf("%w: the watch was not answered in time", ErrHistoryGone)
 
-// Through returns a source that asks s as reach.Ask does: its questions wait while
+// Through returns a source that asks s as reach.Call does: its questions wait while
 // the object API is silent. After a list that was lost in the silence another is asked
 // for, and after a watch the follower lists again.
-func Through[T any](r *reach.Reach, s Source[T]) Source[T] { return through[T]{r, s} }
+func Monitored[T any](r *reach.Monitor, s Source[T]) Source[T] { return through[T]{r, s} }
 
 type through[T any] struct {
-	reach  *reach.Reach
+	reach  *reach.Monitor
 	source Source[T]
 }
 
 // List implements Source.
-func (t through[T]) List(ctx context.Context, after string) (Answer[T], error) {
-	return reach.Ask(ctx, t.reach, 0, func(ctx context.Context, _ bool) (Answer[T], error) { return t.source.List(ctx, after) })
+func (t through[T]) List(ctx context.Context, after string) (Response[T], error) {
+	return reach.Call(ctx, t.reach, 0, func(ctx context.Context, _ bool) (Response[T], error) { return t.source.List(ctx, after) })
 }
 
 // Watch implements Source.
-func (t through[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Answer[T], error) {
-	return reach.Ask(ctx, t.reach, wait, func(ctx context.Context, late bool) (Answer[T], error) {
+func (t through[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
+	return reach.Call(ctx, t.reach, wait, func(ctx context.Context, late bool) (Response[T], error) {
 		if late {
 			// What matters now is the proof that nothing has changed. A store that loses
 			// its history may leave watches unanswered for seconds, and answers a list.
-			return Answer[T]{}, errUnheard
+			return Response[T]{}, errUnheard
 		}
 		return t.source.Watch(ctx, from, wait)
 	})
--- a/process/follow/through_test.go
+++ b/process/follow/through_test.go
@@ -16,9 +16,9 @@
 // loses its history.
 type deaf struct{ api }
 
-func (d *deaf) Watch(ctx context.Context, _ Revision, _ time.Duration) (Answer[string], error) {
+func (d *deaf) Watch(ctx context.Context, _ Revision, _ time.Duration) (Response[string], error) {
 	<-ctx.Done()
-	return Answer[string]{}, ctx.Err()
+	return Response[string]{}, ctx.Err()
 }
 
 // Guards against knowledge that grows too old while a store answers all but watches: the
@@ -29,18 +29,18 @@
 		g := NewWithT(t)
 		r := reach.New(reach.Options{
 			Probe: func(context.Context) error { return nil }, Clock: clock.System{}, Rand: clock.NewSeeded(1),
-			Waited: func() bool { return true }, Changed: func(bool, time.Duration) {},
+			FullProbeRate: func() bool { return true }, OnChange: func(bool, time.Duration) {},
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = r.Run(ctx) }()
 		source := &deaf{api: api{value: "1", rev: 5}}
-		f := newFollower(Through[string](r, source), clock.System{})
+		f := newFollower(Monitored[string](r, source), clock.System{})
 		g.Expect(f.step(ctx)).To(Succeed())
 		began := time.Now()
 		for source.count() < 2 {
 			g.Expect(f.step(ctx)).To(Succeed())
 		}
-		g.Expect(time.Since(began)).To(BeNumerically("<", f.opts.Wait+time.Second/2), "in simulated time")
+		g.Expect(time.Since(began)).To(BeNumerically("<", f.opts.WatchWait+time.Second/2), "in simulated time")
 		stop()
 		synctest.Wait()
 	})
--- a/process/reach/reach.go
+++ b/process/reach/reach.go
@@ -26,14 +26,14 @@
 	Rand  clock.Rand
 	// Waited tells whether nobody else will tell this process when the API answers
 	// again: it is probed at its full pace then.
-	Waited func() bool
+	FullProbeRate func() bool
 	// Changed tells that the API has fallen silent, or answers again after a time.
-	Changed func(silent bool, after time.Duration)
+	OnChange func(silent bool, after time.Duration)
 }
 
 // Reach tells whether the API answers. Run is called once; the other methods are
 // safe for concurrent use.
-type Reach struct {
+type Monitor struct {
 	opts     Options
 	suspects chan struct{}
 
@@ -51,8 +51,8 @@
 }
 
 // New returns a Reach that takes the API for answering.
-func New(opts Options) *Reach {
-	return &Reach{opts: opts, suspects: make(chan struct{}, 1)}
+func New(opts Options) *Monitor {
+	return &Monitor{opts: opts, suspects: make(chan struct{}, 1)}
 }
 
 const (
@@ -71,14 +71,14 @@
 )
 
 // Silent reports whether the API is known to be silent.
-func (r *Reach) Silent() bool {
+func (r *Monitor) Unresponsive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.silence != nil && r.silence.proved
 }
 
 // Run probes the API whenever a question goes unanswered, until ctx ends.
-func (r *Reach) Run(ctx context.Context) error {
+func (r *Monitor) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -90,7 +90,7 @@
 }
 
 // probe asks until something is answered.
-func (r *Reach) probe(ctx context.Context) {
+func (r *Monitor) probe(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	for {
@@ -103,14 +103,14 @@
 			return
 		}
 		r.prove(s)
-		if !r.opts.Waited() && !r.pause(ctx, s, probeSeldom-probeEvery) {
+		if !r.opts.FullProbeRate() && !r.pause(ctx, s, probeSeldom-probeEvery) {
 			return
 		}
 	}
 }
 
 // pause waits for about d; false: the silence is over.
-func (r *Reach) pause(ctx context.Context, s *silence, d time.Duration) bool {
+func (r *Monitor) pause(ctx context.Context, s *silence, d time.Duration) bool {
 	d = time.Duration((0.8 + 0.4*r.opts.Rand.Float64()) * float64(d))
 	select {
 	case <-ctx.Done():
@@ -122,7 +122,7 @@
 	}
 }
 
-func (r *Reach) ask(ctx context.Context, s *silence) {
+func (r *Monitor) ask(ctx context.Context, s *silence) {
 	ctx, cancel := context.WithTimeout(ctx, probeBound)
 	defer cancel()
 	if err := r.opts.Probe(ctx); ctx.Err() == nil && !down(err) {
@@ -130,25 +130,25 @@
 	}
 }
 
-func (r *Reach) present() *silence {
+func (r *Monitor) present() *silence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.silence
 }
 
 // prove notes that a probe has got no answer.
-func (r *Reach) prove(s *silence) {
+func (r *Monitor) prove(s *silence) {
 	r.mu.Lock()
 	first := r.silence == s && !s.proved
 	s.proved = s.proved || first
 	r.mu.Unlock()
 	if first {
-		r.opts.Changed(true, r.opts.Clock.Now().Sub(s.since))
+		r.opts.OnChange(true, r.opts.Clock.Now().Sub(s.since))
 	}
 }
 
 // end notes an answer: silence s is over; nil: whichever there is.
-func (r *Reach) end(s *silence) {
+func (r *Monitor) end(s *silence) {
 	r.mu.Lock()
 	if r.silence == nil || s != nil && r.silence != s {
 		r.mu.Unlock()
@@ -159,12 +159,12 @@
 	close(ended.over)
 	r.mu.Unlock()
 	if ended.proved {
-		r.opts.Changed(false, r.opts.Clock.Now().Sub(ended.since))
+		r.opts.OnChange(false, r.opts.Clock.Now().Sub(ended.since))
 	}
 }
 
 // suspect has the API probed and returns the silence.
-func (r *Reach) suspect() *silence {
+func (r *Monitor) suspect() *silence {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.silence == nil {
@@ -178,9 +178,9 @@
 }
 
 // await blocks while the API is known to be silent, and tells whether it was.
-func (r *Reach) await(ctx context.Context) (late bool, err error) {
+func (r *Monitor) await(ctx context.Context) (late bool, err error) {
 	s := r.present()
-	if s == nil || !r.Silent() {
+	if s == nil || !r.Unresponsive() {
 		return false, nil
 	}
 	select {
@@ -198,7 +198,7 @@
 }
 
 // note takes what a question's end tells of the API: any answer ends a silence.
-func (r *Reach) note(err error) {
+func (r *Monitor) note(err error) {
 	if !down(err) && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
 		r.end(nil)
 	}
@@ -212,12 +212,12 @@
 
 // Question asks the API something that may be asked more than once. late tells that
 // the API has just answered again after a silence.
-type Question[T any] func(ctx context.Context, late bool) (T, error)
+type RequestFunc[T any] func(ctx context.Context, late bool) (T, error)
 
 // Ask asks a question that is expected to be answered after wait. It waits while the
 // API is silent. A question that is overdue when the API is found to answer was sent
 // into a silence, most likely: it is asked once more, and the first answer counts.
-func Ask[T any](ctx context.Context, r *Reach, wait time.Duration, question Question[T]) (T, error) {
+func Call[T any](ctx context.Context, r *Monitor, wait time.Duration, question RequestFunc[T]) (T, error) {
 	late, err := r.await(ctx)
 	if err != nil {
 		var none T
@@ -247,7 +247,7 @@
 	return o.answer, o.err
 }
 
-func send[T any](ctx context.Context, question Question[T], late bool, to chan<- outcome[T]) {
+func send[T any](ctx context.Context, question RequestFunc[T], late bool, to chan<- outcome[T]) {
 	go func() {
 		answer, err := question(ctx, late)
 		to <- outcome[T]{answer, err}
--- a/process/reach/reach_test.go
+++ b/process/reach/reach_test.go
@@ -72,7 +72,7 @@
 type fixture struct {
 	*WithT
 	api   *api
-	reach *Reach
+	reach *Monitor
 	heard []bool // what Changed told; read after synctest.Wait
 	told  bool   // another process tells of the return
 }
@@ -84,7 +84,7 @@
 		x.reach = New(Options{
 			Probe: func(ctx context.Context) error { return x.api.answer(ctx, &x.api.probed) },
 			Clock: clock.System{}, Rand: clock.NewSeeded(1),
-			Waited: func() bool { return !x.told }, Changed: func(silent bool, _ time.Duration) { x.heard = append(x.heard, silent) },
+			FullProbeRate: func() bool { return !x.told }, OnChange: func(silent bool, _ time.Duration) { x.heard = append(x.heard, silent) },
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -98,7 +98,7 @@
 func (x *fixture) ask(bound, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), bound)
 	defer cancel()
-	_, err := Ask(ctx, x.reach, wait, x.api.question)
+	_, err := Call(ctx, x.reach, wait, x.api.question)
 	return err
 }
 
@@ -142,7 +142,7 @@
 	run(t, func(x *fixture) {
 		x.api.set(true)
 		x.Expect(x.ask(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
-		x.Expect(x.reach.Silent()).To(BeTrue())
+		x.Expect(x.reach.Unresponsive()).To(BeTrue())
 		asked := x.api.count(&x.api.asked)
 		x.Expect(x.ask(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
 		x.Expect(x.api.count(&x.api.asked)).To(Equal(asked))
@@ -151,7 +151,7 @@
 		began := time.Now()
 		x.Expect(x.ask(time.Second, 0)).To(Succeed())
 		x.Expect(time.Since(began)).To(BeNumerically("<", 310*time.Millisecond))
-		x.Expect(x.reach.Silent()).To(BeFalse())
+		x.Expect(x.reach.Unresponsive()).To(BeFalse())
 	})
 }
 
@@ -187,7 +187,7 @@
 		x.api.set(false)
 		x.api.refuse(objectapi.ErrRateLimited)
 		x.Expect(x.ask(time.Second, 0)).To(MatchError(objectapi.ErrRateLimited))
-		x.Expect(x.reach.Silent()).To(BeFalse())
+		x.Expect(x.reach.Unresponsive()).To(BeFalse())
 	})
 }
 
@@ -215,13 +215,13 @@
 			x.api.refuse(failure)
 			x.Expect(x.ask(time.Second, 0)).To(MatchError(failure))
 			time.Sleep(2 * probeEvery)
-			x.Expect(x.reach.Silent()).To(BeTrue())
+			x.Expect(x.reach.Unresponsive()).To(BeTrue())
 			asked := x.api.count(&x.api.asked)
 			x.Expect(x.ask(time.Second, 0)).To(HaveOccurred())
 			x.Expect(x.api.count(&x.api.asked)).To(Equal(asked), "it waits for the probe")
 			x.api.refuse(nil)
 			time.Sleep(2 * probeEvery)
-			x.Expect(x.reach.Silent()).To(BeFalse())
+			x.Expect(x.reach.Unresponsive()).To(BeFalse())
 		})
 	}
 }
--- a/process/residency/residency.go
+++ b/process/residency/residency.go
@@ -10,21 +10,21 @@
 type Set struct {
 	// Route and Account are the regions that the request's route and its client
 	// account allow; empty: every one. A region has to be in both.
-	Route, Account []string
+	RouteRegions, AccountRegions []string
 }
 
 // Allows reports whether the request may be served in a region.
 func (s Set) Allows(region string) bool {
-	return (len(s.Route) == 0 || slices.Contains(s.Route, region)) &&
-		(len(s.Account) == 0 || slices.Contains(s.Account, region))
+	return (len(s.RouteRegions) == 0 || slices.Contains(s.RouteRegions, region)) &&
+		(len(s.AccountRegions) == 0 || slices.Contains(s.AccountRegions, region))
 }
 
 // Bounded reports whether some regions are left out.
-func (s Set) Bounded() bool { return len(s.Route) > 0 || len(s.Account) > 0 }
+func (s Set) Restricted() bool { return len(s.RouteRegions) > 0 || len(s.AccountRegions) > 0 }
 
 // Nowhere reports whether route and account allow no region in common.
-func (s Set) Nowhere() bool {
-	return len(s.Route) > 0 && len(s.Account) > 0 && !slices.ContainsFunc(s.Route, s.Allows)
+func (s Set) Empty() bool {
+	return len(s.RouteRegions) > 0 && len(s.AccountRegions) > 0 && !slices.ContainsFunc(s.RouteRegions, s.Allows)
 }
 
 // AllowsAny reports whether one of the regions may serve the request.
--- a/process/residency/residency_test.go
+++ b/process/residency/residency_test.go
@@ -11,29 +11,29 @@
 func TestZeroSetAllowsEveryRegion(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(Set{}.Allows("a")).To(BeTrue())
-	g.Expect(Set{}.Bounded()).To(BeFalse())
-	g.Expect(Set{}.Nowhere()).To(BeFalse())
+	g.Expect(Set{}.Restricted()).To(BeFalse())
+	g.Expect(Set{}.Empty()).To(BeFalse())
 }
 
 // Guards against a request that is served where its route or its account forbids it.
 func TestRouteAndAccountBothBind(t *testing.T) {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID)
 	rapid.Check(t, func(t *rapid.T) {
-		s := Set{Route: names.Draw(t, "route"), Account: names.Draw(t, "account")}
+		s := Set{RouteRegions: names.Draw(t, "route"), AccountRegions: names.Draw(t, "account")}
 		left := 0
 		for _, region := range []string{"a", "b", "c"} {
 			if !s.Allows(region) {
 				continue
 			}
 			left++
-			for _, list := range [][]string{s.Route, s.Account} {
+			for _, list := range [][]string{s.RouteRegions, s.AccountRegions} {
 				if len(list) > 0 && !slices.Contains(list, region) {
 					t.Fatalf("%+v allows %s", s, region)
 				}
 			}
 		}
-		if s.Nowhere() != (left == 0) {
-			t.Fatalf("%+v: nowhere is %t, but %d regions are allowed", s, s.Nowhere(), left)
+		if s.Empty() != (left == 0) {
+			t.Fatalf("%+v: nowhere is %t, but %d regions are allowed", s, s.Empty(), left)
 		}
 	})
 }
--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -185,7 +185,7 @@
 // refused at once: waiting would only take the time in which another try may succeed.
 func (a *Admission) unserved(r *Request) bool {
 	for _, s := range r.Stages {
-		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.Allowed.Bounded() && !r.Allowed.AllowsAny(svc.Regions)) {
+		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.Allowed.Restricted() && !r.Allowed.AllowsAny(svc.Regions)) {
 			return true
 		}
 	}
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -90,7 +90,7 @@
 	targets := k.withHolders(now, r)
 	c := k.readings.choose(now, workKey{r.ID, r.Round}, r.AimBy.Sub(now), r.Prompt, near(targets, inputs))
 	t.Target, t.TargetWait, t.Fetch = c.server, c.wait, c.fetch
-	if c.tell && !r.Allowed.Bounded() {
+	if c.tell && !r.Allowed.Restricted() {
 		k.tell(heldPart{Part: r.Prompt.Part, Server: c.server})
 	}
 }
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -75,7 +75,7 @@
 	owner = p.first(peers, region, allowed)
 	known = owner.Host == p.link.Self().Host || p.answered[owner.Host] == owner.Incarnation
 	// Requests that are bound to regions may have an owner of their own; it is no change.
-	if known && !allowed.Bounded() && owner.Host != p.last[region] {
+	if known && !allowed.Restricted() && owner.Host != p.last[region] {
 		p.last[region] = owner.Host
 		p.log.OwnerChanged(region, owner.Host, owner.Incarnation)
 	}
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -28,7 +28,7 @@
 	}
 	bound := func(id string) *Request {
 		r := chain(id)
-		r.Allowed = residency.Set{Account: []string{"r2"}}
+		r.Allowed = residency.Set{AccountRegions: []string{"r2"}}
 		return r
 	}
 	free, err := client.pool.Run(t.Context(), chain("free"))
@@ -61,7 +61,7 @@
 	here.pool.log = log
 	for range 3 {
 		g.Expect(here.pool.findOwner(t.Context(), "", residency.Set{})).To(Equal("strong"))
-		g.Expect(here.pool.findOwner(t.Context(), "", residency.Set{Route: []string{"r1"}})).To(BeEmpty())
+		g.Expect(here.pool.findOwner(t.Context(), "", residency.Set{RouteRegions: []string{"r1"}})).To(BeEmpty())
 	}
 	g.Expect(log.changes).To(Equal(1))
 }
@@ -79,7 +79,7 @@
 	}
 	for region, server := range map[string]string{"r1": "portal-near", "r2": "portal-far"} {
 		r := chain(region)
-		r.Allowed.Route = []string{region}
+		r.Allowed.RouteRegions = []string{region}
 		made, err := w.k.Run(t.Context(), r)
 		w.g.Expect(err).NotTo(HaveOccurred())
 		for _, in := range made.Inputs {
@@ -105,8 +105,8 @@
 		a.Next(now)
 		return out
 	}
-	g.Expect(outcome(residency.Set{Route: []string{"r3"}})).To(Equal(string(batcher.NoServer)))
-	g.Expect(outcome(residency.Set{Route: []string{"r2", "r3"}})).To(Equal("begun"))
+	g.Expect(outcome(residency.Set{RouteRegions: []string{"r3"}})).To(Equal(string(batcher.NoServer)))
+	g.Expect(outcome(residency.Set{RouteRegions: []string{"r2", "r3"}})).To(Equal("begun"))
 }
 
 // Guards against a shared part of a request that is bound to regions being named to others.
@@ -116,7 +116,7 @@
 	told := 0
 	w.k.tell = func(heldPart) { told++ }
 	now := time.Now()
-	for i, set := range []residency.Set{{}, {Route: []string{"r1"}}} {
+	for i, set := range []residency.Set{{}, {RouteRegions: []string{"r1"}}} {
 		r := &Request{ID: "r", AimBy: now.Add(time.Second), Allowed: set, Prompt: draft, Targets: []Target{{ID: "next"}}}
 		r.Prompt.Part = fmt.Sprint("part", i)
 		w.k.choose(&Ticket{Request: r}, now, nil)
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -30,7 +30,7 @@
 	}
 	out := slices.Clone(list)
 	for i := range out {
-		out[i].Cost += balance.AwayCost(all - at[out[i].Domain])
+		out[i].Cost += balance.RemoteInputCost(all - at[out[i].Domain])
 	}
 	return out
 }
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -29,7 +29,7 @@
 		a.answer.Discard()
 	}
 	a.cancel()
-	a.server.Inflight.Add(-1)
+	a.server.InFlight.Add(-1)
 }
 
 // Errors of one attempt. errNotRun and errNotSent are proof that the server did
@@ -57,7 +57,7 @@
 	if firstByte > 0 {
 		timer = time.AfterFunc(firstByte, cancel)
 	}
-	s.Inflight.Add(1)
+	s.InFlight.Add(1)
 	x.rec.Attempts++
 	x.rec.Server = s.ID
 	answer, err := x.opts.Upstream.Do(ctx, s.Address, q)
@@ -66,7 +66,7 @@
 		err = &upstream.Error{Sent: true, Cause: context.DeadlineExceeded}
 	}
 	if err != nil {
-		s.Inflight.Add(-1)
+		s.InFlight.Add(-1)
 		cancel()
 		return nil, x.sendFailed(s, now, err)
 	}
@@ -76,7 +76,7 @@
 		a.close(errors.Is(err, errNotRun) && a.drain())
 		return nil, err
 	}
-	s.Succeeded()
+	s.RecordSuccess()
 	return a, nil
 }
 
@@ -115,7 +115,7 @@
 // ended it: clients that give up would have their servers passed over.
 func (x *exchange) brokeOff(a *attempt) {
 	if now := x.opts.Clock.Now(); x.r.Context().Err() == nil && now.Before(x.deadline) {
-		a.server.Failed(now)
+		a.server.RecordFailure(now)
 	}
 }
 
@@ -126,7 +126,7 @@
 		return fmt.Errorf("%w: %w", errBroken, err)
 	}
 	if x.blame(began) {
-		s.Failed(x.opts.Clock.Now())
+		s.RecordFailure(x.opts.Clock.Now())
 		x.opts.Upstream.CloseIdle(s.Address)
 	}
 	if !failed.Sent {
@@ -147,13 +147,13 @@
 		return fmt.Errorf("%w: %s: the answer carries the id %q", errBroken, a.server.ID, a.head.AttemptID)
 	}
 	if a.head.LoadReported {
-		a.server.Load(a.head.RunningRequests, a.head.QueuedRequests, x.opts.Clock.Now())
+		a.server.RecordLoad(a.head.RunningRequests, a.head.QueuedRequests, x.opts.Clock.Now())
 	}
 	if a.head.NotRun && a.answer.Status == http.StatusConflict {
 		return fmt.Errorf("%w: %s", errInputsGone, a.server.ID)
 	}
 	if a.head.NotRun {
-		a.server.Answered(true, x.opts.Clock.Now())
+		a.server.RecordResponse(true, x.opts.Clock.Now())
 		return fmt.Errorf("%w: %s: status %d", errNotRun, a.server.ID, a.answer.Status)
 	}
 	x.sent = true
--- a/request/gateway/attempt_test.go
+++ b/request/gateway/attempt_test.go
@@ -24,7 +24,7 @@
 	x := &exchange{Gateway: gw, plan: &plan.Plan{}, route: &plan.Route{}, service: "s", target: "b"}
 	g.Expect(x.choose(tried{}).ID).To(Equal("b"))
 	g.Expect(x.choose(tried{"b": true}).ID).To(Equal("a"))
-	dir.View().Server("b").Failed(now)
+	dir.View().Server("b").RecordFailure(now)
 	g.Expect(x.choose(tried{}).ID).To(Equal("a"))
 	x.target = "gone"
 	g.Expect(x.choose(tried{}).ID).To(Equal("a"))
--- a/request/gateway/choose.go
+++ b/request/gateway/choose.go
@@ -22,7 +22,7 @@
 func (x *exchange) chosen(t tried) *directory.Server {
 	s := x.opts.Directory.View().Server(x.target)
 	now := x.opts.Clock.Now()
-	if s == nil || !s.Takes() || s.Service != x.service || !x.allowed.Allows(s.Region) || t[s.ID] || s.Avoided(now) || !x.opts.ColdStart.May(s, x.cold(), now) {
+	if s == nil || !s.AcceptsWork() || s.Service != x.service || !x.allowed.Allows(s.Region) || t[s.ID] || s.InBackoff(now) || !x.opts.ColdStart.WouldAllow(s, x.cold(), now) {
 		return nil
 	}
 	return s
@@ -45,8 +45,8 @@
 	affinity, tokens := x.affinity()
 	now, cold := x.opts.Clock.Now(), x.cold()
 	return balance.Query{
-		Servers: x.candidates(), Distance: x.opts.Distance,
-		Affinity: affinity, SharedTokens: tokens, TokenTime: x.reads.token(x.service), Near: x.near, NearBytes: x.nearBytes,
-		Exclude: func(s *directory.Server) bool { return t[s.ID] || !x.opts.ColdStart.May(s, cold, now) }, Now: now,
+		Servers: x.candidates(), OneWayLatency: x.opts.Distance,
+		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.reads.token(x.service), InputDomain: x.near, InputBytes: x.nearBytes,
+		Exclude: func(s *directory.Server) bool { return t[s.ID] || !x.opts.ColdStart.WouldAllow(s, cold, now) }, Now: now,
 	}
 }
--- a/request/gateway/fetch_test.go
+++ b/request/gateway/fetch_test.go
@@ -20,7 +20,7 @@
 	}
 	dir := directory.New()
 	dir.Replace([]directory.Entry{entry("to", "r0", false), entry("has", "r0", false), entry("far", "r1", false), entry("leaves", "r0", true)}, now)
-	x := placed(dir, now, residency.Set{Route: []string{"r0"}})
+	x := placed(dir, now, residency.Set{RouteRegions: []string{"r0"}})
 	from := func(fetch, chosen string) string {
 		x.fetch, x.target = fetch, chosen
 		return x.fetchFrom(dir.View().Server("to"), now)
@@ -33,9 +33,9 @@
 	for _, bad := range []string{"", "to", "far", "leaves", "unknown"} {
 		g.Expect(from(bad, "to")).To(BeEmpty(), bad)
 	}
-	dir.View().Server("has").Failed(now)
+	dir.View().Server("has").RecordFailure(now)
 	g.Expect(from("has", "to")).To(BeEmpty())
-	dir.Evacuate([]string{"r0-a"}, now.Add(time.Minute))
+	dir.SetEvacuated([]string{"r0-a"}, now.Add(time.Minute))
 	now = now.Add(time.Minute)
 	g.Expect(from("has", "to")).To(BeEmpty(), "evacuated")
 }
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Headers   wire.Headers // of the platform
 	Pool      *stages.Pool
 	Budget    RetryBudget
-	ColdStart *coldstart.Gate
+	ColdStart *coldstart.Limiter
 	Clock     clock.Clock
 	Rand      clock.Rand
 	// KeysFresh reports whether the keys of the plan in force are recent enough
@@ -175,7 +175,7 @@
 		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetry}
 	}
 	x.priority = x.route.Priority
-	x.allowed.Route = x.route.Regions
+	x.allowed.RouteRegions = x.route.Regions
 	if err := x.authorize(); err != nil {
 		return err
 	}
@@ -215,7 +215,7 @@
 		return kind.New(kind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
 	x.account, x.rec.Account = a.Name, a.Name
-	x.allowed.Account = a.Regions
+	x.allowed.AccountRegions = a.Regions
 	if a.HasPriority {
 		x.priority = a.Priority
 	}
--- a/request/gateway/place_test.go
+++ b/request/gateway/place_test.go
@@ -37,7 +37,7 @@
 		Distance: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
-	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", ColdStart: coldstart.Limit{PerSecond: 2, Cold: time.Second}}}})
+	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", ColdStart: coldstart.Limit{RequestsPerSecond: 2, ColdDuration: time.Second}}}})
 	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, PrefixAffinity: true}, service: "s", allowed: allowed, start: now}
 }
 
@@ -55,20 +55,20 @@
 			domain := region + rapid.SampledFrom([]string{"-a", "-b"}).Draw(t, "domain")
 			entries = append(entries, directory.Entry{
 				ID: fmt.Sprint("e", i), Service: "s", Domain: domain, Region: region, Slots: 2,
-				Draining: rapid.IntRange(0, 4).Draw(t, "draining") == 0,
-				ColdLeft: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
+				Draining:      rapid.IntRange(0, 4).Draw(t, "draining") == 0,
+				ColdRemaining: time.Duration(rapid.IntRange(0, 1).Draw(t, "cold")) * time.Second,
 			})
 		}
 		dir.Replace(entries, now)
 		evacuated := rapid.SampledFrom([]string{"", "r0-a", "r1-b"}).Draw(t, "evacuated")
-		dir.Evacuate([]string{evacuated}, now)
+		dir.SetEvacuated([]string{evacuated}, now)
 		for _, s := range dir.View().All() {
 			if rapid.IntRange(0, 3).Draw(t, "failed") == 0 {
-				s.Failed(now)
+				s.RecordFailure(now)
 			}
 		}
 		some := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID)
-		x := placed(dir, now, residency.Set{Route: some.Draw(t, "route"), Account: some.Draw(t, "account")})
+		x := placed(dir, now, residency.Set{RouteRegions: some.Draw(t, "route"), AccountRegions: some.Draw(t, "account")})
 		x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
 		x.target = fmt.Sprint("e", rapid.IntRange(0, 8).Draw(t, "target"))
 		may := func(s *directory.Server) bool {
@@ -88,7 +88,7 @@
 				t.Fatalf("%+v may not run on %s", x.allowed, target.ID)
 			}
 		}
-		open := func(s *directory.Server) bool { return x.opts.ColdStart.May(s, x.cold(), now) }
+		open := func(s *directory.Server) bool { return x.opts.ColdStart.WouldAllow(s, x.cold(), now) }
 		if domain := x.likelyDomain(); x.candidates().Any(open) && !x.allowed.Allows(domain[:2]) {
 			t.Fatalf("stage work for %+v in %s", x.allowed, domain)
 		}
@@ -111,15 +111,17 @@
 		NewWithT(t).Expect(e.Ran()).To(Equal(kind.RanNo))
 		return e.Kind
 	}
-	only := func(route, account []string) residency.Set { return residency.Set{Route: route, Account: account} }
+	only := func(route, account []string) residency.Set {
+		return residency.Set{RouteRegions: route, AccountRegions: account}
+	}
 	g := NewWithT(t)
 	g.Expect(refused(only([]string{"r1"}, nil))).To(BeEmpty())
 	g.Expect(refused(only([]string{"r1"}, []string{"r0"}))).To(Equal(kind.NoRegion))
 	g.Expect(refused(only(nil, []string{"r2"}))).To(Equal(kind.NoBackend), "no server there")
-	dir.View().Server("far").Failed(now)
+	dir.View().Server("far").RecordFailure(now)
 	g.Expect(refused(only([]string{"r1"}, nil))).To(Equal(kind.NoBackend), "its region does not answer")
 	g.Expect(refused(only(nil, nil))).To(BeEmpty(), "another region can serve it")
-	dir.Evacuate([]string{"r0-a", "r1-a"}, now)
+	dir.SetEvacuated([]string{"r0-a", "r1-a"}, now)
 	g.Expect(refused(only(nil, nil))).To(Equal(kind.NoBackend), "all are evacuated")
 }
 
@@ -130,7 +132,7 @@
 	now := time.Unix(1000, 0)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{
-		{ID: "cold", Service: "s", Region: "r0", Domain: "r0-a", Slots: 9, ColdLeft: time.Second},
+		{ID: "cold", Service: "s", Region: "r0", Domain: "r0-a", Slots: 9, ColdRemaining: time.Second},
 		{ID: "warm", Service: "s", Region: "r1", Domain: "r1-a", Slots: 9},
 	}, now)
 	x := placed(dir, now, residency.Set{})
@@ -144,7 +146,7 @@
 	r := &stages.Request{}
 	x.setTargets(r)
 	g.Expect(r.Targets).To(HaveLen(1), "none that this host may not send to")
-	x.allowed.Route = []string{"r0"}
+	x.allowed.RouteRegions = []string{"r0"}
 	last := &tries{seen: tried{}}
 	g.Expect(x.next(context.Background(), last)).To(BeNil())
 	e := kind.From(x.end(last))
--- a/request/gateway/plain.go
+++ b/request/gateway/plain.go
@@ -43,7 +43,7 @@
 		return nil
 	}
 	s := x.choose(t.seen)
-	for s != nil && !x.opts.ColdStart.Take(s, x.cold(), x.opts.Clock.Now()) {
+	for s != nil && !x.opts.ColdStart.Allow(s, x.cold(), x.opts.Clock.Now()) {
 		t.seen[s.ID] = true // it is cold, and another request took this host's share
 		s = x.choose(t.seen)
 	}
@@ -152,7 +152,7 @@
 		return nil, fmt.Errorf("%w: %s: %w", errBroken, a.server.ID, err)
 	}
 	r := &reply{status: a.answer.Status, header: a.answer.Header, body: body}
-	a.server.Answered(r.status >= 500, x.opts.Clock.Now())
+	a.server.RecordResponse(r.status >= 500, x.opts.Clock.Now())
 	a.close(true)
 	return r, nil
 }
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -27,7 +27,7 @@
 func (x *exchange) fetchFrom(to *directory.Server, now time.Time) string {
 	for _, id := range []string{x.fetch, x.target} {
 		s := x.opts.Directory.View().Server(id)
-		if s != nil && s.ID != to.ID && s.Takes() && x.allowed.Allows(s.Region) && !s.Avoided(now) && x.fetchTime(1) > 0 {
+		if s != nil && s.ID != to.ID && s.AcceptsWork() && x.allowed.Allows(s.Region) && !s.InBackoff(now) && x.fetchTime(1) > 0 {
 			return s.Address
 		}
 	}
--- a/request/gateway/refusal.go
+++ b/request/gateway/refusal.go
@@ -54,15 +54,15 @@
 
 // servable refuses a request that no server can run now, before any work is done for it.
 func (x *exchange) servable() error {
-	if x.allowed.Nowhere() {
-		return kind.New(kind.NoRegion, "route %s allows %v, account %s %v", x.route.Name, x.allowed.Route, x.account, x.allowed.Account)
+	if x.allowed.Empty() {
+		return kind.New(kind.NoRegion, "route %s allows %v, account %s %v", x.route.Name, x.allowed.RouteRegions, x.account, x.allowed.AccountRegions)
 	}
 	now, c := x.opts.Clock.Now(), x.candidates()
 	if c.Empty() {
 		return x.noServer("takes work", noServerRetry)
 	}
-	answers := func(s *directory.Server) bool { return !s.Avoided(now) }
-	if x.allowed.Bounded() && !c.Any(answers) {
+	answers := func(s *directory.Server) bool { return !s.InBackoff(now) }
+	if x.allowed.Restricted() && !c.Any(answers) {
 		// Nobody elsewhere can stand in for servers that a moment ago did not answer: a
 		// wait for them would only use up the client's time.
 		return x.noServer("answers", noServerRetry)
@@ -82,7 +82,7 @@
 // noServer says that no server that the request may use does something.
 func (x *exchange) noServer(does string, retry time.Duration) error {
 	where := ""
-	if x.allowed.Bounded() {
+	if x.allowed.Restricted() {
 		where = " in a permitted region"
 	}
 	e := kind.New(kind.NoBackend, "no server of %s%s %s", x.service, where, does)
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -94,8 +94,8 @@
 	for _, c := range balance.Rank(q, maxTargets) {
 		r.Targets = append(r.Targets, stages.Target{ID: c.Server.ID, Domain: c.Server.Domain, Cost: c.Cost, Home: c.Home})
 	}
-	own := max(x.client.InputTokens-q.SharedTokens, 0)
-	r.Prompt = stages.Prompt{Part: q.Affinity, Prefix: x.prefix(), Gain: q.Gain(), Shared: q.Reading(), Fetch: x.fetchTime(q.SharedTokens), Own: time.Duration(own) * q.TokenTime}
+	own := max(x.client.InputTokens-q.PrefixTokens, 0)
+	r.Prompt = stages.Prompt{Part: q.AffinityKey, Prefix: x.prefix(), Gain: q.AffinityDiscount(), Shared: q.PrefillTime(), Fetch: x.fetchTime(q.PrefixTokens), Own: time.Duration(own) * q.PrefillTimePerToken}
 }
 
 // reserveDivisor: at most half of a client's time is kept for the stream. What streams
@@ -131,7 +131,7 @@
 	q := x.query(nil)
 	part := 2 * x.opts.Rand.Float64()
 	costs := map[string]time.Duration{} // of the few domains, for many servers
-	q.Busy = func(domain string) time.Duration {
+	q.QueueingCost = func(domain string) time.Duration {
 		cost, known := costs[domain]
 		if !known {
 			cost = time.Duration(part * float64(min(x.opts.Pool.Wait(domain), maxBusyWait)) / busyDivisor)
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -96,7 +96,7 @@
 		return fmt.Errorf("%w: %s after event %q: %w", errBroken, a.server.ID, st.last, err)
 	}
 	now := x.opts.Clock.Now()
-	a.server.Answered(false, now)
+	a.server.RecordResponse(false, now)
 	if !x.begun {
 		x.begin(a)
 	}
