--- a/edge/followers.go
+++ b/edge/followers.go
@@ -130,7 +130,7 @@
 	begins := h.initializing()
 	var first []peer.Identity
 	for _, id := range h.mesh.Peers() {
-		if id.Region != h.self.Region || !peer.Before(id, h.self) || begins && id.Share <= h.self.Share || h.stages.Left(id) {
+		if id.Region != h.self.Region || !peer.Before(id, h.self) || begins && id.Share <= h.self.Share || h.stages.HasLeft(id) {
 			continue
 		}
 		at, _ := slices.BinarySearchFunc(first, id, func(a, b peer.Identity) int {
--- a/edge/logging.go
+++ b/edge/logging.go
@@ -93,7 +93,7 @@
 }
 
 // StageWorkEnded implements stages.Log.
-func (h *Host) StageWork(t *stages.Ticket, waited, took time.Duration, err error, onTime, lateWaiting int) {
+func (h *Host) StageWorkEnded(t *stages.Ticket, waited, took time.Duration, err error, onTime, lateWaiting int) {
 	h.meter.Observe("stage_work", took)
 	h.meter.Observe("stage_work_wait", waited)
 	if t.Late() {
@@ -106,9 +106,9 @@
 		return
 	}
 	kv := []any{
-		"id", t.Request.ID, "late", t.Late(), "waited_ms", ms(waited), "took_ms", ms(took), "held_by", t.HeldBy,
-		"held_by_room", t.HeldByRoom, "waiting", onTime, "waiting_late", lateWaiting, "worth", int(t.Request.Worth), "stages_ms", stageMilliseconds(t.Took),
-		"target", t.Target, "target_wait_ms", ms(t.TargetWait), "prompt_from", t.Fetch,
+		"id", t.Request.ID, "late", t.Late(), "waited_ms", ms(waited), "took_ms", ms(took), "held_by", t.BlockedBy,
+		"held_by_room", t.BlockedByMemory, "waiting", onTime, "waiting_late", lateWaiting, "worth", int(t.Request.Worth), "stages_ms", stageMilliseconds(t.StageTimes),
+		"target", t.TargetID, "target_wait_ms", ms(t.TargetWait), "prompt_from", t.FetchFrom,
 	}
 	if err != nil {
 		h.log.Warn("stage work", append(kv, "err", err)...)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -115,8 +115,8 @@
 	before := h.listedHosts.Swap(&listed)
 	if before == nil {
 		close(h.hostsListed)
-		h.stages.Hello()
-		h.stages.Met()
+		h.stages.Announce()
+		h.stages.MarkPeersKnown()
 		return
 	}
 	for _, id := range h.mesh.Peers() {
--- a/edge/prune.go
+++ b/edge/prune.go
@@ -69,5 +69,5 @@
 func (h *Host) isReachable(ctx context.Context, name string) bool {
 	ctx, cancel := context.WithTimeout(ctx, reachabilityTimeout)
 	defer cancel()
-	return h.stages.Ask(ctx, name) == nil
+	return h.stages.Ping(ctx, name) == nil
 }
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -51,9 +51,9 @@
 // now, or not allowed.
 func (h *Host) stageTarget(id string, r *stages.Request) (stages.Target, bool) {
 	s, now := h.directory.View().Server(id), h.clock.Now()
-	if s == nil || !s.AcceptsWork() || !r.Allowed.Allows(s.Region) || s.InBackoff(now) {
+	if s == nil || !s.AcceptsWork() || !r.AllowedRegions.Allows(s.Region) || s.InBackoff(now) {
 		return stages.Target{}, false
 	}
-	q := balance.Query{OneWayLatency: func(domain string) time.Duration { return h.delayBetween(r.From, domain) }, Now: now}
+	q := balance.Query{OneWayLatency: func(domain string) time.Duration { return h.delayBetween(r.HostDomain, domain) }, Now: now}
 	return stages.Target{ID: id, Domain: s.Domain, Cost: q.Cost(s)}, true
 }
--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -29,18 +29,18 @@
 
 // Ticket is a request that waits to be begun, or is under way.
 type Ticket struct {
-	Request  *Request
-	Begin    func()                 // called once, when it is begun
-	Rejected func(r batcher.Reason) // called once instead
+	Request *Request
+	Start   func()                 // called once, when it is begun
+	Reject  func(r batcher.Reason) // called once instead
 
 	// HeldBy is the service that last kept it from being begun, and whether that
 	// lacked room for results.
-	HeldBy     string
-	HeldByRoom bool
-	Took       []time.Duration // by each stage, once the work is done
-	Target     string          // server chosen to run on, once the work is done
-	TargetWait time.Duration   // for other prompts there
-	Fetch      string          // server from which that one gets a part of the prompt
+	BlockedBy       string
+	BlockedByMemory bool
+	StageTimes      []time.Duration // by each stage, once the work is done
+	TargetID        string          // server chosen to run on, once the work is done
+	TargetWait      time.Duration   // for other prompts there
+	FetchFrom       string          // server from which that one gets a part of the prompt
 
 	late bool
 	cost float64       // seconds of all servers of its services
@@ -65,7 +65,7 @@
 }
 
 // Offer adds a request that wants to be begun.
-func (a *Admission) Offer(t *Ticket) {
+func (a *Admission) Enqueue(t *Ticket) {
 	clear(a.known)
 	t.cost = a.cost(t.Request)
 	a.onTime = insert(a.onTime, t, func(x, y *Ticket) bool { return x.density() > y.density() })
@@ -99,7 +99,7 @@
 }
 
 // Withdraw removes a request that is not yet begun; false: it is not waiting.
-func (a *Admission) Withdraw(t *Ticket) bool {
+func (a *Admission) Remove(t *Ticket) bool {
 	for _, list := range []*[]*Ticket{&a.onTime, &a.late} {
 		for i, other := range *list {
 			if other == t {
@@ -115,14 +115,14 @@
 func (a *Admission) RejectAll(r batcher.Reason) {
 	for _, list := range [][]*Ticket{a.onTime, a.late} {
 		for _, t := range list {
-			t.Rejected(r)
+			t.Reject(r)
 		}
 	}
 	a.onTime, a.late = nil, nil
 }
 
 // Finished notes that a stage's items are no longer under way.
-func (a *Admission) Finished(s Stage, late bool) {
+func (a *Admission) StageFinished(s Stage, late bool) {
 	a.underWay[s.Service] = a.underWay[s.Service].without(s)
 	if late {
 		a.lateUnderWay[s.Service] = a.lateUnderWay[s.Service].without(s)
@@ -133,7 +133,7 @@
 func (a *Admission) Waiting() (onTime, late int) { return len(a.onTime), len(a.late) }
 
 // Next begins and rejects requests as it is right at now.
-func (a *Admission) Next(now time.Time) {
+func (a *Admission) Schedule(now time.Time) {
 	clear(a.known)
 	a.sort(now)
 	b := &blocked{rate: map[string]bool{}, room: map[string]int64{}}
@@ -146,11 +146,11 @@
 // rejects those that can no longer be of use.
 func (a *Admission) sort(now time.Time) {
 	a.onTime = a.keep(a.onTime, now, func(t *Ticket) bool {
-		if !now.Add(t.path).After(t.Request.AimBy) {
+		if !now.Add(t.path).After(t.Request.TargetTime) {
 			return true
 		}
 		t.late = true
-		a.late = insert(a.late, t, func(x, y *Ticket) bool { return x.Request.DieBy.Before(y.Request.DieBy) })
+		a.late = insert(a.late, t, func(x, y *Ticket) bool { return x.Request.Deadline.Before(y.Request.Deadline) })
 		return false
 	})
 	a.late = a.keep(a.late, now, func(*Ticket) bool { return true })
@@ -165,12 +165,12 @@
 		if t.late {
 			needs = t.latePath()
 		}
-		if now.Add(needs).After(t.Request.DieBy) {
-			t.Rejected(batcher.TooLate)
+		if now.Add(needs).After(t.Request.Deadline) {
+			t.Reject(batcher.TooLate)
 			continue
 		}
 		if a.unserved(t.Request) {
-			t.Rejected(batcher.NoServer)
+			t.Reject(batcher.NoServer)
 			continue
 		}
 		if stay(t) {
@@ -185,7 +185,7 @@
 // refused at once: waiting would only take the time in which another try may succeed.
 func (a *Admission) unserved(r *Request) bool {
 	for _, s := range r.Stages {
-		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.Allowed.Restricted() && !r.Allowed.AllowsAny(svc.Regions)) {
+		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.AllowedRegions.Restricted() && !r.AllowedRegions.AllowsAny(svc.Regions)) {
 			return true
 		}
 	}
@@ -197,7 +197,7 @@
 	ends := make([]time.Duration, len(r.Stages))
 	var longest time.Duration
 	for i, s := range r.Stages {
-		for _, after := range s.After {
+		for _, after := range s.DependsOn {
 			ends[i] = max(ends[i], ends[after])
 		}
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 {
@@ -245,13 +245,13 @@
 		at, used := r.position(i), a.underWay[s.Service]
 		if b.rate[s.Service] || used.items > 0 && used.with(s).over(svc.bound(at), 1) {
 			fits = false
-			t.HeldBy, t.HeldByRoom = s.Service, false
+			t.BlockedBy, t.BlockedByMemory = s.Service, false
 			b.rate[s.Service] = true
 		}
-		need := int64(s.Items) * s.ItemBytes
+		need := int64(s.Items) * s.ResultBytes
 		if at.depth == 0 && (need*smallNeed > b.room[s.Service] && b.room[s.Service] > 0 || svc.full(need)) {
 			fits = false
-			t.HeldBy, t.HeldByRoom = s.Service, true
+			t.BlockedBy, t.BlockedByMemory = s.Service, true
 			b.room[s.Service] = max(b.room[s.Service], need)
 		}
 	}
@@ -264,20 +264,20 @@
 
 // BeginAgain counts the work of a request once more that has to be repeated;
 // false: it can be of no use any more.
-func (a *Admission) BeginAgain(t *Ticket, now time.Time) bool {
+func (a *Admission) Restart(t *Ticket, now time.Time) bool {
 	clear(a.known)
 	t.path = a.path(t.Request)
-	if now.Add(t.path).After(t.Request.DieBy) {
+	if now.Add(t.path).After(t.Request.Deadline) {
 		return false
 	}
-	t.late = t.late || now.Add(t.path).After(t.Request.AimBy)
+	t.late = t.late || now.Add(t.path).After(t.Request.TargetTime)
 	a.count(t)
 	return true
 }
 
 func (a *Admission) start(t *Ticket) {
 	a.count(t)
-	t.Begin()
+	t.Start()
 }
 
 func (a *Admission) count(t *Ticket) {
--- a/process/stages/admission_test.go
+++ b/process/stages/admission_test.go
@@ -38,18 +38,18 @@
 func (l *line) offer(id string, worth float64, items int, aim, die time.Duration) {
 	r := &Request{
 		ID: id, Worth: worth, Stages: []Stage{{Service: "s", Items: items}},
-		AimBy: l.now.Add(aim), DieBy: l.now.Add(die),
+		TargetTime: l.now.Add(aim), Deadline: l.now.Add(die),
 	}
 	t := &Ticket{Request: r}
-	t.Begin = func() {
+	t.Start = func() {
 		l.begun = append(l.begun, id)
 		l.lateOnes[id] = t.late
 		for range items {
 			l.underWay = append(l.underWay, t.late)
 		}
 	}
-	t.Rejected = func(reason batcher.Reason) { l.rejected[id] = reason }
-	l.a.Offer(t)
+	t.Reject = func(reason batcher.Reason) { l.rejected[id] = reason }
+	l.a.Enqueue(t)
 }
 
 // pass lets the service finish items at its rate for d.
@@ -57,10 +57,10 @@
 	const step = 20 * time.Millisecond
 	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(step) {
 		for range min(3, len(l.underWay)) { // 150 a second
-			l.a.Finished(Stage{Service: "s", Items: 1}, l.underWay[0])
+			l.a.StageFinished(Stage{Service: "s", Items: 1}, l.underWay[0])
 			l.underWay = l.underWay[1:]
 		}
-		l.a.Next(l.now)
+		l.a.Schedule(l.now)
 	}
 }
 
@@ -71,7 +71,7 @@
 	for i := range 60 {
 		l.offer(fmt.Sprintf("low-%d", i), 1, 4, 3*time.Second, 10*time.Second)
 	}
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	before := len(l.begun)
 	l.g.Expect(before).To(BeNumerically("<", 60), "not all at once")
 	for i := range 10 {
@@ -138,7 +138,7 @@
 	for i := range 200 {
 		l.offer(fmt.Sprint("late-", i), 1, 4, 0, 1300*time.Millisecond)
 	}
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	kept := lastChanceShare * float64(s.bound(position{}).items)
 	l.g.Expect(float64(4 * len(l.begun))).To(BeNumerically("~", kept, 4))
 }
@@ -148,7 +148,7 @@
 func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
 	l := newLine(t, map[string]Service{"s": sheet()})
 	l.offer("hopeless", 1, 1, time.Second, 300*time.Millisecond)
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	l.g.Expect(l.rejected).To(HaveKeyWithValue("hopeless", batcher.TooLate))
 }
 
@@ -159,10 +159,10 @@
 	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, -11_500_000
 	l := newLine(t, map[string]Service{"s": s})
 	for i, bytes := range []int64{800_000, 8_000} {
-		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ItemBytes: bytes}}, AimBy: l.now.Add(time.Second), DieBy: l.now.Add(9 * time.Second)}
-		l.a.Offer(&Ticket{Request: r, Begin: func() { l.begun = append(l.begun, r.ID) }, Rejected: func(batcher.Reason) {}})
+		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ResultBytes: bytes}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(9 * time.Second)}
+		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.begun = append(l.begun, r.ID) }, Reject: func(batcher.Reason) {}})
 	}
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	l.g.Expect(l.begun).To(Equal([]string{"1"}))
 }
 
@@ -175,28 +175,28 @@
 	l := newLine(t, map[string]Service{"s": s})
 	l.a.underWay["s"] = amount{items: 60, bytes: 60 * 8_000}
 	for i := range 10 {
-		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ItemBytes: 3_000_000}}, AimBy: l.now.Add(time.Second), DieBy: l.now.Add(9 * time.Second)}
-		l.a.Offer(&Ticket{Request: r, Begin: func() { l.begun = append(l.begun, r.ID) }, Rejected: func(batcher.Reason) {}})
+		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ResultBytes: 3_000_000}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(9 * time.Second)}
+		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.begun = append(l.begun, r.ID) }, Reject: func(batcher.Reason) {}})
 	}
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	l.g.Expect(len(l.begun)).To(BeNumerically(">=", 6), "as many as there is room for")
 	l.g.Expect(len(l.begun)).To(BeNumerically("<", 10), "the room bounds what is begun")
 }
 
 func TestWithdrawnRequestIsNotBegun(t *testing.T) {
 	l := newLine(t, map[string]Service{"s": sheet()})
-	r := &Request{ID: "1", Stages: []Stage{{Service: "s", Items: 1}}, AimBy: l.now.Add(time.Second), DieBy: l.now.Add(time.Second)}
-	ticket := &Ticket{Request: r, Begin: func() { t.Error("begun") }, Rejected: func(batcher.Reason) { t.Error("rejected") }}
-	l.a.Offer(ticket)
-	l.g.Expect(l.a.Withdraw(ticket)).To(BeTrue())
-	l.a.Next(l.now)
-	l.g.Expect(l.a.Withdraw(ticket)).To(BeFalse())
+	r := &Request{ID: "1", Stages: []Stage{{Service: "s", Items: 1}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(time.Second)}
+	ticket := &Ticket{Request: r, Start: func() { t.Error("begun") }, Reject: func(batcher.Reason) { t.Error("rejected") }}
+	l.a.Enqueue(ticket)
+	l.g.Expect(l.a.Remove(ticket)).To(BeTrue())
+	l.a.Schedule(l.now)
+	l.g.Expect(l.a.Remove(ticket)).To(BeFalse())
 }
 
 func TestDepthCountsStagesThatAreNotLeftOut(t *testing.T) {
 	g := NewWithT(t)
 	r := &Request{Stages: []Stage{
-		{Items: 1}, {Items: 0, After: []int{0}}, {Items: 2, After: []int{1}}, {Items: 1},
+		{Items: 1}, {Items: 0, DependsOn: []int{0}}, {Items: 2, DependsOn: []int{1}}, {Items: 1},
 	}}
 	g.Expect(r.depth(0)).To(Equal(0))
 	g.Expect(r.depth(2)).To(Equal(1))
@@ -211,7 +211,7 @@
 	l := newLine(t, map[string]Service{"s": gone})
 	l.offer("needs it", 1, 1, time.Second, 10*time.Second)
 	l.offer("does not", 1, 0, time.Second, 10*time.Second)
-	l.a.Next(l.now)
+	l.a.Schedule(l.now)
 	l.g.Expect(l.rejected).To(Equal(map[string]batcher.Reason{"needs it": batcher.NoServer}))
 	l.g.Expect(l.begun).To(Equal([]string{"does not"}))
 }
@@ -229,7 +229,7 @@
 	}
 	for range 10 {
 		asked = 0
-		l.a.Next(l.now)
+		l.a.Schedule(l.now)
 		l.g.Expect(asked).To(Equal(1))
 		l.now = l.now.Add(20 * time.Millisecond)
 	}
--- a/process/stages/bench_test.go
+++ b/process/stages/bench_test.go
@@ -22,7 +22,7 @@
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
-				k.admission.Next(now)
+				k.admission.Schedule(now)
 			}
 			if onTime, late := k.admission.Waiting(); onTime+late == 0 {
 				b.Fatal("nothing waits")
@@ -52,12 +52,12 @@
 	k := NewCoordinator(func(name string) *batcher.Batcher { return services[name] }, noServers, clock.System{}, quiet{})
 	for i := range waiting {
 		aim := time.Now().Add(time.Duration(i%2) * time.Hour) // half of them are late
-		k.admission.Offer(&Ticket{Begin: func() {}, Request: &Request{
-			ID: fmt.Sprint(i), Worth: float64(i), AimBy: aim, DieBy: time.Now().Add(2 * time.Hour),
+		k.admission.Enqueue(&Ticket{Start: func() {}, Request: &Request{
+			ID: fmt.Sprint(i), Worth: float64(i), TargetTime: aim, Deadline: time.Now().Add(2 * time.Hour),
 			Stages: []Stage{
-				{Service: "encode", Items: 2, ItemBytes: 3_000_000},
-				{Service: "retrieve", Items: 8, ItemBytes: 60_000, After: []int{0}},
-				{Service: "rank", Items: 16, ItemBytes: 6_000, After: []int{1}},
+				{Service: "encode", Items: 2, ResultBytes: 3_000_000},
+				{Service: "retrieve", Items: 8, ResultBytes: 60_000, DependsOn: []int{0}},
+				{Service: "rank", Items: 16, ResultBytes: 6_000, DependsOn: []int{1}},
 			},
 		}})
 	}
--- a/process/stages/bound.go
+++ b/process/stages/bound.go
@@ -22,11 +22,11 @@
 }
 
 func (a amount) with(s Stage) amount {
-	return amount{a.items + s.Items, a.bytes + int64(s.Items)*s.ItemBytes}
+	return amount{a.items + s.Items, a.bytes + int64(s.Items)*s.ResultBytes}
 }
 
 func (a amount) without(s Stage) amount {
-	return amount{max(a.items-s.Items, 0), max(a.bytes-int64(s.Items)*s.ItemBytes, 0)}
+	return amount{max(a.items-s.Items, 0), max(a.bytes-int64(s.Items)*s.ResultBytes, 0)}
 }
 
 // over tells whether it is more than a share of a bound.
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -12,21 +12,21 @@
 )
 
 // Batchers returns the batcher of a service, or nil.
-type Batchers func(service string) *batcher.Batcher
+type BatcherLookup func(service string) *batcher.Batcher
 
 // Servers returns a backend server as a target of a request; false: it is of no use now,
 // or not allowed.
-type Servers func(id string, r *Request) (Target, bool)
+type TargetLookup func(id string, r *Request) (Target, bool)
 
 // Log receives what a Coordinator decides.
 type Log interface {
-	StageWork(t *Ticket, waited, took time.Duration, err error, onTime, lateWaiting int)
+	StageWorkEnded(t *Ticket, waited, took time.Duration, err error, onTime, lateWaiting int)
 }
 
 // Coordinator runs stage work on this host, its own and that of others.
 type Coordinator struct {
-	batchers Batchers
-	servers  Servers
+	batchers BatcherLookup
+	servers  TargetLookup
 	clock    clock.Clock
 	log      Log
 
@@ -42,7 +42,7 @@
 }
 
 // NewCoordinator returns a coordinator without work.
-func NewCoordinator(batchers Batchers, servers Servers, c clock.Clock, log Log) *Coordinator {
+func NewCoordinator(batchers BatcherLookup, servers TargetLookup, c clock.Clock, log Log) *Coordinator {
 	k := &Coordinator{batchers: batchers, servers: servers, clock: c, log: log, tell: func(heldPart) {}}
 	k.admission = NewAdmission(k.service)
 	return k
@@ -58,7 +58,7 @@
 
 // Run has the results of a request made and chooses where it runs. The error is an
 // *Error or ctx's.
-func (k *Coordinator) Run(ctx context.Context, r *Request) (Made, error) {
+func (k *Coordinator) Run(ctx context.Context, r *Request) (Results, error) {
 	offered := k.clock.Now()
 	t, err := k.wait(ctx, r)
 	began := k.clock.Now()
@@ -77,21 +77,21 @@
 	if err == nil {
 		k.choose(t, now, inputs)
 	}
-	k.log.StageWork(t, began.Sub(offered), now.Sub(offered), err, onTime, lateWaiting)
+	k.log.StageWorkEnded(t, began.Sub(offered), now.Sub(offered), err, onTime, lateWaiting)
 	if err != nil {
-		return Made{}, err
+		return Results{}, err
 	}
-	return Made{Inputs: inputs, Target: t.Target, Fetch: t.Fetch, ID: r.ID, Round: r.Round}, nil
+	return Results{Inputs: inputs, TargetID: t.TargetID, FetchFrom: t.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
 }
 
 // choose sets the server on which a request runs.
 func (k *Coordinator) choose(t *Ticket, now time.Time, inputs []Input) {
 	r := t.Request
 	targets := k.withHolders(now, r)
-	c := k.readings.choose(now, workKey{r.ID, r.Round}, r.AimBy.Sub(now), r.Prompt, near(targets, inputs))
-	t.Target, t.TargetWait, t.Fetch = c.server, c.wait, c.fetch
-	if c.tell && !r.Allowed.Restricted() {
-		k.tell(heldPart{Part: r.Prompt.Part, Server: c.server})
+	c := k.readings.choose(now, workKey{r.ID, r.Round}, r.TargetTime.Sub(now), r.Prompt, near(targets, inputs))
+	t.TargetID, t.TargetWait, t.FetchFrom = c.server, c.wait, c.fetch
+	if c.tell && !r.AllowedRegions.Restricted() {
+		k.tell(heldPart{Part: r.Prompt.LongPrefix, Server: c.server})
 	}
 }
 
@@ -100,7 +100,7 @@
 // these, a part that a busy home did not read was read once more by each failure domain.
 func (k *Coordinator) withHolders(now time.Time, r *Request) []Target {
 	out := r.Targets
-	for _, id := range k.readings.known(now, r.Prompt.Part) {
+	for _, id := range k.readings.known(now, r.Prompt.LongPrefix) {
 		if slices.ContainsFunc(out, func(t Target) bool { return t.ID == id }) {
 			continue
 		}
@@ -123,7 +123,7 @@
 
 // Wait returns the mean time that the last requests waited to be begun, those
 // that were refused included.
-func (k *Coordinator) Wait() time.Duration {
+func (k *Coordinator) MeanWait() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.meanWait
@@ -138,7 +138,7 @@
 func (k *Coordinator) begin(t *Ticket) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.admission.BeginAgain(t, k.clock.Now())
+	return k.admission.Restart(t, k.clock.Now())
 }
 
 // Waiting returns the number of requests that wait to be begun.
@@ -162,12 +162,12 @@
 func (k *Coordinator) wait(ctx context.Context, r *Request) (*Ticket, error) {
 	begun, rejected := make(chan struct{}, 1), make(chan batcher.Reason, 1)
 	t := &Ticket{
-		Request:  r,
-		Begin:    func() { begun <- struct{}{} },
-		Rejected: func(reason batcher.Reason) { rejected <- reason },
+		Request: r,
+		Start:   func() { begun <- struct{}{} },
+		Reject:  func(reason batcher.Reason) { rejected <- reason },
 	}
 	k.mu.Lock()
-	k.admission.Offer(t)
+	k.admission.Enqueue(t)
 	k.mu.Unlock()
 	k.pump()
 	select {
@@ -178,7 +178,7 @@
 	case <-ctx.Done():
 	}
 	k.mu.Lock()
-	waiting := k.admission.Withdraw(t)
+	waiting := k.admission.Remove(t)
 	if !waiting && len(begun) > 0 {
 		k.release(r.Stages, t.late)
 	}
@@ -190,7 +190,7 @@
 // release is called with k.mu held.
 func (k *Coordinator) release(list []Stage, late bool) {
 	for _, s := range list {
-		k.admission.Finished(s, late)
+		k.admission.StageFinished(s, late)
 	}
 }
 
@@ -201,7 +201,7 @@
 func (k *Coordinator) pump() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.admission.Next(k.clock.Now())
+	k.admission.Schedule(k.clock.Now())
 	onTime, late := k.admission.Waiting()
 	if onTime+late > 0 && !k.again {
 		k.again = true
@@ -223,7 +223,7 @@
 func (k *Coordinator) work(ctx context.Context, t *Ticket, again bool) ([]Input, error) {
 	r, late := t.Request, t.late
 	w := &work{
-		k: k, r: r, late: late, again: again, start: k.clock.Now(), aim: r.AimBy, results: make([][]batcher.Result, len(r.Stages)), left: make([]int, len(r.Stages)),
+		k: k, r: r, late: late, again: again, start: k.clock.Now(), aim: r.TargetTime, results: make([][]batcher.Result, len(r.Stages)), left: make([]int, len(r.Stages)),
 		began: make([]time.Time, len(r.Stages)), took: make([]time.Duration, len(r.Stages)),
 		over: make(chan struct{}), got: make([]bool, len(r.Stages)),
 	}
@@ -244,13 +244,13 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t.Took = append([]time.Duration(nil), w.took...)
+	t.StageTimes = append([]time.Duration(nil), w.took...)
 	return w.inputs, w.err
 }
 
 // done gives up the results of a request, whose prompt was read or will not be.
-func (k *Coordinator) done(m Made) {
-	k.readings.done(m.Target, workKey{m.ID, m.Round})
+func (k *Coordinator) done(m Results) {
+	k.readings.done(m.TargetID, workKey{m.RequestID, m.Round})
 	k.free(m.Inputs...)
 }
 
--- a/process/stages/coordinator_test.go
+++ b/process/stages/coordinator_test.go
@@ -74,7 +74,7 @@
 
 func (quiet) CallSent(string, *batcher.Call, int)                              {}
 func (quiet) CallEnded(string, *batcher.Call, time.Duration, batcher.Response) {}
-func (quiet) StageWork(*Ticket, time.Duration, time.Duration, error, int, int) {
+func (quiet) StageWorkEnded(*Ticket, time.Duration, time.Duration, error, int, int) {
 }
 func (quiet) OwnerChanged(string, string, uint64)      {}
 func (quiet) OwnerFailed(string, time.Duration, error) {}
@@ -105,8 +105,8 @@
 func chain(id string) *Request {
 	now := time.Now()
 	return &Request{
-		ID: id, Key: "key", Domain: "x", Worth: 1, AimBy: now.Add(20 * time.Second), DieBy: now.Add(30 * time.Second),
-		Stages: []Stage{{Service: "floor", Items: 2, ItemBytes: 10}, {Service: "portal", After: []int{0}, Items: 3, ItemBytes: 10}},
+		ID: id, InputKey: "key", RunDomain: "x", Worth: 1, TargetTime: now.Add(20 * time.Second), Deadline: now.Add(30 * time.Second),
+		Stages: []Stage{{Service: "floor", Items: 2, ResultBytes: 10}, {Service: "portal", DependsOn: []int{0}, Items: 3, ResultBytes: 10}},
 	}
 }
 
@@ -221,7 +221,7 @@
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}}, time.Now())
 	b.Configure(opts, dir.View().Servers("s"), func(*directory.Server) time.Duration { return 0 })
 	k := NewCoordinator(func(string) *batcher.Batcher { return b }, noServers, clock.System{}, quiet{})
-	large, small := Stage{Service: "s", ItemBytes: 60_000}, Stage{Service: "s", ItemBytes: 8_000}
+	large, small := Stage{Service: "s", ResultBytes: 60_000}, Stage{Service: "s", ResultBytes: 8_000}
 	g.Expect(k.lacksRoom(large)).To(BeFalse(), "all room is free")
 	b.Submit(&batcher.Job{Items: make([]batcher.Item, 30), ResultBytes: 60_000, OnResult: func(int, batcher.Result) {}})
 	g.Expect(k.lacksRoom(large)).To(BeTrue())
--- a/process/stages/drawn_test.go
+++ b/process/stages/drawn_test.go
@@ -72,9 +72,9 @@
 	var path time.Duration
 	for i, name := range list {
 		o := services[name].Options
-		s := Stage{Service: name, Items: 1 + r.IntN(min(2*o.MaxItems, 16)), ItemBytes: 1_000}
+		s := Stage{Service: name, Items: 1 + r.IntN(min(2*o.MaxItems, 16)), ResultBytes: 1_000}
 		if i > 0 {
-			s.After = []int{i - 1}
+			s.DependsOn = []int{i - 1}
 		}
 		chain = append(chain, s)
 		path += o.CallTime + time.Duration(o.MaxItems)*o.ItemTime + callWait
--- a/process/stages/hello.go
+++ b/process/stages/hello.go
@@ -15,7 +15,7 @@
 const meetBound = 1500 * time.Millisecond
 
 // Met tells that the other hosts are known. It may be called more than once.
-func (p *Pool) Met() {
+func (p *Pool) MarkPeersKnown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
@@ -34,7 +34,7 @@
 	select {
 	case <-p.met:
 	case <-p.clock.After(meetBound):
-		p.Met() // the platform's list cannot be had
+		p.MarkPeersKnown() // the platform's list cannot be had
 	case <-ctx.Done():
 		return ctx.Err()
 	}
@@ -42,7 +42,7 @@
 }
 
 // Ask tells whether a host answers.
-func (p *Pool) Ask(ctx context.Context, host string) error {
+func (p *Pool) Ping(ctx context.Context, host string) error {
 	return p.link.Call(ctx, host, methodHello, nil, nil)
 }
 
@@ -53,7 +53,7 @@
 
 // Hello makes this host known to those that may do the work of others. The call
 // itself proves who calls.
-func (p *Pool) Hello() {
+func (p *Pool) Announce() {
 	list := slices.Clone(p.link.Peers())
 	sort.Slice(list, func(i, j int) bool { return peer.Before(list[i], list[j]) })
 	for _, id := range list[:min(len(list), helloHosts)] {
--- a/process/stages/holds_test.go
+++ b/process/stages/holds_test.go
@@ -21,15 +21,15 @@
 	now := time.Unix(1000, 0)
 	w := newFixture(t)
 	w.k.servers = func(id string, r *Request) (Target, bool) {
-		return Target{ID: id, Cost: 40 * time.Millisecond}, r.From == "x" && id == "far"
+		return Target{ID: id, Cost: 40 * time.Millisecond}, r.HostDomain == "x" && id == "far"
 	}
 	w.k.readings.heard(now, heldPart{"part", "far"})
 	w.k.readings.heard(now, heldPart{"part", "lost"})
 	choose := func(part string) string {
-		ticket := &Ticket{Request: &Request{ID: part, From: "x", AimBy: now.Add(time.Second), Targets: homeAndNext, Prompt: draft}}
-		ticket.Request.Prompt.Part = part
+		ticket := &Ticket{Request: &Request{ID: part, HostDomain: "x", TargetTime: now.Add(time.Second), Targets: homeAndNext, Prompt: draft}}
+		ticket.Request.Prompt.LongPrefix = part
 		w.k.choose(ticket, now, nil)
-		return ticket.Target
+		return ticket.TargetID
 	}
 	g.Expect(choose("part")).To(Equal("far"))
 	g.Expect(choose("another")).To(Equal("home"))
@@ -46,8 +46,8 @@
 	x.add(t, peer.Identity{Host: "beside", Region: "r2", Domain: "r2", Share: 0.5, Incarnation: 2})
 	now := time.Now()
 	for i, target := range []Target{{ID: "next"}, {ID: "home", Home: true}} {
-		ticket := &Ticket{Request: &Request{ID: target.ID, AimBy: now.Add(time.Second), Targets: []Target{target}, Prompt: draft}}
-		ticket.Request.Prompt.Part = []string{"moved", "at home"}[i]
+		ticket := &Ticket{Request: &Request{ID: target.ID, TargetTime: now.Add(time.Second), Targets: []Target{target}, Prompt: draft}}
+		ticket.Request.Prompt.LongPrefix = []string{"moved", "at home"}[i]
 		here.fix.k.choose(ticket, now, nil)
 	}
 	g.Eventually(func() []string { return there.fix.k.readings.known(time.Now(), "moved") }, "30s").Should(Equal([]string{"next"}))
--- a/process/stages/inputs.go
+++ b/process/stages/inputs.go
@@ -16,7 +16,7 @@
 // lacksRoom tells whether the servers of a stage have little room for its results left.
 func (k *Coordinator) lacksRoom(s Stage) bool {
 	svc, ok := k.service(s.Service)
-	if !ok || float64(s.ItemBytes) < smallResult*float64(svc.ResultMemoryBytes) {
+	if !ok || float64(s.ResultBytes) < smallResult*float64(svc.ResultMemoryBytes) {
 		return false
 	}
 	return svc.TotalResultBytes > 0 && float64(svc.FreeResultBytes) < scarceRoom*float64(svc.TotalResultBytes)
@@ -29,7 +29,7 @@
 // request's work is done anew, for which there has to be time.
 func (w *work) fetched(stage int, job *batcher.Job) {
 	var scarce []int
-	for _, a := range w.r.Stages[stage].After {
+	for _, a := range w.r.Stages[stage].DependsOn {
 		if w.k.lacksRoom(w.r.Stages[a]) {
 			scarce = append(scarce, a)
 		}
@@ -58,14 +58,14 @@
 func (w *work) mayRepeat() bool {
 	now := w.k.clock.Now()
 	takes := time.Duration(repeatFactor * float64(now.Sub(w.start)))
-	return !w.again && now.Add(takes).Before(w.r.DieBy)
+	return !w.again && now.Add(takes).Before(w.r.Deadline)
 }
 
 // freeUsed gives up the results of stages whose followers are all complete.
 func (w *work) freeUsed(stage int) {
 	w.mu.Lock()
 	var used []Input
-	for _, a := range w.r.Stages[stage].After {
+	for _, a := range w.r.Stages[stage].DependsOn {
 		if w.ended && w.err != nil || !w.followers(a, func(i int) bool { return w.left[i] == 0 }) {
 			continue
 		}
@@ -79,7 +79,7 @@
 // with w.mu held.
 func (w *work) followers(stage int, holds func(i int) bool) bool {
 	for i, s := range w.r.Stages {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a == stage && !holds(i) {
 				return false
 			}
@@ -101,5 +101,5 @@
 
 func (w *work) input(stage int, r batcher.Result) Input {
 	s := &w.r.Stages[stage]
-	return Input{Handle: r.Handle, ServerID: r.ServerID, Service: s.Service, Bytes: s.ItemBytes, Domain: r.Domain}
+	return Input{Handle: r.Handle, ServerID: r.ServerID, Service: s.Service, Bytes: s.ResultBytes, Domain: r.Domain}
 }
--- a/process/stages/late.go
+++ b/process/stages/late.go
@@ -12,7 +12,7 @@
 const lastChanceTime = 700 * time.Millisecond
 
 func (a *Admission) lastChance(t *Ticket, now time.Time) bool {
-	return now.Add(t.latePath() + lastChanceTime).After(t.Request.DieBy)
+	return now.Add(t.latePath() + lastChanceTime).After(t.Request.Deadline)
 }
 
 // lateFactor is how much longer the stages of a late request may take: it runs
--- a/process/stages/leave.go
+++ b/process/stages/leave.go
@@ -26,7 +26,7 @@
 }
 
 // Left tells whether a host has said that it stops.
-func (p *Pool) Left(id peer.Identity) bool {
+func (p *Pool) HasLeft(id peer.Identity) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.left[id.Host] == id.Incarnation
--- a/process/stages/load_test.go
+++ b/process/stages/load_test.go
@@ -244,8 +244,8 @@
 func (c *caller) request(r *rand.Rand, n int) *Request {
 	now := time.Now()
 	return &Request{
-		ID: fmt.Sprint(c.name, n), Domain: []string{"x", "y", "z"}[r.IntN(3)], Worth: c.worth(r), Stages: c.stages(r),
-		AimBy: now.Add(c.aim), DieBy: now.Add(c.die),
+		ID: fmt.Sprint(c.name, n), RunDomain: []string{"x", "y", "z"}[r.IntN(3)], Worth: c.worth(r), Stages: c.stages(r),
+		TargetTime: now.Add(c.aim), Deadline: now.Add(c.die),
 	}
 }
 
@@ -261,13 +261,13 @@
 func (t *tally) count(b became) *int { return []*int{&t.onTime, &t.late, &t.refused}[b] }
 
 func serve(ctx context.Context, k *Coordinator, c caller, q *Request) became {
-	ctx, cancel := context.WithDeadline(ctx, q.DieBy)
+	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
 	made, err := k.Run(ctx, q)
 	switch {
 	case err != nil:
 		return refused
-	case time.Now().After(q.AimBy):
+	case time.Now().After(q.TargetTime):
 		defer k.free(made.Inputs...)
 		return late
 	}
@@ -303,23 +303,23 @@
 		return batcher.Options{MaxItems: items, CallTime: 150 * time.Millisecond, ItemTime: item, ResultMemoryBytes: room, ResultTTL: 4 * time.Second}
 	}
 	drafts := func(r *rand.Rand) []Stage {
-		return []Stage{{Service: "encode", Items: about(r, 1.75), ItemBytes: 3_000_000}}
+		return []Stage{{Service: "encode", Items: about(r, 1.75), ResultBytes: 3_000_000}}
 	}
 	answers := func(r *rand.Rand) []Stage {
 		return []Stage{
-			{Service: "encode", Items: 1, ItemBytes: 8_000},
-			{Service: "retrieve", After: []int{0}, Items: 8, ItemBytes: 60_000},
-			{Service: "rank", After: []int{1}, Items: about(r, 16), ItemBytes: 6_000},
+			{Service: "encode", Items: 1, ResultBytes: 8_000},
+			{Service: "retrieve", DependsOn: []int{0}, Items: 8, ResultBytes: 60_000},
+			{Service: "rank", DependsOn: []int{1}, Items: about(r, 16), ResultBytes: 6_000},
 		}
 	}
 	chats := func(r *rand.Rand) []Stage {
-		list := []Stage{{Service: "encode", ItemBytes: 3_000_000}}
+		list := []Stage{{Service: "encode", ResultBytes: 3_000_000}}
 		if r.Float64() < 0.4 {
 			list[0].Items = about(r, 1.5)
 		}
 		for _, s := range answers(r) {
-			for i := range s.After {
-				s.After[i]++
+			for i := range s.DependsOn {
+				s.DependsOn[i]++
 			}
 			list = append(list, s)
 		}
@@ -405,9 +405,9 @@
 	}
 	questions := func(r *rand.Rand) []Stage {
 		return []Stage{
-			{Service: "encode", Items: 1, ItemBytes: 8_000},
-			{Service: "retrieve", After: []int{0}, Items: 4, ItemBytes: 60_000},
-			{Service: "rank", After: []int{1}, Items: about(r, 6), ItemBytes: 6_000},
+			{Service: "encode", Items: 1, ResultBytes: 8_000},
+			{Service: "retrieve", DependsOn: []int{0}, Items: 4, ResultBytes: 60_000},
+			{Service: "rank", DependsOn: []int{1}, Items: about(r, 6), ResultBytes: 6_000},
 		}
 	}
 	return load{
--- a/process/stages/messages.go
+++ b/process/stages/messages.go
@@ -52,7 +52,7 @@
 func (p *Pool) request(r *Request) runRequest {
 	now := p.clock.Now()
 	return runRequest{
-		ID: r.ID, Round: r.Round, Key: r.Key, Domain: r.Domain, From: r.From, Allowed: r.Allowed, Stages: r.Stages, Worth: r.Worth, Targets: r.Targets, Prompt: r.Prompt,
-		AimMS: r.AimBy.Sub(now).Milliseconds(), DieMS: r.DieBy.Sub(now).Milliseconds(),
+		ID: r.ID, Round: r.Round, Key: r.InputKey, Domain: r.RunDomain, From: r.HostDomain, Allowed: r.AllowedRegions, Stages: r.Stages, Worth: r.Worth, Targets: r.Targets, Prompt: r.Prompt,
+		AimMS: r.TargetTime.Sub(now).Milliseconds(), DieMS: r.Deadline.Sub(now).Milliseconds(),
 	}
 }
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -53,7 +53,7 @@
 func (p *Pool) confirm(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, firstAnswer)
 	defer cancel()
-	if err := p.Ask(ctx, host); err != nil {
+	if err := p.Ping(ctx, host); err != nil {
 		return err
 	}
 	for _, id := range p.link.Peers() {
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -72,20 +72,20 @@
 }
 
 // Run has the stage work of a request done. The error is an *Error or ctx's.
-func (p *Pool) Run(ctx context.Context, r *Request) (Made, error) {
+func (p *Pool) Run(ctx context.Context, r *Request) (Results, error) {
 	if err := p.meet(ctx); err != nil {
-		return Made{}, err
+		return Results{}, err
 	}
-	region := p.region(r.Domain)
+	region := p.region(r.RunDomain)
 	for range maxOwners {
-		owner := p.findOwner(ctx, region, r.Allowed)
+		owner := p.findOwner(ctx, region, r.AllowedRegions)
 		if owner == "" {
 			break
 		}
 		a, err := p.ask(ctx, owner, r)
 		if ctx.Err() != nil {
 			p.cancel(owner, r)
-			return Made{}, ctx.Err()
+			return Results{}, ctx.Err()
 		}
 		if err != nil {
 			p.distrust(owner, err)
@@ -95,15 +95,15 @@
 		p.noteWait(region, time.Duration(a.WaitMS)*time.Millisecond)
 		switch a.Reason {
 		case "":
-			return Made{Inputs: a.Inputs, Owner: owner, Target: a.Target, Fetch: a.Fetch, ID: r.ID, Round: r.Round}, nil
+			return Results{Inputs: a.Inputs, Owner: owner, TargetID: a.Target, FetchFrom: a.Fetch, RequestID: r.ID, Round: r.Round}, nil
 		case moved:
 			p.setLeft(owner) // its answer came before its notice
 		default:
-			return Made{}, &Error{Stage: a.Stage, Reason: a.Reason, Ready: time.Duration(a.ReadyMS) * time.Millisecond}
+			return Results{}, &Error{Stage: a.Stage, Reason: a.Reason, RetryAfter: time.Duration(a.ReadyMS) * time.Millisecond}
 		}
 	}
 	made, err := p.local.Run(ctx, r)
-	p.noteWait(region, p.local.Wait())
+	p.noteWait(region, p.local.MeanWait())
 	return made, err
 }
 
@@ -186,8 +186,8 @@
 
 // Free gives up results that are no longer needed, once the request has read them or
 // has ended. It returns at once.
-func (p *Pool) Free(m Made) {
-	if len(m.Inputs) == 0 && m.Target == "" {
+func (p *Pool) Free(m Results) {
+	if len(m.Inputs) == 0 && m.TargetID == "" {
 		return
 	}
 	if m.Owner == "" {
@@ -204,7 +204,7 @@
 }
 
 func (p *Pool) serveFree(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
-	var m Made
+	var m Results
 	if err := peer.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -99,7 +99,7 @@
 
 func (x *net) add(t *testing.T, id peer.Identity) *node {
 	n := x.start(t, id)
-	n.pool.Met()
+	n.pool.MarkPeersKnown()
 	return n
 }
 
@@ -128,7 +128,7 @@
 	return NewWithT(t), first, second, third
 }
 
-func (n *node) run(id string) (Made, error) {
+func (n *node) run(id string) (Results, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	return n.pool.Run(ctx, chain(id))
@@ -177,15 +177,15 @@
 	x := &net{hosts: map[string]*node{}}
 	last := x.start(t, peer.Identity{Host: "last", Incarnation: 2, Region: "x"})
 	g := NewWithT(t)
-	done := make(chan Made, 1)
+	done := make(chan Results, 1)
 	go func() {
 		made, _ := last.run("r")
 		done <- made
 	}()
 	g.Consistently(last.made, "100ms").Should(BeZero())
 	first := x.add(t, peer.Identity{Host: "first", Incarnation: 1, Region: "x"})
-	last.pool.Met()
-	var made Made
+	last.pool.MarkPeersKnown()
+	var made Results
 	g.Eventually(done, "10s").Should(Receive(&made))
 	g.Expect(made.Owner).To(Equal("first"))
 	g.Expect(first.made()).To(Equal(5))
@@ -218,18 +218,18 @@
 // region that is left alone for its waits is tried again.
 func TestHostsLearnWhereStageWorkWaits(t *testing.T) {
 	g, first, _, third := three(t)
-	g.Expect(third.pool.Wait("x")).To(BeZero())
+	g.Expect(third.pool.ExpectedWait("x")).To(BeZero())
 	for range 100 {
 		first.fix.k.noteWait(time.Second)
 	}
 	_, err := third.run("r")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(third.pool.Wait("x")).To(BeNumerically(">", 500*time.Millisecond))
-	g.Expect(third.pool.Wait("y")).To(BeZero())
+	g.Expect(third.pool.ExpectedWait("x")).To(BeNumerically(">", 500*time.Millisecond))
+	g.Expect(third.pool.ExpectedWait("y")).To(BeZero())
 	old := (*third.pool.waits.Load())["x"]
 	old.at = old.at.Add(-5 * waitHalfLife)
 	third.pool.waits.Store(&map[string]waitNews{"x": old})
-	g.Expect(third.pool.Wait("x")).To(BeNumerically("<", 50*time.Millisecond))
+	g.Expect(third.pool.ExpectedWait("x")).To(BeNumerically("<", 50*time.Millisecond))
 }
 
 // The first host is lost. The next one takes the work, and the first is asked
@@ -339,7 +339,7 @@
 func TestWorkWithACycleIsRefused(t *testing.T) {
 	g, _, _, third := three(t)
 	r := chain("r")
-	r.Stages[0].After = []int{1}
+	r.Stages[0].DependsOn = []int{1}
 	g.Expect(check(r.Stages)).To(MatchError(errBadStages))
 	g.Expect(third.pool.findOwner(t.Context(), "x", residency.Set{})).To(Equal("first"))
 }
@@ -349,16 +349,16 @@
 // being read, though neither host knows of the other's.
 func TestOwnerChoosesWhereTheRequestsOfAllHostsRun(t *testing.T) {
 	g, first, second, third := three(t)
-	run := func(n *node, id string) Made {
+	run := func(n *node, id string) Results {
 		r := chain(id)
-		r.Prompt, r.Targets = Prompt{Own: time.Second}, []Target{{ID: "a"}, {ID: "b", Cost: 100 * time.Millisecond}}
+		r.Prompt, r.Targets = Prompt{OwnPrefill: time.Second}, []Target{{ID: "a"}, {ID: "b", Cost: 100 * time.Millisecond}}
 		made, err := n.pool.Run(t.Context(), r)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(made.Owner).To(Equal("first"))
 		return made
 	}
 	one, two := run(second, "one"), run(third, "two")
-	g.Expect([]string{one.Target, two.Target}).To(Equal([]string{"a", "b"}))
+	g.Expect([]string{one.TargetID, two.TargetID}).To(Equal([]string{"a", "b"}))
 	second.pool.Free(one)
 	third.pool.Free(two)
 	g.Eventually(func() int {
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -24,11 +24,11 @@
 	strong := x.add(t, peer.Identity{Host: "strong", Region: "r3", Domain: "r3", Share: 1, Incarnation: 1})
 	for _, n := range x.hosts {
 		n.pool.region = func(string) string { return "" }
-		n.pool.Met()
+		n.pool.MarkPeersKnown()
 	}
 	bound := func(id string) *Request {
 		r := chain(id)
-		r.Allowed = residency.Set{AccountRegions: []string{"r2"}}
+		r.AllowedRegions = residency.Set{AccountRegions: []string{"r2"}}
 		return r
 	}
 	free, err := client.pool.Run(t.Context(), chain("free"))
@@ -79,7 +79,7 @@
 	}
 	for region, server := range map[string]string{"r1": "portal-near", "r2": "portal-far"} {
 		r := chain(region)
-		r.Allowed.RouteRegions = []string{region}
+		r.AllowedRegions.RouteRegions = []string{region}
 		made, err := w.k.Run(t.Context(), r)
 		w.g.Expect(err).NotTo(HaveOccurred())
 		for _, in := range made.Inputs {
@@ -97,12 +97,12 @@
 	})
 	outcome := func(set residency.Set) string {
 		out := "waits"
-		a.Offer(&Ticket{
-			Request:  &Request{Allowed: set, Stages: []Stage{{Service: "s", Items: 1}}, AimBy: now.Add(time.Second), DieBy: now.Add(time.Minute)},
-			Begin:    func() { out = "begun" },
-			Rejected: func(r batcher.Reason) { out = string(r) },
+		a.Enqueue(&Ticket{
+			Request: &Request{AllowedRegions: set, Stages: []Stage{{Service: "s", Items: 1}}, TargetTime: now.Add(time.Second), Deadline: now.Add(time.Minute)},
+			Start:   func() { out = "begun" },
+			Reject:  func(r batcher.Reason) { out = string(r) },
 		})
-		a.Next(now)
+		a.Schedule(now)
 		return out
 	}
 	g.Expect(outcome(residency.Set{RouteRegions: []string{"r3"}})).To(Equal(string(batcher.NoServer)))
@@ -117,8 +117,8 @@
 	w.k.tell = func(heldPart) { told++ }
 	now := time.Now()
 	for i, set := range []residency.Set{{}, {RouteRegions: []string{"r1"}}} {
-		r := &Request{ID: "r", AimBy: now.Add(time.Second), Allowed: set, Prompt: draft, Targets: []Target{{ID: "next"}}}
-		r.Prompt.Part = fmt.Sprint("part", i)
+		r := &Request{ID: "r", TargetTime: now.Add(time.Second), AllowedRegions: set, Prompt: draft, Targets: []Target{{ID: "next"}}}
+		r.Prompt.LongPrefix = fmt.Sprint("part", i)
 		w.k.choose(&Ticket{Request: r}, now, nil)
 	}
 	g.Expect(told).To(Equal(1))
--- a/process/stages/serve.go
+++ b/process/stages/serve.go
@@ -66,7 +66,7 @@
 	go func() {
 		defer cancel()
 		work.answer = p.do(ctx, q)
-		work.answer.WaitMS = p.local.Wait().Milliseconds()
+		work.answer.WaitMS = p.local.MeanWait().Milliseconds()
 		close(work.done)
 		time.AfterFunc(keptAnswer, func() {
 			p.mu.Lock()
@@ -80,16 +80,16 @@
 func (p *Pool) do(ctx context.Context, q *runRequest) runAnswer {
 	now := p.clock.Now()
 	made, err := p.local.Run(ctx, &Request{
-		ID: q.ID, Round: q.Round, Key: q.Key, Domain: q.Domain, From: q.From, Allowed: q.Allowed, Stages: q.Stages, Worth: q.Worth, Targets: q.Targets, Prompt: q.Prompt,
-		AimBy: now.Add(time.Duration(q.AimMS) * time.Millisecond),
-		DieBy: now.Add(time.Duration(q.DieMS) * time.Millisecond),
+		ID: q.ID, Round: q.Round, InputKey: q.Key, RunDomain: q.Domain, HostDomain: q.From, AllowedRegions: q.Allowed, Stages: q.Stages, Worth: q.Worth, Targets: q.Targets, Prompt: q.Prompt,
+		TargetTime: now.Add(time.Duration(q.AimMS) * time.Millisecond),
+		Deadline:   now.Add(time.Duration(q.DieMS) * time.Millisecond),
 	})
 	var failed *Error
 	switch {
 	case err == nil:
-		return runAnswer{Inputs: made.Inputs, Target: made.Target, Fetch: made.Fetch}
+		return runAnswer{Inputs: made.Inputs, Target: made.TargetID, Fetch: made.FetchFrom}
 	case errors.As(err, &failed):
-		return runAnswer{Reason: failed.Reason, Stage: failed.Stage, ReadyMS: failed.Ready.Milliseconds()}
+		return runAnswer{Reason: failed.Reason, Stage: failed.Stage, ReadyMS: failed.RetryAfter.Milliseconds()}
 	default: // of ctx: the time is over, or the request
 		return runAnswer{Reason: batcher.TooLate}
 	}
@@ -99,7 +99,7 @@
 
 func check(list []Stage) error {
 	for i, s := range list {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a < 0 || a >= i {
 				return errBadStages
 			}
--- a/process/stages/stages.go
+++ b/process/stages/stages.go
@@ -16,10 +16,10 @@
 
 // Stage is one stage of a request.
 type Stage struct {
-	Service   string
-	After     []int // indexes of the stages whose results it needs
-	Items     int   // 0: the stage is left out
-	ItemBytes int64 // approximate size of one result
+	Service     string
+	DependsOn   []int // indexes of the stages whose results it needs
+	Items       int   // 0: the stage is left out
+	ResultBytes int64 // approximate size of one result
 }
 
 // Request is the stage work of one request.
@@ -27,17 +27,17 @@
 	ID string
 	// Round counts how often the results were made for this request: results
 	// that were lost are made again, under the next number.
-	Round  int
-	Key    string // input of the stages that follow no other
-	Domain string // failure domain where the results will be used
-	From   string // failure domain of the host that runs the request
+	Round      int
+	InputKey   string // input of the stages that follow no other
+	RunDomain  string // failure domain where the results will be used
+	HostDomain string // failure domain of the host that runs the request
 	// Allowed are the regions in which the work may be done and collected.
-	Allowed residency.Set
-	Stages  []Stage
+	AllowedRegions residency.Set
+	Stages         []Stage
 	// AimBy is when the results have to be there for the request to keep its
 	// target latency; DieBy is when they are of no use any more.
-	AimBy, DieBy time.Time
-	Worth        float64 // of the whole request, relative to others
+	TargetTime, Deadline time.Time
+	Worth                float64 // of the whole request, relative to others
 	// Targets are the servers on which the request may run, of which one is chosen
 	// when the results are there, and Prompt is what it will read.
 	Targets []Target
@@ -48,7 +48,7 @@
 func (r *Request) last() []int {
 	followed := make([]bool, len(r.Stages))
 	for _, s := range r.Stages {
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			followed[a] = true
 		}
 	}
@@ -65,7 +65,7 @@
 func (r *Request) position(i int) position {
 	at := position{depth: r.depth(i)}
 	for _, s := range r.Stages {
-		at.followed = at.followed || s.Items > 0 && slices.Contains(s.After, i)
+		at.followed = at.followed || s.Items > 0 && slices.Contains(s.DependsOn, i)
 	}
 	return at
 }
@@ -73,7 +73,7 @@
 // depth is the number of stages before a stage, on the longest chain.
 func (r *Request) depth(i int) int {
 	d := 0
-	for _, a := range r.Stages[i].After {
+	for _, a := range r.Stages[i].DependsOn {
 		n := r.depth(a)
 		if r.Stages[a].Items > 0 {
 			n++
@@ -93,17 +93,17 @@
 }
 
 // Made are the results that a request needs, and the host that knows of them.
-type Made struct {
-	Inputs []Input
-	Owner  string // empty: this host
-	Target string // id of the server to run on; empty: none was chosen
-	Fetch  string // id of a server that has read a part of the prompt; empty: none
-	ID     string // of the request
-	Round  int
+type Results struct {
+	Inputs    []Input
+	Owner     string // empty: this host
+	TargetID  string // id of the server to run on; empty: none was chosen
+	FetchFrom string // id of a server that has read a part of the prompt; empty: none
+	RequestID string // of the request
+	Round     int
 }
 
 // Handles returns the names of the results.
-func (m Made) Handles() []string {
+func (m Results) Handles() []string {
 	out := make([]string, len(m.Inputs))
 	for i, in := range m.Inputs {
 		out[i] = in.Handle
@@ -116,7 +116,7 @@
 	Stage  int
 	Reason batcher.Reason
 	// Ready is when there may be room again; 0: not known.
-	Ready time.Duration
+	RetryAfter time.Duration
 }
 
 // Error implements error.
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -37,12 +37,12 @@
 
 // Prompt is what a server reads of a request.
 type Prompt struct {
-	Part   string        // the longest part that other requests share; empty: none
-	Prefix string        // the shared part before it, which more requests share; empty: none
-	Gain   time.Duration // that a server is worth that has read the part
-	Shared time.Duration // that the part takes to read
-	Fetch  time.Duration // that the part takes to get from another server; 0: it cannot
-	Own    time.Duration // that the rest takes
+	LongPrefix    string        // the longest part that other requests share; empty: none
+	ShortPrefix   string        // the shared part before it, which more requests share; empty: none
+	CacheGain     time.Duration // that a server is worth that has read the part
+	SharedPrefill time.Duration // that the part takes to read
+	FetchTime     time.Duration // that the part takes to get from another server; 0: it cannot
+	OwnPrefill    time.Duration // that the rest takes
 }
 
 // readings are the prompts that servers read and have read, of the requests whose
@@ -117,7 +117,7 @@
 func (r *readings) choose(now time.Time, request workKey, slack time.Duration, p Prompt, list []Target) choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	holders, prefixed := r.holders(now, p.Part), r.holders(now, p.Prefix)
+	holders, prefixed := r.holders(now, p.LongPrefix), r.holders(now, p.ShortPrefix)
 	var best option
 	for _, t := range list {
 		if o := r.option(now, slack, p, holders, t); best.ID == "" || o.cost < best.cost {
@@ -127,15 +127,15 @@
 	if best.ID == "" {
 		return choice{}
 	}
-	if best.source == "" && p.Fetch > 0 {
+	if best.source == "" && p.FetchTime > 0 {
 		// Also where the server is believed to have the part: it may have dropped it, and
 		// transfers nothing if it has not.
 		best.source = cmp.Or(fetchSource(now, holders, best.Target), fetchSource(now, prefixed, best.Target))
 	}
 	r.set(best.ID, append(r.byServer[best.ID], reading{request, best.takes, now}))
 	one := holder{best.ID, best.Domain, now, now.Add(best.wait + best.takes)}
-	r.hold(p.Part, holders, one)
-	r.hold(p.Prefix, prefixed, one)
+	r.hold(p.LongPrefix, holders, one)
+	r.hold(p.ShortPrefix, prefixed, one)
 	return choice{server: best.ID, wait: best.wait, fetch: best.source, tell: r.tells(now, p, best.news)}
 }
 
@@ -152,20 +152,20 @@
 
 // option is called with r.mu held.
 func (r *readings) option(now time.Time, slack time.Duration, p Prompt, holders []holder, t Target) option {
-	o := option{Target: t, wait: r.wait(now, t.ID), takes: p.Own, held: has(holders, t)}
+	o := option{Target: t, wait: r.wait(now, t.ID), takes: p.OwnPrefill, held: has(holders, t)}
 	o.cost = t.Cost + waitCost(o.wait, slack)
 	if o.held {
-		o.cost -= p.Gain
+		o.cost -= p.CacheGain
 		return o
 	}
-	if p.Fetch > 0 {
+	if p.FetchTime > 0 {
 		o.source = fetchSource(now, holders, t)
 	}
 	if o.source != "" {
-		o.takes += p.Fetch
+		o.takes += p.FetchTime
 		return o
 	}
-	o.takes += p.Shared
+	o.takes += p.SharedPrefill
 	o.news = true
 	return o
 }
@@ -173,10 +173,10 @@
 // tells reports whether other regions have to hear that a server has a part, and notes
 // that they do. It is called with r.mu held.
 func (r *readings) tells(now time.Time, p Prompt, news bool) bool {
-	if p.Part == "" || p.Shared < leastTold || !news && !r.due(now, p) {
+	if p.LongPrefix == "" || p.SharedPrefill < leastTold || !news && !r.due(now, p) {
 		return false
 	}
-	r.noteTold(now, p.Part)
+	r.noteTold(now, p.LongPrefix)
 	return true
 }
 
@@ -187,7 +187,7 @@
 // due tells whether other regions have to hear of a part again: they would forget who
 // has it, though it is used here. It is called with r.mu held.
 func (r *readings) due(now time.Time, p Prompt) bool {
-	return p.Fetch > 0 && now.Sub(r.told[p.Part]) >= tellAgain
+	return p.FetchTime > 0 && now.Sub(r.told[p.LongPrefix]) >= tellAgain
 }
 
 // noteTold is called with r.mu held.
--- a/process/stages/target_test.go
+++ b/process/stages/target_test.go
@@ -9,7 +9,7 @@
 )
 
 // draft is a prompt that shares a long part with others.
-var draft = Prompt{Part: "part", Gain: 240 * time.Millisecond, Shared: 200 * time.Millisecond, Own: 100 * time.Millisecond}
+var draft = Prompt{LongPrefix: "part", CacheGain: 240 * time.Millisecond, SharedPrefill: 200 * time.Millisecond, OwnPrefill: 100 * time.Millisecond}
 
 var homeAndNext = []Target{{ID: "home", Home: true}, {ID: "next"}}
 
@@ -77,7 +77,7 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r readings
-	chat, list := Prompt{Own: 50 * time.Millisecond}, []Target{{ID: "slow"}, {ID: "next", Cost: 40 * time.Millisecond}}
+	chat, list := Prompt{OwnPrefill: 50 * time.Millisecond}, []Target{{ID: "slow"}, {ID: "next", Cost: 40 * time.Millisecond}}
 	g.Expect(choose(&r, now, 1, tight, chat, list)).To(Equal("slow"))
 	now = now.Add(time.Second)
 	g.Expect(choose(&r, now, 2, tight, chat, list)).To(Equal("next"))
@@ -120,7 +120,7 @@
 // fetched is a draft whose shared part can be had from another server.
 var fetched = func() Prompt {
 	p := draft
-	p.Prefix, p.Fetch = "prefix", 10*time.Millisecond
+	p.ShortPrefix, p.FetchTime = "prefix", 10*time.Millisecond
 	return p
 }()
 
@@ -169,9 +169,9 @@
 	place(&r, now, 0, fetched, "b1")
 	now = now.Add(time.Second)
 	other := fetched
-	other.Part = "another part"
+	other.LongPrefix = "another part"
 	g.Expect(place(&r, now, 1, other, "a1").fetch).To(Equal("b1"))
-	other.Part = "one more"
+	other.LongPrefix = "one more"
 	home := []Target{{ID: "a2", Domain: "a", Home: true}}
 	g.Expect(r.choose(now, key(2), time.Second, other, home).fetch).NotTo(BeEmpty())
 }
--- a/process/stages/wait.go
+++ b/process/stages/wait.go
@@ -26,7 +26,7 @@
 
 // Wait returns how long stage work for a failure domain waits, as far as is known.
 // It takes no lock: each request asks it for several domains.
-func (p *Pool) Wait(domain string) time.Duration {
+func (p *Pool) ExpectedWait(domain string) time.Duration {
 	news := (*p.waits.Load())[p.region(domain)]
 	if news.wait <= 0 {
 		return 0
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -45,7 +45,7 @@
 	for again := true; again; {
 		again = false
 		for i, s := range w.r.Stages {
-			if w.left[i] != -1 || !w.complete(s.After) {
+			if w.left[i] != -1 || !w.complete(s.DependsOn) {
 				continue
 			}
 			w.left[i] = s.Items
@@ -88,7 +88,7 @@
 	s := &w.r.Stages[i]
 	var inputs []string
 	w.mu.Lock()
-	for _, a := range s.After {
+	for _, a := range s.DependsOn {
 		for _, r := range w.results[a] {
 			inputs = append(inputs, r.Handle)
 		}
@@ -97,18 +97,18 @@
 	items := make([]batcher.Item, s.Items)
 	for p := range items {
 		items[p] = batcher.Item{RequestID: w.r.ID, Stage: i, Piece: p, Inputs: inputs}
-		if len(s.After) == 0 {
-			items[p].Key = w.r.Key
+		if len(s.DependsOn) == 0 {
+			items[p].Key = w.r.InputKey
 		}
 	}
 	rest := w.rest(i)
 	domain, away := w.domain(i)
 	job := &batcher.Job{
-		Items: items, Domain: domain, RemoteBytes: away, AllowedRegions: w.r.Allowed, ResultBytes: s.ItemBytes,
-		TargetTime: w.aim.Add(-rest), Deadline: w.r.DieBy.Add(-rest),
+		Items: items, Domain: domain, RemoteBytes: away, AllowedRegions: w.r.AllowedRegions, ResultBytes: s.ResultBytes,
+		TargetTime: w.aim.Add(-rest), Deadline: w.r.Deadline.Add(-rest),
 		OnResult: func(p int, r batcher.Result) { w.item(i, p, r) },
 	}
-	if len(s.After) > 0 {
+	if len(s.DependsOn) > 0 {
 		job.OnInputsFetched = func() { go w.fetched(i, job) }
 	}
 	return job
@@ -123,21 +123,21 @@
 func (w *work) domain(stage int) (domain string, away int64) {
 	s := &w.r.Stages[stage]
 	bytes := map[string]int64{}
-	domain, most := w.r.Domain, int64(nearBytes)
+	domain, most := w.r.RunDomain, int64(nearBytes)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range s.After {
+	for _, a := range s.DependsOn {
 		for _, r := range w.results[a] {
 			if r.Domain == "" {
 				continue
 			}
-			bytes[r.Domain] += w.r.Stages[a].ItemBytes
+			bytes[r.Domain] += w.r.Stages[a].ResultBytes
 			if bytes[r.Domain] > most {
 				domain, most = r.Domain, bytes[r.Domain]
 			}
 		}
 	}
-	away = int64(s.Items) * s.ItemBytes
+	away = int64(s.Items) * s.ResultBytes
 	if len(bytes) > 0 {
 		away = max(away, int64(s.Items)*bytes[domain])
 	}
@@ -149,7 +149,7 @@
 	var longest time.Duration
 	for j := i + 1; j < len(w.r.Stages); j++ {
 		s := &w.r.Stages[j]
-		for _, a := range s.After {
+		for _, a := range s.DependsOn {
 			if a != i {
 				continue
 			}
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -104,8 +104,8 @@
 	start     time.Time
 	aim       time.Time
 	deadline  time.Time
-	made      stages.Made // inputs that are not yet freed
-	round     int         // how often the inputs were made again
+	made      stages.Results // inputs that are not yet freed
+	round     int            // how often the inputs were made again
 	inputs    []string
 	target    string // server chosen for the first attempt; empty: none
 	fetch     string // server that has read the shared part of the prompt; empty: none known
@@ -278,5 +278,5 @@
 
 func (x *exchange) freeInputs() {
 	x.opts.Pool.Free(x.made)
-	x.made = stages.Made{}
+	x.made = stages.Results{}
 }
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -18,7 +18,7 @@
 	}
 	r := x.stageRequest()
 	// Nobody may wait longer than the work can be of use.
-	ctx, cancel := context.WithDeadline(ctx, r.DieBy)
+	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	ctx, leave := x.untilStop(ctx)
 	defer leave()
@@ -32,7 +32,7 @@
 	}
 	x.made = made
 	x.inputs = made.Handles()
-	x.target, x.fetch = made.Target, made.Fetch
+	x.target, x.fetch = made.TargetID, made.FetchFrom
 	x.near, x.nearBytes = x.domainOf(made)
 	return nil
 }
@@ -62,20 +62,20 @@
 
 func (x *exchange) stageRequest() *stages.Request {
 	r := &stages.Request{
-		ID: x.client.AttemptID, Round: x.round, Key: x.client.StageInputKey, Domain: x.likelyDomain(), From: x.opts.Domain,
-		Allowed: x.allowed, Worth: x.worth(),
+		ID: x.client.AttemptID, Round: x.round, InputKey: x.client.StageInputKey, RunDomain: x.likelyDomain(), HostDomain: x.opts.Domain,
+		AllowedRegions: x.allowed, Worth: x.worth(),
 		Stages: make([]stages.Stage, len(x.route.Stages)),
 	}
 	for i, s := range x.route.Stages {
-		r.Stages[i] = stages.Stage{Service: s.Service, After: s.DependsOn, ItemBytes: s.ResultBytes, Items: x.items(i)}
+		r.Stages[i] = stages.Stage{Service: s.Service, DependsOn: s.DependsOn, ResultBytes: s.ResultBytes, Items: x.items(i)}
 	}
 	x.setTargets(r)
 	takes := x.times.expect(x.route.Name)
-	r.AimBy = x.aim.Add(-takes.first)
-	r.DieBy = x.start.Add(x.patience() - min(takes.first, x.patience()/reserveDivisor))
+	r.TargetTime = x.aim.Add(-takes.first)
+	r.Deadline = x.start.Add(x.patience() - min(takes.first, x.patience()/reserveDivisor))
 	wait := x.deadline.Sub(x.start)
-	if end := x.deadline.Add(-min(takes.total(), wait/reserveDivisor)); end.Before(r.DieBy) {
-		r.DieBy = end
+	if end := x.deadline.Add(-min(takes.total(), wait/reserveDivisor)); end.Before(r.Deadline) {
+		r.Deadline = end
 	}
 	return r
 }
@@ -95,7 +95,7 @@
 		r.Targets = append(r.Targets, stages.Target{ID: c.Server.ID, Domain: c.Server.Domain, Cost: c.Cost, Home: c.Home})
 	}
 	own := max(x.client.InputTokens-q.PrefixTokens, 0)
-	r.Prompt = stages.Prompt{Part: q.AffinityKey, Prefix: x.prefix(), Gain: q.AffinityDiscount(), Shared: q.PrefillTime(), Fetch: x.fetchTime(q.PrefixTokens), Own: time.Duration(own) * q.PrefillTimePerToken}
+	r.Prompt = stages.Prompt{LongPrefix: q.AffinityKey, ShortPrefix: x.prefix(), CacheGain: q.AffinityDiscount(), SharedPrefill: q.PrefillTime(), FetchTime: x.fetchTime(q.PrefixTokens), OwnPrefill: time.Duration(own) * q.PrefillTimePerToken}
 }
 
 // reserveDivisor: at most half of a client's time is kept for the stream. What streams
@@ -134,7 +134,7 @@
 	q.QueueingCost = func(domain string) time.Duration {
 		cost, known := costs[domain]
 		if !known {
-			cost = time.Duration(part * float64(min(x.opts.Pool.Wait(domain), maxBusyWait)) / busyDivisor)
+			cost = time.Duration(part * float64(min(x.opts.Pool.ExpectedWait(domain), maxBusyWait)) / busyDivisor)
 			costs[domain] = cost
 		}
 		return cost
@@ -156,7 +156,7 @@
 )
 
 // domainOf is the failure domain that holds most of the results, and how much.
-func (x *exchange) domainOf(m stages.Made) (domain string, most int64) {
+func (x *exchange) domainOf(m stages.Results) (domain string, most int64) {
 	view := x.opts.Directory.View()
 	bytes := map[string]int64{}
 	for _, in := range m.Inputs {
@@ -201,8 +201,8 @@
 	if failed.Reason == batcher.NoServer {
 		e.Kind, e.RetryAfter = kind.NoBackend, x.spread(noServerRetry)
 	}
-	if failed.Ready > 0 {
-		e.RetryAfter = x.spread(failed.Ready)
+	if failed.RetryAfter > 0 {
+		e.RetryAfter = x.spread(failed.RetryAfter)
 	}
 	return e
 }
--- a/request/gateway/streamtime_test.go
+++ b/request/gateway/streamtime_test.go
@@ -47,10 +47,10 @@
 	now := time.Unix(1000, 0)
 	x := staged(now, 7*time.Second, streamTime{first: 400 * time.Millisecond, rest: 2 * time.Second})
 	takes := x.times.expect("r")
-	g.Expect(x.stageRequest().DieBy).To(Equal(x.deadline.Add(-takes.total())))
-	g.Expect(x.stageRequest().AimBy).To(Equal(x.aim.Add(-takes.first)))
+	g.Expect(x.stageRequest().Deadline).To(Equal(x.deadline.Add(-takes.total())))
+	g.Expect(x.stageRequest().TargetTime).To(Equal(x.aim.Add(-takes.first)))
 	x.deadline = now.Add(time.Minute)
-	g.Expect(x.stageRequest().DieBy).To(Equal(now.Add(8*time.Second - takes.first)))
+	g.Expect(x.stageRequest().Deadline).To(Equal(now.Add(8*time.Second - takes.first)))
 }
 
 // The process was stopped for seconds while streams ran, and they seemed to take
@@ -64,9 +64,9 @@
 		t.Run(name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
 			x := staged(now, 4*time.Second, took)
-			NewWithT(t).Expect(x.stageRequest().DieBy).To(BeTemporally(">=", now.Add(2*time.Second)))
+			NewWithT(t).Expect(x.stageRequest().Deadline).To(BeTemporally(">=", now.Add(2*time.Second)))
 			x.deadline = now.Add(time.Minute)
-			NewWithT(t).Expect(x.stageRequest().DieBy).To(BeTemporally(">=", now.Add(4*time.Second)))
+			NewWithT(t).Expect(x.stageRequest().Deadline).To(BeTemporally(">=", now.Add(4*time.Second)))
 		})
 	}
 }
