--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -15,14 +15,14 @@
 // full; above it requests only wait inside, holding results and room, and those
 // that will miss their aim can no longer be told from those that need not.
 type Admission struct {
-	services func(name string) (Service, bool)
+	lookupService func(name string) (Service, bool)
 	// known are the services as they were when the present decision began. Asking
 	// for them anew for each waiting request takes the whole processor of an
 	// overloaded host.
-	known    map[string]Service
-	underWay map[string]amount // begun and not finished, by service
+	serviceCache map[string]Service
+	inFlight     map[string]workAmount // begun and not finished, by service
 	// lateUnderWay is that of requests that were late when they began.
-	lateUnderWay map[string]amount
+	lateInFlight map[string]workAmount
 	onTime       []*Ticket
 	late         []*Ticket
 }
@@ -42,36 +42,36 @@
 	TargetWait      time.Duration   // for other prompts there
 	FetchFrom       string          // server from which that one gets a part of the prompt
 
-	late bool
-	cost float64       // seconds of all servers of its services
-	path time.Duration // that its stages take once it is begun, as last looked at
+	late          bool
+	serverSeconds float64       // seconds of all servers of its services
+	criticalPath  time.Duration // that its stages take once it is begun, as last looked at
 }
 
 // NewAdmission returns an admission; services tells what is known of a service.
 func NewAdmission(services func(name string) (Service, bool)) *Admission {
-	return &Admission{services: services, known: map[string]Service{}, underWay: map[string]amount{}, lateUnderWay: map[string]amount{}}
+	return &Admission{lookupService: services, serviceCache: map[string]Service{}, inFlight: map[string]workAmount{}, lateInFlight: map[string]workAmount{}}
 }
 
 // service returns what is known of a service; false: there is none of that name.
 func (a *Admission) service(name string) (Service, bool) {
-	if s, ok := a.known[name]; ok {
+	if s, ok := a.serviceCache[name]; ok {
 		return s, true
 	}
-	s, ok := a.services(name)
+	s, ok := a.lookupService(name)
 	if ok {
-		a.known[name] = s
+		a.serviceCache[name] = s
 	}
 	return s, ok
 }
 
 // Offer adds a request that wants to be begun.
 func (a *Admission) Enqueue(t *Ticket) {
-	clear(a.known)
-	t.cost = a.cost(t.Request)
-	a.onTime = insert(a.onTime, t, func(x, y *Ticket) bool { return x.density() > y.density() })
+	clear(a.serviceCache)
+	t.serverSeconds = a.serverSeconds(t.Request)
+	a.onTime = insertSorted(a.onTime, t, func(x, y *Ticket) bool { return x.worthPerSecond() > y.worthPerSecond() })
 }
 
-func insert(list []*Ticket, t *Ticket, before func(a, b *Ticket) bool) []*Ticket {
+func insertSorted(list []*Ticket, t *Ticket, before func(a, b *Ticket) bool) []*Ticket {
 	i := sort.Search(len(list), func(i int) bool { return before(t, list[i]) })
 	list = append(list, nil)
 	copy(list[i+1:], list[i:])
@@ -84,11 +84,13 @@
 func (t *Ticket) Late() bool { return t.late }
 
 // density is worth for the servers' time: what a scarce second earns.
-func (t *Ticket) density() float64 { return t.Request.Worth / max(t.cost, minCost) }
+func (t *Ticket) worthPerSecond() float64 {
+	return t.Request.Worth / max(t.serverSeconds, minServerSeconds)
+}
 
-const minCost = 1e-3 // seconds
+const minServerSeconds = 1e-3 // seconds
 
-func (a *Admission) cost(r *Request) float64 {
+func (a *Admission) serverSeconds(r *Request) float64 {
 	var sum float64
 	for _, s := range r.Stages {
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 && svc.ItemsPerSecond > 0 {
@@ -123,9 +125,9 @@
 
 // Finished notes that a stage's items are no longer under way.
 func (a *Admission) StageFinished(s Stage, late bool) {
-	a.underWay[s.Service] = a.underWay[s.Service].without(s)
+	a.inFlight[s.Service] = a.inFlight[s.Service].minus(s)
 	if late {
-		a.lateUnderWay[s.Service] = a.lateUnderWay[s.Service].without(s)
+		a.lateInFlight[s.Service] = a.lateInFlight[s.Service].minus(s)
 	}
 }
 
@@ -134,34 +136,34 @@
 
 // Next begins and rejects requests as it is right at now.
 func (a *Admission) Schedule(now time.Time) {
-	clear(a.known)
-	a.sort(now)
-	b := &blocked{rate: map[string]bool{}, room: map[string]int64{}}
-	a.late = a.begin(a.late, func(t *Ticket) bool { return a.lastChance(t, now) && a.fitsLate(t.Request) })
-	a.onTime = a.begin(a.onTime, func(t *Ticket) bool { return a.fits(t, b) })
-	a.late = a.begin(a.late, func(t *Ticket) bool { return a.fits(t, b) })
+	clear(a.serviceCache)
+	a.classify(now)
+	b := &reservations{services: map[string]bool{}, resultBytes: map[string]int64{}}
+	a.late = a.startFitting(a.late, func(t *Ticket) bool { return a.nearLatestStart(t, now) && a.fitsLateReserve(t.Request) })
+	a.onTime = a.startFitting(a.onTime, func(t *Ticket) bool { return a.fits(t, b) })
+	a.late = a.startFitting(a.late, func(t *Ticket) bool { return a.fits(t, b) })
 }
 
 // sort moves requests that can no longer be on time behind the others and
 // rejects those that can no longer be of use.
-func (a *Admission) sort(now time.Time) {
-	a.onTime = a.keep(a.onTime, now, func(t *Ticket) bool {
-		if !now.Add(t.path).After(t.Request.TargetTime) {
+func (a *Admission) classify(now time.Time) {
+	a.onTime = a.filterViable(a.onTime, now, func(t *Ticket) bool {
+		if !now.Add(t.criticalPath).After(t.Request.TargetTime) {
 			return true
 		}
 		t.late = true
-		a.late = insert(a.late, t, func(x, y *Ticket) bool { return x.Request.Deadline.Before(y.Request.Deadline) })
+		a.late = insertSorted(a.late, t, func(x, y *Ticket) bool { return x.Request.Deadline.Before(y.Request.Deadline) })
 		return false
 	})
-	a.late = a.keep(a.late, now, func(*Ticket) bool { return true })
+	a.late = a.filterViable(a.late, now, func(*Ticket) bool { return true })
 }
 
 // keep rejects the hopeless of a list and drops those that stay is false for.
-func (a *Admission) keep(list []*Ticket, now time.Time, stay func(*Ticket) bool) []*Ticket {
+func (a *Admission) filterViable(list []*Ticket, now time.Time, stay func(*Ticket) bool) []*Ticket {
 	kept := list[:0]
 	for _, t := range list {
-		t.path = a.path(t.Request)
-		needs := t.path
+		t.criticalPath = a.criticalPath(t.Request)
+		needs := t.criticalPath
 		if t.late {
 			needs = t.latePath()
 		}
@@ -169,7 +171,7 @@
 			t.Reject(batcher.TooLate)
 			continue
 		}
-		if a.unserved(t.Request) {
+		if a.lacksServer(t.Request) {
 			t.Reject(batcher.NoServer)
 			continue
 		}
@@ -183,7 +185,7 @@
 
 // unserved tells whether a stage has no server that may do its work. Such requests are
 // refused at once: waiting would only take the time in which another try may succeed.
-func (a *Admission) unserved(r *Request) bool {
+func (a *Admission) lacksServer(r *Request) bool {
 	for _, s := range r.Stages {
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.AllowedRegions.Restricted() && !r.AllowedRegions.AllowsAny(svc.Regions)) {
 			return true
@@ -193,7 +195,7 @@
 }
 
 // path is how long the stages of a request take once it is begun.
-func (a *Admission) path(r *Request) time.Duration {
+func (a *Admission) criticalPath(r *Request) time.Duration {
 	ends := make([]time.Duration, len(r.Stages))
 	var longest time.Duration
 	for i, s := range r.Stages {
@@ -201,7 +203,7 @@
 			ends[i] = max(ends[i], ends[after])
 		}
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 {
-			ends[i] += svc.call() + callWait
+			ends[i] += svc.fullCallTime() + callOverhead
 		}
 		longest = max(longest, ends[i])
 	}
@@ -209,7 +211,7 @@
 }
 
 // begin starts what fits, in order.
-func (a *Admission) begin(list []*Ticket, fits func(*Ticket) bool) []*Ticket {
+func (a *Admission) startFitting(list []*Ticket, fits func(*Ticket) bool) []*Ticket {
 	kept := list[:0]
 	for _, t := range list {
 		if fits(t) {
@@ -223,15 +225,15 @@
 }
 
 // blocked are services for which a request of more worth waits.
-type blocked struct {
-	rate map[string]bool
-	room map[string]int64 // bytes that it needs
+type reservations struct {
+	services    map[string]bool
+	resultBytes map[string]int64 // bytes that it needs
 }
 
 // fits tells whether all services of a request have room for it. A request that
 // does not fit keeps the services that it lacks for itself: others behind it
 // would take each bit of room before it.
-func (a *Admission) fits(t *Ticket, b *blocked) bool {
+func (a *Admission) fits(t *Ticket, b *reservations) bool {
 	fits := true
 	r := t.Request
 	for i, s := range r.Stages {
@@ -242,17 +244,17 @@
 		if !ok {
 			continue // the batcher tells what is wrong with it
 		}
-		at, used := r.position(i), a.underWay[s.Service]
-		if b.rate[s.Service] || used.items > 0 && used.with(s).over(svc.bound(at), 1) {
+		at, used := r.position(i), a.inFlight[s.Service]
+		if b.services[s.Service] || used.items > 0 && used.plus(s).exceeds(svc.inFlightLimit(at), 1) {
 			fits = false
 			t.BlockedBy, t.BlockedByMemory = s.Service, false
-			b.rate[s.Service] = true
+			b.services[s.Service] = true
 		}
 		need := int64(s.Items) * s.ResultBytes
-		if at.depth == 0 && (need*smallNeed > b.room[s.Service] && b.room[s.Service] > 0 || svc.full(need)) {
+		if at.depth == 0 && (need*smallNeedDivisor > b.resultBytes[s.Service] && b.resultBytes[s.Service] > 0 || svc.resultMemoryFull(need)) {
 			fits = false
 			t.BlockedBy, t.BlockedByMemory = s.Service, true
-			b.room[s.Service] = max(b.room[s.Service], need)
+			b.resultBytes[s.Service] = max(b.resultBytes[s.Service], need)
 		}
 	}
 	return fits
@@ -260,31 +262,31 @@
 
 // smallNeed: a request that needs less than this part of the room that another
 // waits for does not keep the other from it.
-const smallNeed = 20
+const smallNeedDivisor = 20
 
 // BeginAgain counts the work of a request once more that has to be repeated;
 // false: it can be of no use any more.
 func (a *Admission) Restart(t *Ticket, now time.Time) bool {
-	clear(a.known)
-	t.path = a.path(t.Request)
-	if now.Add(t.path).After(t.Request.Deadline) {
+	clear(a.serviceCache)
+	t.criticalPath = a.criticalPath(t.Request)
+	if now.Add(t.criticalPath).After(t.Request.Deadline) {
 		return false
 	}
-	t.late = t.late || now.Add(t.path).After(t.Request.TargetTime)
-	a.count(t)
+	t.late = t.late || now.Add(t.criticalPath).After(t.Request.TargetTime)
+	a.addInFlight(t)
 	return true
 }
 
 func (a *Admission) start(t *Ticket) {
-	a.count(t)
+	a.addInFlight(t)
 	t.Start()
 }
 
-func (a *Admission) count(t *Ticket) {
+func (a *Admission) addInFlight(t *Ticket) {
 	for _, s := range t.Request.Stages {
-		a.underWay[s.Service] = a.underWay[s.Service].with(s)
+		a.inFlight[s.Service] = a.inFlight[s.Service].plus(s)
 		if t.late {
-			a.lateUnderWay[s.Service] = a.lateUnderWay[s.Service].with(s)
+			a.lateInFlight[s.Service] = a.lateInFlight[s.Service].plus(s)
 		}
 	}
 }
--- a/process/stages/admission_test.go
+++ b/process/stages/admission_test.go
@@ -12,40 +12,40 @@
 
 // sheet is a service like those of today: five servers, calls of 240 ms and 15
 // ms an item, of at most 14, which makes 155 items a second.
-func sheet() Service {
+func newTestService() Service {
 	o := batcher.Options{MaxItems: 14, CallTime: 240 * time.Millisecond, ItemTime: 15 * time.Millisecond}
 	return Service{Options: o, Capacity: batcher.Capacity{ListedServers: 5, AvailableServers: 5, ItemsPerSecond: 155}}
 }
 
 // line is an admission with simulated time in which begun requests take as long
 // as the service needs for them, one after the other.
-type line struct {
-	g        *WithT
-	a        *Admission
-	now      time.Time
-	begun    []string
-	rejected map[string]batcher.Reason
-	lateOnes map[string]bool
-	underWay []bool // late or not, an item each, in the order of their begin
-}
-
-func newLine(t *testing.T, services map[string]Service) *line {
-	l := &line{g: NewWithT(t), now: time.Unix(1000, 0), rejected: map[string]batcher.Reason{}, lateOnes: map[string]bool{}}
+type admissionSim struct {
+	g           *WithT
+	a           *Admission
+	now         time.Time
+	started     []string
+	rejected    map[string]batcher.Reason
+	startedLate map[string]bool
+	inFlight    []bool // late or not, an item each, in the order of their begin
+}
+
+func newAdmissionSim(t *testing.T, services map[string]Service) *admissionSim {
+	l := &admissionSim{g: NewWithT(t), now: time.Unix(1000, 0), rejected: map[string]batcher.Reason{}, startedLate: map[string]bool{}}
 	l.a = NewAdmission(func(name string) (Service, bool) { s, ok := services[name]; return s, ok })
 	return l
 }
 
-func (l *line) offer(id string, worth float64, items int, aim, die time.Duration) {
+func (l *admissionSim) enqueue(id string, worth float64, items int, aim, die time.Duration) {
 	r := &Request{
 		ID: id, Worth: worth, Stages: []Stage{{Service: "s", Items: items}},
 		TargetTime: l.now.Add(aim), Deadline: l.now.Add(die),
 	}
 	t := &Ticket{Request: r}
 	t.Start = func() {
-		l.begun = append(l.begun, id)
-		l.lateOnes[id] = t.late
+		l.started = append(l.started, id)
+		l.startedLate[id] = t.late
 		for range items {
-			l.underWay = append(l.underWay, t.late)
+			l.inFlight = append(l.inFlight, t.late)
 		}
 	}
 	t.Reject = func(reason batcher.Reason) { l.rejected[id] = reason }
@@ -53,12 +53,12 @@
 }
 
 // pass lets the service finish items at its rate for d.
-func (l *line) pass(d time.Duration) {
+func (l *admissionSim) advance(d time.Duration) {
 	const step = 20 * time.Millisecond
 	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(step) {
-		for range min(3, len(l.underWay)) { // 150 a second
-			l.a.StageFinished(Stage{Service: "s", Items: 1}, l.underWay[0])
-			l.underWay = l.underWay[1:]
+		for range min(3, len(l.inFlight)) { // 150 a second
+			l.a.StageFinished(Stage{Service: "s", Items: 1}, l.inFlight[0])
+			l.inFlight = l.inFlight[1:]
 		}
 		l.a.Schedule(l.now)
 	}
@@ -67,18 +67,18 @@
 // Requests of more worth for their work come while the service is full. They
 // are begun before those that came earlier but are worth less.
 func TestWorthForWorkDecidesWhoIsBegun(t *testing.T) {
-	l := newLine(t, map[string]Service{"s": sheet()})
+	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	for i := range 60 {
-		l.offer(fmt.Sprintf("low-%d", i), 1, 4, 3*time.Second, 10*time.Second)
+		l.enqueue(fmt.Sprintf("low-%d", i), 1, 4, 3*time.Second, 10*time.Second)
 	}
 	l.a.Schedule(l.now)
-	before := len(l.begun)
+	before := len(l.started)
 	l.g.Expect(before).To(BeNumerically("<", 60), "not all at once")
 	for i := range 10 {
-		l.offer(fmt.Sprintf("high-%d", i), 5, 4, 3*time.Second, 10*time.Second)
+		l.enqueue(fmt.Sprintf("high-%d", i), 5, 4, 3*time.Second, 10*time.Second)
 	}
-	l.pass(400 * time.Millisecond)
-	for i, id := range l.begun[before : before+10] {
+	l.advance(400 * time.Millisecond)
+	for i, id := range l.started[before : before+10] {
 		l.g.Expect(id).To(Equal(fmt.Sprintf("high-%d", i)))
 	}
 }
@@ -87,39 +87,39 @@
 // in time stays in time, instead of all being late by a little; the rest is
 // served afterwards, since it is of use for longer.
 func TestOverloadMakesSomeLateAndNotAll(t *testing.T) {
-	l := newLine(t, map[string]Service{"s": sheet()})
+	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	n := 0
 	for range 40 { // 75 requests of four items a second
 		for range 7 {
-			l.offer(fmt.Sprint(n), float64(1+n%3), 4, 1500*time.Millisecond, 15*time.Second)
+			l.enqueue(fmt.Sprint(n), float64(1+n%3), 4, 1500*time.Millisecond, 15*time.Second)
 			n++
 		}
-		l.pass(100 * time.Millisecond)
+		l.advance(100 * time.Millisecond)
 	}
-	l.pass(14 * time.Second)
+	l.advance(14 * time.Second)
 	onTime := 0
-	for _, id := range l.begun {
-		if !l.lateOnes[id] {
+	for _, id := range l.started {
+		if !l.startedLate[id] {
 			onTime++
 		}
 	}
 	l.g.Expect(onTime).To(BeNumerically(">", 130), "about half of %d", n)
-	l.g.Expect(len(l.begun)).To(Equal(n), "nobody is turned away")
+	l.g.Expect(len(l.started)).To(Equal(n), "nobody is turned away")
 }
 
 // The overload lasts. Requests of little worth get a share at their last chance,
 // so that they are not turned away for as long as it lasts.
 func TestLastChanceOfRequestsOfLittleWorth(t *testing.T) {
-	l := newLine(t, map[string]Service{"s": sheet()})
+	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	for i := range 100 { // ten seconds
 		for k := range 6 {
-			l.offer(fmt.Sprintf("high-%d-%d", i, k), 5, 4, 1500*time.Millisecond, 15*time.Second)
+			l.enqueue(fmt.Sprintf("high-%d-%d", i, k), 5, 4, 1500*time.Millisecond, 15*time.Second)
 		}
-		l.offer(fmt.Sprintf("low-%d", i), 0.1, 4, 1500*time.Millisecond, 5*time.Second)
-		l.pass(100 * time.Millisecond)
+		l.enqueue(fmt.Sprintf("low-%d", i), 0.1, 4, 1500*time.Millisecond, 5*time.Second)
+		l.advance(100 * time.Millisecond)
 	}
 	served := 0
-	for _, id := range l.begun {
+	for _, id := range l.started {
 		if id[0] == 'l' {
 			served++
 		}
@@ -132,22 +132,22 @@
 // all at once none of them would end in time, and those that can be on time would
 // wait behind them.
 func TestLastChancesKeepToTheirPart(t *testing.T) {
-	s := sheet()
-	l := newLine(t, map[string]Service{"s": s})
-	l.a.underWay["s"] = s.bound(position{})
+	s := newTestService()
+	l := newAdmissionSim(t, map[string]Service{"s": s})
+	l.a.inFlight["s"] = s.inFlightLimit(stagePosition{})
 	for i := range 200 {
-		l.offer(fmt.Sprint("late-", i), 1, 4, 0, 1300*time.Millisecond)
+		l.enqueue(fmt.Sprint("late-", i), 1, 4, 0, 1300*time.Millisecond)
 	}
 	l.a.Schedule(l.now)
-	kept := lastChanceShare * float64(s.bound(position{}).items)
-	l.g.Expect(float64(4 * len(l.begun))).To(BeNumerically("~", kept, 4))
+	kept := lateReserveShare * float64(s.inFlightLimit(stagePosition{}).items)
+	l.g.Expect(float64(4 * len(l.started))).To(BeNumerically("~", kept, 4))
 }
 
 // A request that cannot be of use any more is rejected when that is known, not
 // when its deadline has passed.
 func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
-	l := newLine(t, map[string]Service{"s": sheet()})
-	l.offer("hopeless", 1, 1, time.Second, 300*time.Millisecond)
+	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
+	l.enqueue("hopeless", 1, 1, time.Second, 300*time.Millisecond)
 	l.a.Schedule(l.now)
 	l.g.Expect(l.rejected).To(HaveKeyWithValue("hopeless", batcher.TooLate))
 }
@@ -155,36 +155,36 @@
 // The first stage lacks room for large results. A request with large results
 // waits; one with small results does not wait behind it.
 func TestLackOfRoomHoldsOnlyThoseThatNeedIt(t *testing.T) {
-	s := sheet()
+	s := newTestService()
 	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, -11_500_000
-	l := newLine(t, map[string]Service{"s": s})
+	l := newAdmissionSim(t, map[string]Service{"s": s})
 	for i, bytes := range []int64{800_000, 8_000} {
 		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ResultBytes: bytes}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(9 * time.Second)}
-		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.begun = append(l.begun, r.ID) }, Reject: func(batcher.Reason) {}})
+		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.started = append(l.started, r.ID) }, Reject: func(batcher.Reason) {}})
 	}
 	l.a.Schedule(l.now)
-	l.g.Expect(l.begun).To(Equal([]string{"1"}))
+	l.g.Expect(l.started).To(Equal([]string{"1"}))
 }
 
 // The pattern: a service has many items with small results under way, and room for a
 // dozen large ones, all of it free. Requests with large results are begun: what the
 // small ones take of the servers' time is no lack of room.
 func TestSmallResultsDoNotUseUpTheRoomOfLargeOnes(t *testing.T) {
-	s := sheet()
+	s := newTestService()
 	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, 48_000_000
-	l := newLine(t, map[string]Service{"s": s})
-	l.a.underWay["s"] = amount{items: 60, bytes: 60 * 8_000}
+	l := newAdmissionSim(t, map[string]Service{"s": s})
+	l.a.inFlight["s"] = workAmount{items: 60, bytes: 60 * 8_000}
 	for i := range 10 {
 		r := &Request{ID: fmt.Sprint(i), Worth: 2, Stages: []Stage{{Service: "s", Items: 2, ResultBytes: 3_000_000}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(9 * time.Second)}
-		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.begun = append(l.begun, r.ID) }, Reject: func(batcher.Reason) {}})
+		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.started = append(l.started, r.ID) }, Reject: func(batcher.Reason) {}})
 	}
 	l.a.Schedule(l.now)
-	l.g.Expect(len(l.begun)).To(BeNumerically(">=", 6), "as many as there is room for")
-	l.g.Expect(len(l.begun)).To(BeNumerically("<", 10), "the room bounds what is begun")
+	l.g.Expect(len(l.started)).To(BeNumerically(">=", 6), "as many as there is room for")
+	l.g.Expect(len(l.started)).To(BeNumerically("<", 10), "the room bounds what is begun")
 }
 
 func TestWithdrawnRequestIsNotBegun(t *testing.T) {
-	l := newLine(t, map[string]Service{"s": sheet()})
+	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	r := &Request{ID: "1", Stages: []Stage{{Service: "s", Items: 1}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(time.Second)}
 	ticket := &Ticket{Request: r, Start: func() { t.Error("begun") }, Reject: func(batcher.Reason) { t.Error("rejected") }}
 	l.a.Enqueue(ticket)
@@ -200,20 +200,20 @@
 	}}
 	g.Expect(r.depth(0)).To(Equal(0))
 	g.Expect(r.depth(2)).To(Equal(1))
-	g.Expect(r.last()).To(Equal([]int{2, 3}))
+	g.Expect(r.finalStages()).To(Equal([]int{2, 3}))
 }
 
 // All servers of a stage are gone from the platform's list. Requests that need
 // it are refused at once; those that leave the stage out are not.
 func TestStageWithoutServersRefusesAtOnce(t *testing.T) {
-	gone := sheet()
+	gone := newTestService()
 	gone.Capacity = batcher.Capacity{}
-	l := newLine(t, map[string]Service{"s": gone})
-	l.offer("needs it", 1, 1, time.Second, 10*time.Second)
-	l.offer("does not", 1, 0, time.Second, 10*time.Second)
+	l := newAdmissionSim(t, map[string]Service{"s": gone})
+	l.enqueue("needs it", 1, 1, time.Second, 10*time.Second)
+	l.enqueue("does not", 1, 0, time.Second, 10*time.Second)
 	l.a.Schedule(l.now)
 	l.g.Expect(l.rejected).To(Equal(map[string]batcher.Reason{"needs it": batcher.NoServer}))
-	l.g.Expect(l.begun).To(Equal([]string{"does not"}))
+	l.g.Expect(l.started).To(Equal([]string{"does not"}))
 }
 
 // The pattern: an overload in which 250 requests wait at the host that does the
@@ -222,10 +222,10 @@
 // host had no processor left for the calls, and its servers stood idle.
 func TestEachDecisionAsksAServiceOnce(t *testing.T) {
 	asked := 0
-	l := newLine(t, nil)
-	l.a = NewAdmission(func(string) (Service, bool) { asked++; return sheet(), true })
+	l := newAdmissionSim(t, nil)
+	l.a = NewAdmission(func(string) (Service, bool) { asked++; return newTestService(), true })
 	for i := range 250 {
-		l.offer(fmt.Sprint(i), 1, 4, time.Duration(i%4)*time.Second, 10*time.Second)
+		l.enqueue(fmt.Sprint(i), 1, 4, time.Duration(i%4)*time.Second, 10*time.Second)
 	}
 	for range 10 {
 		asked = 0
--- a/process/stages/bench_test.go
+++ b/process/stages/bench_test.go
@@ -36,7 +36,7 @@
 	services := map[string]*batcher.Batcher{}
 	for _, name := range []string{"encode", "retrieve", "rank"} {
 		opts := batcher.Options{MaxItems: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, ResultMemoryBytes: 40 << 20}
-		b := batcher.New(name, opts, nil, clock.System{}, quiet{})
+		b := batcher.New(name, opts, nil, clock.System{}, discardLog{})
 		dir := directory.New()
 		var servers []directory.Entry
 		for i := range 5 {
@@ -49,7 +49,7 @@
 		}
 		services[name] = b
 	}
-	k := NewCoordinator(func(name string) *batcher.Batcher { return services[name] }, noServers, clock.System{}, quiet{})
+	k := NewCoordinator(func(name string) *batcher.Batcher { return services[name] }, noServers, clock.System{}, discardLog{})
 	for i := range waiting {
 		aim := time.Now().Add(time.Duration(i%2) * time.Hour) // half of them are late
 		k.admission.Enqueue(&Ticket{Start: func() {}, Request: &Request{
@@ -73,7 +73,7 @@
 			for i := range hosts - 1 {
 				mesh.Learn(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: uint64(1 + i*7919%hosts), Region: fmt.Sprint("r", i%3), Share: 0.4})
 			}
-			p := NewPool(mesh, clock.System{}, nil, func(string) string { return "r1" }, quiet{})
+			p := NewPool(mesh, clock.System{}, nil, func(string) string { return "r1" }, discardLog{})
 			b.ReportAllocs()
 			for b.Loop() {
 				p.owner("r1", residency.Set{})
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -25,31 +25,31 @@
 
 // Coordinator runs stage work on this host, its own and that of others.
 type Coordinator struct {
-	batchers BatcherLookup
-	servers  TargetLookup
-	clock    clock.Clock
-	log      Log
+	lookupBatcher BatcherLookup
+	lookupTarget  TargetLookup
+	clock         clock.Clock
+	log           Log
 
-	readings readings
+	prompts promptTracker
 	// tell passes on that a server has read a shared part which others would not expect
 	// there.
-	tell func(heldPart)
+	announcePrefix func(cachedPrefix)
 
-	mu        sync.Mutex
-	admission *Admission
-	again     bool          // a call to pump is due
-	meanWait  time.Duration // mean wait of the last requests to be begun
+	mu           sync.Mutex
+	admission    *Admission
+	timerPending bool          // a call to pump is due
+	meanWait     time.Duration // mean wait of the last requests to be begun
 }
 
 // NewCoordinator returns a coordinator without work.
 func NewCoordinator(batchers BatcherLookup, servers TargetLookup, c clock.Clock, log Log) *Coordinator {
-	k := &Coordinator{batchers: batchers, servers: servers, clock: c, log: log, tell: func(heldPart) {}}
+	k := &Coordinator{lookupBatcher: batchers, lookupTarget: servers, clock: c, log: log, announcePrefix: func(cachedPrefix) {}}
 	k.admission = NewAdmission(k.service)
 	return k
 }
 
 func (k *Coordinator) service(name string) (Service, bool) {
-	b := k.batchers(name)
+	b := k.lookupBatcher(name)
 	if b == nil {
 		return Service{}, false
 	}
@@ -60,22 +60,22 @@
 // *Error or ctx's.
 func (k *Coordinator) Run(ctx context.Context, r *Request) (Results, error) {
 	offered := k.clock.Now()
-	t, err := k.wait(ctx, r)
+	t, err := k.waitForAdmission(ctx, r)
 	began := k.clock.Now()
-	k.noteWait(began.Sub(offered))
+	k.recordWait(began.Sub(offered))
 	var inputs []Input
 	if err == nil {
-		inputs, err = k.work(ctx, t, false)
+		inputs, err = k.execute(ctx, t, false)
 	}
-	if inputGone(err) && k.begin(t) {
+	if isInputGone(err) && k.restart(t) {
 		// The server that held a result was lost. The client has waited for
 		// most of its answer already: its request does not wait again.
-		inputs, err = k.work(ctx, t, true)
+		inputs, err = k.execute(ctx, t, true)
 	}
 	onTime, lateWaiting := k.Waiting()
 	now := k.clock.Now()
 	if err == nil {
-		k.choose(t, now, inputs)
+		k.chooseTarget(t, now, inputs)
 	}
 	k.log.StageWorkEnded(t, began.Sub(offered), now.Sub(offered), err, onTime, lateWaiting)
 	if err != nil {
@@ -85,26 +85,26 @@
 }
 
 // choose sets the server on which a request runs.
-func (k *Coordinator) choose(t *Ticket, now time.Time, inputs []Input) {
+func (k *Coordinator) chooseTarget(t *Ticket, now time.Time, inputs []Input) {
 	r := t.Request
-	targets := k.withHolders(now, r)
-	c := k.readings.choose(now, workKey{r.ID, r.Round}, r.TargetTime.Sub(now), r.Prompt, near(targets, inputs))
-	t.TargetID, t.TargetWait, t.FetchFrom = c.server, c.wait, c.fetch
-	if c.tell && !r.AllowedRegions.Restricted() {
-		k.tell(heldPart{Part: r.Prompt.LongPrefix, Server: c.server})
+	targets := k.withCachingServers(now, r)
+	c := k.prompts.choose(now, workKey{r.ID, r.Round}, r.TargetTime.Sub(now), r.Prompt, withTransferCost(targets, inputs))
+	t.TargetID, t.TargetWait, t.FetchFrom = c.serverID, c.wait, c.fetchFrom
+	if c.announce && !r.AllowedRegions.Restricted() {
+		k.announcePrefix(cachedPrefix{Prefix: r.Prompt.LongPrefix, ServerID: c.serverID})
 	}
 }
 
 // withHolders returns the targets of a request and the servers that are known to have read
 // its shared part. Its own host named the part's home and servers near itself; without
 // these, a part that a busy home did not read was read once more by each failure domain.
-func (k *Coordinator) withHolders(now time.Time, r *Request) []Target {
+func (k *Coordinator) withCachingServers(now time.Time, r *Request) []Target {
 	out := r.Targets
-	for _, id := range k.readings.known(now, r.Prompt.LongPrefix) {
+	for _, id := range k.prompts.holderIDs(now, r.Prompt.LongPrefix) {
 		if slices.ContainsFunc(out, func(t Target) bool { return t.ID == id }) {
 			continue
 		}
-		if t, ok := k.servers(id, r); ok {
+		if t, ok := k.lookupTarget(id, r); ok {
 			out = append(slices.Clip(out), t)
 		}
 	}
@@ -113,12 +113,12 @@
 
 // waitShare is the weight of the newest request in the mean wait: the last ten or
 // twenty count, a fraction of a second under load.
-const waitShare = 0.08
+const meanWaitWeight = 0.08
 
-func (k *Coordinator) noteWait(d time.Duration) {
+func (k *Coordinator) recordWait(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.meanWait += time.Duration(waitShare * float64(d-k.meanWait))
+	k.meanWait += time.Duration(meanWaitWeight * float64(d-k.meanWait))
 }
 
 // Wait returns the mean time that the last requests waited to be begun, those
@@ -129,13 +129,13 @@
 	return k.meanWait
 }
 
-func inputGone(err error) bool {
+func isInputGone(err error) bool {
 	var failed *Error
 	return errors.As(err, &failed) && failed.Reason == batcher.InputLost
 }
 
 // begin lets a request's work begin once more, if there is time for it.
-func (k *Coordinator) begin(t *Ticket) bool {
+func (k *Coordinator) restart(t *Ticket) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.admission.Restart(t, k.clock.Now())
@@ -149,17 +149,17 @@
 }
 
 // moved is the reason for work that another host has to take.
-const moved batcher.Reason = "moved"
+const reasonMoved batcher.Reason = "moved"
 
 // moveWaiting gives back what has not begun.
-func (k *Coordinator) moveWaiting() {
+func (k *Coordinator) rejectWaiting() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.admission.RejectAll(moved)
+	k.admission.RejectAll(reasonMoved)
 }
 
 // wait returns when the request is begun.
-func (k *Coordinator) wait(ctx context.Context, r *Request) (*Ticket, error) {
+func (k *Coordinator) waitForAdmission(ctx context.Context, r *Request) (*Ticket, error) {
 	begun, rejected := make(chan struct{}, 1), make(chan batcher.Reason, 1)
 	t := &Ticket{
 		Request: r,
@@ -169,7 +169,7 @@
 	k.mu.Lock()
 	k.admission.Enqueue(t)
 	k.mu.Unlock()
-	k.pump()
+	k.schedule()
 	select {
 	case <-begun:
 		return t, nil
@@ -180,15 +180,15 @@
 	k.mu.Lock()
 	waiting := k.admission.Remove(t)
 	if !waiting && len(begun) > 0 {
-		k.release(r.Stages, t.late)
+		k.releaseStages(r.Stages, t.late)
 	}
 	k.mu.Unlock()
-	k.pump()
+	k.schedule()
 	return t, ctx.Err()
 }
 
 // release is called with k.mu held.
-func (k *Coordinator) release(list []Stage, late bool) {
+func (k *Coordinator) releaseStages(list []Stage, late bool) {
 	for _, s := range list {
 		k.admission.StageFinished(s, late)
 	}
@@ -196,20 +196,20 @@
 
 // pumpEvery is how often waiting requests are looked at while nothing else
 // makes room: their chances change with time alone.
-const pumpEvery = 40 * time.Millisecond
+const scheduleInterval = 40 * time.Millisecond
 
-func (k *Coordinator) pump() {
+func (k *Coordinator) schedule() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.admission.Schedule(k.clock.Now())
 	onTime, late := k.admission.Waiting()
-	if onTime+late > 0 && !k.again {
-		k.again = true
-		time.AfterFunc(pumpEvery, func() {
+	if onTime+late > 0 && !k.timerPending {
+		k.timerPending = true
+		time.AfterFunc(scheduleInterval, func() {
 			k.mu.Lock()
-			k.again = false
+			k.timerPending = false
 			k.mu.Unlock()
-			k.pump()
+			k.schedule()
 		})
 	}
 }
@@ -220,23 +220,23 @@
 
 // work runs the stages of a request that was begun; again tells that results of it were
 // gone before.
-func (k *Coordinator) work(ctx context.Context, t *Ticket, again bool) ([]Input, error) {
+func (k *Coordinator) execute(ctx context.Context, t *Ticket, again bool) ([]Input, error) {
 	r, late := t.Request, t.late
-	w := &work{
-		k: k, r: r, late: late, again: again, start: k.clock.Now(), aim: r.TargetTime, results: make([][]batcher.Result, len(r.Stages)), left: make([]int, len(r.Stages)),
-		began: make([]time.Time, len(r.Stages)), took: make([]time.Duration, len(r.Stages)),
-		over: make(chan struct{}), got: make([]bool, len(r.Stages)),
+	w := &requestWork{
+		coordinator: k, request: r, late: late, retried: again, startedAt: k.clock.Now(), targetTime: r.TargetTime, results: make([][]batcher.Result, len(r.Stages)), remaining: make([]int, len(r.Stages)),
+		stageStarts: make([]time.Time, len(r.Stages)), stageTimes: make([]time.Duration, len(r.Stages)),
+		finished: make(chan struct{}), inputsFetched: make([]bool, len(r.Stages)),
 	}
 	if late {
-		w.aim = k.clock.Now().Add(lateAllowance)
+		w.targetTime = k.clock.Now().Add(lateAllowance)
 	}
-	w.begin()
+	w.startStages()
 	select {
-	case <-w.over:
+	case <-w.finished:
 	case <-ctx.Done():
 		w.cancel()
 		for _, s := range r.Stages {
-			if b := k.batchers(s.Service); b != nil {
+			if b := k.lookupBatcher(s.Service); b != nil {
 				b.Cancel(r.ID)
 			}
 		}
@@ -244,23 +244,23 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	t.StageTimes = append([]time.Duration(nil), w.took...)
+	t.StageTimes = append([]time.Duration(nil), w.stageTimes...)
 	return w.inputs, w.err
 }
 
 // done gives up the results of a request, whose prompt was read or will not be.
-func (k *Coordinator) done(m Results) {
-	k.readings.done(m.TargetID, workKey{m.RequestID, m.Round})
-	k.free(m.Inputs...)
+func (k *Coordinator) releaseResults(m Results) {
+	k.prompts.promptDone(m.TargetID, workKey{m.RequestID, m.Round})
+	k.freeInputs(m.Inputs...)
 }
 
 // free gives up results at their servers.
-func (k *Coordinator) free(list ...Input) {
+func (k *Coordinator) freeInputs(list ...Input) {
 	for _, in := range list {
 		if in.Handle == "" {
 			continue
 		}
-		if b := k.batchers(in.Service); b != nil {
+		if b := k.lookupBatcher(in.Service); b != nil {
 			b.ReleaseResult(in.ServerID, in.Handle, in.Bytes)
 		}
 	}
--- a/process/stages/coordinator_test.go
+++ b/process/stages/coordinator_test.go
@@ -21,22 +21,22 @@
 	k        *Coordinator
 	batchers map[string]*batcher.Batcher
 
-	mu    sync.Mutex
-	calls []string // "service item-inputs" of each item made
-	freed []string
-	fail  func(service string, item batcher.Item) batcher.Reason
-	hold  chan struct{} // if set, calls wait for it
+	mu         sync.Mutex
+	calls      []string // "service item-inputs" of each item made
+	freed      []string
+	fail       func(service string, item batcher.Item) batcher.Reason
+	blockCalls chan struct{} // if set, calls wait for it
 }
 
 type backend struct {
-	w       *fixture
+	fixture *fixture
 	service string
 }
 
 func (b backend) Run(ctx context.Context, c *batcher.Call) batcher.Response {
-	b.w.mu.Lock()
-	hold := b.w.hold
-	b.w.mu.Unlock()
+	b.fixture.mu.Lock()
+	hold := b.fixture.blockCalls
+	b.fixture.mu.Unlock()
 	if hold != nil {
 		select {
 		case <-hold:
@@ -44,53 +44,53 @@
 			return batcher.Response{Err: ctx.Err()}
 		}
 	}
-	b.w.mu.Lock()
-	defer b.w.mu.Unlock()
+	b.fixture.mu.Lock()
+	defer b.fixture.mu.Unlock()
 	var a batcher.Response
 	for _, part := range c.Items {
 		item := part.Job.Items[part.Index]
 		r := batcher.Result{Handle: fmt.Sprintf("%s-%s-%d-%d", b.service, item.RequestID, item.Stage, item.Piece), ServerID: c.Server.ID}
-		if b.w.fail != nil {
-			if reason := b.w.fail(b.service, item); reason != "" {
+		if b.fixture.fail != nil {
+			if reason := b.fixture.fail(b.service, item); reason != "" {
 				r = batcher.Result{Reason: reason}
 			}
 		}
-		b.w.calls = append(b.w.calls, fmt.Sprintf("%s %s %v", b.service, item.Key, item.Inputs))
+		b.fixture.calls = append(b.fixture.calls, fmt.Sprintf("%s %s %v", b.service, item.Key, item.Inputs))
 		a.Results = append(a.Results, r)
 	}
 	return a
 }
 
 func (b backend) ReleaseResults(_ context.Context, _ *directory.Server, handles []string) error {
-	b.w.mu.Lock()
-	defer b.w.mu.Unlock()
-	b.w.freed = append(b.w.freed, handles...)
+	b.fixture.mu.Lock()
+	defer b.fixture.mu.Unlock()
+	b.fixture.freed = append(b.fixture.freed, handles...)
 	return nil
 }
 
 func (backend) FreeResultMemory(context.Context, *directory.Server) (int64, error) { return 0, nil }
 
-type quiet struct{}
+type discardLog struct{}
 
-func (quiet) CallSent(string, *batcher.Call, int)                              {}
-func (quiet) CallEnded(string, *batcher.Call, time.Duration, batcher.Response) {}
-func (quiet) StageWorkEnded(*Ticket, time.Duration, time.Duration, error, int, int) {
+func (discardLog) CallSent(string, *batcher.Call, int)                              {}
+func (discardLog) CallEnded(string, *batcher.Call, time.Duration, batcher.Response) {}
+func (discardLog) StageWorkEnded(*Ticket, time.Duration, time.Duration, error, int, int) {
 }
-func (quiet) OwnerChanged(string, string, uint64)      {}
-func (quiet) OwnerFailed(string, time.Duration, error) {}
+func (discardLog) OwnerChanged(string, string, uint64)      {}
+func (discardLog) OwnerFailed(string, time.Duration, error) {}
 
 func newFixture(t *testing.T) *fixture {
 	w := &fixture{g: NewWithT(t), batchers: map[string]*batcher.Batcher{}}
 	opts := batcher.Options{MaxItems: 8, CallTime: 10 * time.Millisecond, ItemTime: time.Millisecond, ResultTTL: time.Second}
 	for _, service := range []string{"floor", "portal"} {
-		b := batcher.New(service, opts, backend{w, service}, clock.System{}, quiet{})
+		b := batcher.New(service, opts, backend{w, service}, clock.System{}, discardLog{})
 		d := directory.New()
 		d.Replace([]directory.Entry{{ID: service + "-1", Service: service, Address: "a:1", Domain: "x"}}, time.Now())
 		b.Configure(opts, d.View().Servers(service), func(*directory.Server) time.Duration { return 0 })
 		go func() { _ = b.Run(t.Context()) }()
 		w.batchers[service] = b
 	}
-	w.k = NewCoordinator(func(s string) *batcher.Batcher { return w.batchers[s] }, noServers, clock.System{}, quiet{})
+	w.k = NewCoordinator(func(s string) *batcher.Batcher { return w.batchers[s] }, noServers, clock.System{}, discardLog{})
 	return w
 }
 
@@ -179,7 +179,7 @@
 	w.g.Eventually(func() int {
 		w.k.mu.Lock()
 		defer w.k.mu.Unlock()
-		return w.k.admission.underWay["floor"].items + w.k.admission.underWay["portal"].items
+		return w.k.admission.inFlight["floor"].items + w.k.admission.inFlight["portal"].items
 	}, "10s").Should(BeZero())
 	w.g.Eventually(w.freedCount, "10s").Should(BeNumerically(">=", 40), "two results of the floor for each")
 }
@@ -188,7 +188,7 @@
 // are there, and nothing more is begun for it.
 func TestCancelledWorkIsGivenUp(t *testing.T) {
 	w := newFixture(t)
-	w.hold = make(chan struct{})
+	w.blockCalls = make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
@@ -198,17 +198,17 @@
 	w.g.Eventually(func() int {
 		w.k.mu.Lock()
 		defer w.k.mu.Unlock()
-		return w.k.admission.underWay["floor"].items
+		return w.k.admission.inFlight["floor"].items
 	}, "10s").Should(Equal(2))
 	cancel()
 	w.g.Eventually(done, "10s").Should(Receive(MatchError(context.Canceled)))
-	close(w.hold)
+	close(w.blockCalls)
 	w.g.Consistently(func() int {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		return len(w.calls)
 	}, "200ms").Should(BeNumerically("<=", 2))
-	w.g.Expect(w.k.admission.underWay["floor"].items).To(BeZero())
+	w.g.Expect(w.k.admission.inFlight["floor"].items).To(BeZero())
 }
 
 // Guards against putting requests at risk for room that is not short, or for results that
@@ -216,14 +216,14 @@
 func TestRoomIsShortForLargeResultsOnly(t *testing.T) {
 	g := NewWithT(t)
 	opts := batcher.Options{MaxItems: 10, CallTime: time.Second, ResultMemoryBytes: 2_700_000}
-	b := batcher.New("s", opts, nil, clock.System{}, quiet{})
+	b := batcher.New("s", opts, nil, clock.System{}, discardLog{})
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}}, time.Now())
 	b.Configure(opts, dir.View().Servers("s"), func(*directory.Server) time.Duration { return 0 })
-	k := NewCoordinator(func(string) *batcher.Batcher { return b }, noServers, clock.System{}, quiet{})
+	k := NewCoordinator(func(string) *batcher.Batcher { return b }, noServers, clock.System{}, discardLog{})
 	large, small := Stage{Service: "s", ResultBytes: 60_000}, Stage{Service: "s", ResultBytes: 8_000}
-	g.Expect(k.lacksRoom(large)).To(BeFalse(), "all room is free")
+	g.Expect(k.resultMemoryScarce(large)).To(BeFalse(), "all room is free")
 	b.Submit(&batcher.Job{Items: make([]batcher.Item, 30), ResultBytes: 60_000, OnResult: func(int, batcher.Result) {}})
-	g.Expect(k.lacksRoom(large)).To(BeTrue())
-	g.Expect(k.lacksRoom(small)).To(BeFalse(), "it would free next to nothing")
+	g.Expect(k.resultMemoryScarce(large)).To(BeTrue())
+	g.Expect(k.resultMemoryScarce(small)).To(BeFalse(), "it would free next to nothing")
 }
--- a/process/stages/leave.go
+++ b/process/stages/leave.go
@@ -13,14 +13,14 @@
 	p.leaving = true
 	p.mu.Unlock()
 	for _, host := range p.link.Connected() {
-		p.tell(host, methodLeave)
+		p.notify(host, methodLeave)
 	}
-	p.local.moveWaiting()
+	p.coordinator.rejectWaiting()
 }
 
 func (p *Pool) serveLeave(_ context.Context, from peer.Identity, _ []byte) ([]byte, error) {
 	p.mu.Lock()
-	p.left[from.Host] = from.Incarnation
+	p.leftIncarnations[from.Host] = from.Incarnation
 	p.mu.Unlock()
 	return peer.Marshal(nil)
 }
@@ -29,14 +29,14 @@
 func (p *Pool) HasLeft(id peer.Identity) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.left[id.Host] == id.Incarnation
+	return p.leftIncarnations[id.Host] == id.Incarnation
 }
 
-func (p *Pool) setLeft(host string) {
+func (p *Pool) markLeft(host string) {
 	for _, id := range p.link.Peers() {
 		if id.Host == host {
 			p.mu.Lock()
-			p.left[host] = id.Incarnation
+			p.leftIncarnations[host] = id.Incarnation
 			p.mu.Unlock()
 		}
 	}
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -11,7 +11,7 @@
 // maxOwners bounds the peers that are tried before this host does the work
 // itself: after a loss of power several that are down may stand before one that
 // is not.
-const maxOwners = 5
+const maxOwnerAttempts = 5
 
 // suspect is a peer that did not answer.
 type suspect struct {
@@ -21,7 +21,7 @@
 
 // firstAnswer is how long a host's first answer is awaited: a few ways between
 // regions, and a handshake on a busy host.
-const firstAnswer = 400 * time.Millisecond
+const ownerConfirmTimeout = 400 * time.Millisecond
 
 // findOwner returns the host that does the stage work of a region (empty: of all) for a
 // request that is bound to some regions; empty: this one. A host is the owner only once it
@@ -29,7 +29,7 @@
 // before it, and by these each host of a fleet would name another owner for seconds, which
 // fill the same servers. The answer's connection tells which process is there now.
 func (p *Pool) findOwner(ctx context.Context, region string, allowed residency.Set) string {
-	for failed := 0; failed < maxOwners; {
+	for failed := 0; failed < maxOwnerAttempts; {
 		owner, known := p.owner(region, allowed)
 		if owner.Host == p.link.Self().Host {
 			return ""
@@ -37,21 +37,21 @@
 		if known {
 			return owner.Host
 		}
-		err := p.confirm(ctx, owner.Host)
+		err := p.confirmOwner(ctx, owner.Host)
 		if ctx.Err() != nil {
 			return owner.Host // the request is over; asking tells the caller
 		}
 		if err != nil {
 			failed++
-			p.distrust(owner.Host, err)
+			p.markSuspect(owner.Host, err)
 		}
 	}
 	return ""
 }
 
 // confirm asks a host whether it is there, and notes which process answered.
-func (p *Pool) confirm(ctx context.Context, host string) error {
-	ctx, cancel := context.WithTimeout(ctx, firstAnswer)
+func (p *Pool) confirmOwner(ctx context.Context, host string) error {
+	ctx, cancel := context.WithTimeout(ctx, ownerConfirmTimeout)
 	defer cancel()
 	if err := p.Ping(ctx, host); err != nil {
 		return err
@@ -59,7 +59,7 @@
 	for _, id := range p.link.Peers() {
 		if id.Host == host {
 			p.mu.Lock()
-			p.answered[host] = id.Incarnation
+			p.confirmedIncarnations[host] = id.Incarnation
 			p.mu.Unlock()
 		}
 	}
@@ -72,11 +72,11 @@
 	peers := p.link.Peers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	owner = p.first(peers, region, allowed)
-	known = owner.Host == p.link.Self().Host || p.answered[owner.Host] == owner.Incarnation
+	owner = p.selectOwner(peers, region, allowed)
+	known = owner.Host == p.link.Self().Host || p.confirmedIncarnations[owner.Host] == owner.Incarnation
 	// Requests that are bound to regions may have an owner of their own; it is no change.
-	if known && !allowed.Restricted() && owner.Host != p.last[region] {
-		p.last[region] = owner.Host
+	if known && !allowed.Restricted() && owner.Host != p.loggedOwners[region] {
+		p.loggedOwners[region] = owner.Host
 		p.log.OwnerChanged(region, owner.Host, owner.Incarnation)
 	}
 	return owner, known
@@ -84,14 +84,14 @@
 
 // first returns the first host that can do the work of a region and may see the
 // request; this one if there is no other. It is called with p.mu held.
-func (p *Pool) first(peers []peer.Identity, region string, allowed residency.Set) peer.Identity {
+func (p *Pool) selectOwner(peers []peer.Identity, region string, allowed residency.Set) peer.Identity {
 	self, now := p.link.Self(), p.clock.Now()
 	best, found := self, !p.leaving
 	for _, id := range peers {
-		if !allowed.Allows(id.Region) || p.left[id.Host] == id.Incarnation || !now.After(p.suspects[id.Host].until) {
+		if !allowed.Allows(id.Region) || p.leftIncarnations[id.Host] == id.Incarnation || !now.After(p.suspects[id.Host].until) {
 			continue
 		}
-		if !found || before(region, id, best) {
+		if !found || ownerBefore(region, id, best) {
 			best, found = id, true
 		}
 	}
@@ -99,7 +99,7 @@
 }
 
 // before orders hosts as those that do the work of a region (empty: of all).
-func before(region string, a, b peer.Identity) bool {
+func ownerBefore(region string, a, b peer.Identity) bool {
 	if in, bn := a.Region == region, b.Region == region; region != "" && in != bn {
 		return in
 	}
@@ -109,11 +109,11 @@
 // Bounds of the time for which a peer that did not answer is passed over. The
 // first is about a restart; the last bounds what it costs to try a dead one.
 const (
-	minSuspect = 400 * time.Millisecond
-	maxSuspect = 3 * time.Second
+	minSuspectTime = 400 * time.Millisecond
+	maxSuspectTime = 3 * time.Second
 )
 
-func (p *Pool) distrust(host string, err error) {
+func (p *Pool) markSuspect(host string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.suspects[host]
@@ -121,13 +121,13 @@
 		return // many calls fail with one connection
 	}
 	s.failures = min(s.failures+1, 8)
-	d := min(minSuspect<<(s.failures-1), maxSuspect)
+	d := min(minSuspectTime<<(s.failures-1), maxSuspectTime)
 	s.until = p.clock.Now().Add(d)
 	p.suspects[host] = s
 	p.log.OwnerFailed(host, d, err)
 }
 
-func (p *Pool) trust(host string) {
+func (p *Pool) clearSuspect(host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.suspects, host)
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -17,25 +17,25 @@
 // disagree, several do it, which costs fuller calls and some refusals of busy
 // servers, but no wrong result.
 type Pool struct {
-	link  Link
-	clock clock.Clock
-	local *Coordinator
-	log   PoolLog
+	link        Link
+	clock       clock.Clock
+	coordinator *Coordinator
+	log         PoolLog
 	// region returns the region whose hosts do the work of requests that run in
 	// a failure domain; empty: any host may.
 	region func(domain string) string
 
-	waits atomic.Pointer[map[string]waitNews] // by region; copied on change
-
-	mu       sync.Mutex
-	suspects map[string]suspect
-	answered map[string]uint64   // incarnations of hosts that have answered
-	left     map[string]uint64   // incarnations of hosts that stop
-	running  map[workKey]*shared // work for other hosts
-	leaving  bool                // this host stops
-	met      chan struct{}       // closed once the other hosts are known
-	last     map[string]string   // owner that was logged, by region
-	news     []heldPart          // not yet told to other regions
+	reportedWaits atomic.Pointer[map[string]reportedWait] // by region; copied on change
+
+	mu                    sync.Mutex
+	suspects              map[string]suspect
+	confirmedIncarnations map[string]uint64       // incarnations of hosts that have answered
+	leftIncarnations      map[string]uint64       // incarnations of hosts that stop
+	remoteWork            map[workKey]*remoteWork // work for other hosts
+	leaving               bool                    // this host stops
+	peersKnown            chan struct{}           // closed once the other hosts are known
+	loggedOwners          map[string]string       // owner that was logged, by region
+	pendingNotices        []cachedPrefix          // not yet told to other regions
 }
 
 // Link is what a Pool needs of the peers.
@@ -57,53 +57,53 @@
 // NewPool returns a pool and registers its handlers with the link.
 func NewPool(link Link, c clock.Clock, local *Coordinator, region func(domain string) string, log PoolLog) *Pool {
 	p := &Pool{
-		link: link, clock: c, local: local, region: region, log: log,
-		suspects: map[string]suspect{}, answered: map[string]uint64{}, left: map[string]uint64{}, running: map[workKey]*shared{}, last: map[string]string{}, met: make(chan struct{}),
+		link: link, clock: c, coordinator: local, region: region, log: log,
+		suspects: map[string]suspect{}, confirmedIncarnations: map[string]uint64{}, leftIncarnations: map[string]uint64{}, remoteWork: map[workKey]*remoteWork{}, loggedOwners: map[string]string{}, peersKnown: make(chan struct{}),
 	}
-	p.waits.Store(&map[string]waitNews{})
+	p.reportedWaits.Store(&map[string]reportedWait{})
 	link.Handle(methodRun, p.serveRun)
 	link.Handle(methodCancel, p.serveCancel)
 	link.Handle(methodFree, p.serveFree)
 	link.Handle(methodLeave, p.serveLeave)
-	link.Handle(methodHolds, p.serveHolds)
-	local.tell = p.tellHolder
+	link.Handle(methodCachedPrefixes, p.serveCachedPrefixes)
+	local.announcePrefix = p.queuePrefixNotice
 	link.Handle(methodHello, func(context.Context, peer.Identity, []byte) ([]byte, error) { return peer.Marshal(nil) })
 	return p
 }
 
 // Run has the stage work of a request done. The error is an *Error or ctx's.
 func (p *Pool) Run(ctx context.Context, r *Request) (Results, error) {
-	if err := p.meet(ctx); err != nil {
+	if err := p.waitForPeers(ctx); err != nil {
 		return Results{}, err
 	}
 	region := p.region(r.RunDomain)
-	for range maxOwners {
+	for range maxOwnerAttempts {
 		owner := p.findOwner(ctx, region, r.AllowedRegions)
 		if owner == "" {
 			break
 		}
-		a, err := p.ask(ctx, owner, r)
+		a, err := p.runAtOwner(ctx, owner, r)
 		if ctx.Err() != nil {
-			p.cancel(owner, r)
+			p.cancelAtOwner(owner, r)
 			return Results{}, ctx.Err()
 		}
 		if err != nil {
-			p.distrust(owner, err)
+			p.markSuspect(owner, err)
 			continue
 		}
-		p.trust(owner)
-		p.noteWait(region, time.Duration(a.WaitMS)*time.Millisecond)
+		p.clearSuspect(owner)
+		p.recordWait(region, time.Duration(a.MeanWaitMS)*time.Millisecond)
 		switch a.Reason {
 		case "":
-			return Results{Inputs: a.Inputs, Owner: owner, TargetID: a.Target, FetchFrom: a.Fetch, RequestID: r.ID, Round: r.Round}, nil
-		case moved:
-			p.setLeft(owner) // its answer came before its notice
+			return Results{Inputs: a.Inputs, Owner: owner, TargetID: a.TargetID, FetchFrom: a.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
+		case reasonMoved:
+			p.markLeft(owner) // its answer came before its notice
 		default:
-			return Results{}, &Error{Stage: a.Stage, Reason: a.Reason, RetryAfter: time.Duration(a.ReadyMS) * time.Millisecond}
+			return Results{}, &Error{Stage: a.Stage, Reason: a.Reason, RetryAfter: time.Duration(a.RetryAfterMS) * time.Millisecond}
 		}
 	}
-	made, err := p.local.Run(ctx, r)
-	p.noteWait(region, p.local.MeanWait())
+	made, err := p.coordinator.Run(ctx, r)
+	p.recordWait(region, p.coordinator.MeanWait())
 	return made, err
 }
 
@@ -111,17 +111,17 @@
 // one, for the time of a few resets. One that is gone refuses connections or
 // does not answer within that time.
 const (
-	ownerTime  = 300 * time.Millisecond
-	ownerPause = 40 * time.Millisecond
+	ownerRetryWindow = 300 * time.Millisecond
+	ownerRetryPause  = 40 * time.Millisecond
 )
 
 // ask gives the work to a host.
-func (p *Pool) ask(ctx context.Context, owner string, r *Request) (a runAnswer, err error) {
+func (p *Pool) runAtOwner(ctx context.Context, owner string, r *Request) (a runResponse, err error) {
 	failing := time.Time{}
 	for {
-		a = runAnswer{}
+		a = runResponse{}
 		began := p.clock.Now()
-		err = p.link.Call(ctx, owner, methodRun, p.request(r), &a)
+		err = p.link.Call(ctx, owner, methodRun, p.newRunRequest(r), &a)
 		if err == nil || ctx.Err() != nil || errors.Is(err, peer.ErrRefused) {
 			return a, err
 		}
@@ -131,11 +131,11 @@
 				failing = p.clock.Now() // it was there until now
 			}
 		}
-		if p.clock.Now().Sub(failing) >= ownerTime {
+		if p.clock.Now().Sub(failing) >= ownerRetryWindow {
 			return a, err
 		}
 		select {
-		case <-p.clock.After(ownerPause):
+		case <-p.clock.After(ownerRetryPause):
 		case <-ctx.Done():
 			return a, ctx.Err()
 		}
@@ -144,26 +144,26 @@
 
 // Waiting returns the number of requests that wait here for their stage work to
 // begin, and of those that are late already.
-func (p *Pool) Waiting() (onTime, late int) { return p.local.Waiting() }
+func (p *Pool) Waiting() (onTime, late int) { return p.coordinator.Waiting() }
 
 // tell sends something that may be lost: who misses it finds out by the
 // platform's list.
-func (p *Pool) tell(host string, m peer.Method) { p.send(host, m, nil) }
+func (p *Pool) notify(host string, m peer.Method) { p.sendAsync(host, m, nil) }
 
-func (p *Pool) send(host string, m peer.Method, what any) {
+func (p *Pool) sendAsync(host string, m peer.Method, what any) {
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), tellBound)
+		ctx, stop := context.WithTimeout(context.Background(), notifyTimeout)
 		defer stop()
 		_ = p.link.Call(ctx, host, m, what, nil)
 	}()
 }
 
 // tellBound is the time to tell another host something that may be lost.
-const tellBound = time.Second
+const notifyTimeout = time.Second
 
-func (p *Pool) cancel(owner string, r *Request) {
+func (p *Pool) cancelAtOwner(owner string, r *Request) {
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), tellBound)
+		ctx, stop := context.WithTimeout(context.Background(), notifyTimeout)
 		defer stop()
 		// If it is lost, the items are made in vain and free themselves.
 		_ = p.link.Call(ctx, owner, methodCancel, cancelRequest{r.ID, r.Round}, nil)
@@ -176,7 +176,7 @@
 		return nil, err
 	}
 	p.mu.Lock()
-	work := p.running[workKey{q.ID, q.Round}]
+	work := p.remoteWork[workKey{q.ID, q.Round}]
 	p.mu.Unlock()
 	if work != nil {
 		work.cancel()
@@ -191,14 +191,14 @@
 		return
 	}
 	if m.Owner == "" {
-		p.local.done(m)
+		p.coordinator.releaseResults(m)
 		return
 	}
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), tellBound)
+		ctx, stop := context.WithTimeout(context.Background(), notifyTimeout)
 		defer stop()
 		if err := p.link.Call(ctx, m.Owner, methodFree, m, nil); err != nil {
-			p.local.free(m.Inputs...)
+			p.coordinator.freeInputs(m.Inputs...)
 		}
 	}()
 }
@@ -208,6 +208,6 @@
 	if err := peer.Unmarshal(payload, &m); err != nil {
 		return nil, err
 	}
-	p.local.done(m)
+	p.coordinator.releaseResults(m)
 	return peer.Marshal(nil)
 }
--- a/process/stages/holds_test.go
+++ b/process/stages/prefixes_test.go
@@ -20,15 +20,15 @@
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	w := newFixture(t)
-	w.k.servers = func(id string, r *Request) (Target, bool) {
+	w.k.lookupTarget = func(id string, r *Request) (Target, bool) {
 		return Target{ID: id, Cost: 40 * time.Millisecond}, r.HostDomain == "x" && id == "far"
 	}
-	w.k.readings.heard(now, heldPart{"part", "far"})
-	w.k.readings.heard(now, heldPart{"part", "lost"})
+	w.k.prompts.recordRemoteHolder(now, cachedPrefix{"part", "far"})
+	w.k.prompts.recordRemoteHolder(now, cachedPrefix{"part", "lost"})
 	choose := func(part string) string {
-		ticket := &Ticket{Request: &Request{ID: part, HostDomain: "x", TargetTime: now.Add(time.Second), Targets: homeAndNext, Prompt: draft}}
+		ticket := &Ticket{Request: &Request{ID: part, HostDomain: "x", TargetTime: now.Add(time.Second), Targets: homeAndNext, Prompt: draftPrompt}}
 		ticket.Request.Prompt.LongPrefix = part
-		w.k.choose(ticket, now, nil)
+		w.k.chooseTarget(ticket, now, nil)
 		return ticket.TargetID
 	}
 	g.Expect(choose("part")).To(Equal("far"))
@@ -40,35 +40,35 @@
 // against the second sending it to the home, which then reads what another server has.
 func TestRegionsTellEachOtherWhereAPartWasRead(t *testing.T) {
 	g := NewWithT(t)
-	x := &net{hosts: map[string]*node{}}
+	x := &network{hosts: map[string]*node{}}
 	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
 	there := x.add(t, peer.Identity{Host: "there", Region: "r2", Domain: "r2", Share: 1, Incarnation: 1})
 	x.add(t, peer.Identity{Host: "beside", Region: "r2", Domain: "r2", Share: 0.5, Incarnation: 2})
 	now := time.Now()
 	for i, target := range []Target{{ID: "next"}, {ID: "home", Home: true}} {
-		ticket := &Ticket{Request: &Request{ID: target.ID, TargetTime: now.Add(time.Second), Targets: []Target{target}, Prompt: draft}}
+		ticket := &Ticket{Request: &Request{ID: target.ID, TargetTime: now.Add(time.Second), Targets: []Target{target}, Prompt: draftPrompt}}
 		ticket.Request.Prompt.LongPrefix = []string{"moved", "at home"}[i]
-		here.fix.k.choose(ticket, now, nil)
+		here.fixture.k.chooseTarget(ticket, now, nil)
 	}
-	g.Eventually(func() []string { return there.fix.k.readings.known(time.Now(), "moved") }, "30s").Should(Equal([]string{"next"}))
-	g.Expect(there.fix.k.readings.known(time.Now(), "at home")).To(BeEmpty(), "nobody needs to be told")
+	g.Eventually(func() []string { return there.fixture.k.prompts.holderIDs(time.Now(), "moved") }, "30s").Should(Equal([]string{"next"}))
+	g.Expect(there.fixture.k.prompts.holderIDs(time.Now(), "at home")).To(BeEmpty(), "nobody needs to be told")
 }
 
 // Guards against a message whose size a busy region decides.
 func TestNewsOfPartsIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	x := &net{hosts: map[string]*node{}}
+	x := &network{hosts: map[string]*node{}}
 	n := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
-	for range maxHolds + 10 {
-		n.pool.tellHolder(heldPart{"part", "s"})
+	for range maxPrefixNotices + 10 {
+		n.pool.queuePrefixNotice(cachedPrefix{"part", "s"})
 	}
 	n.pool.mu.Lock()
 	defer n.pool.mu.Unlock()
-	g.Expect(len(n.pool.news)).To(BeNumerically("<=", maxHolds))
+	g.Expect(len(n.pool.pendingNotices)).To(BeNumerically("<=", maxPrefixNotices))
 }
 
 func TestNewsThatCannotBeReadIsRefused(t *testing.T) {
-	n := (&net{hosts: map[string]*node{}}).add(t, peer.Identity{Host: "here"})
-	_, err := n.pool.serveHolds(context.Background(), peer.Identity{}, []byte("x"))
+	n := (&network{hosts: map[string]*node{}}).add(t, peer.Identity{Host: "here"})
+	_, err := n.pool.serveCachedPrefixes(context.Background(), peer.Identity{}, []byte("x"))
 	NewWithT(t).Expect(err).To(HaveOccurred())
 }
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -18,7 +18,7 @@
 // permitted region has lost its hosts the work stays at the host that has the client.
 func TestStageWorkIsCollectedWhereTheRequestAllows(t *testing.T) {
 	g := NewWithT(t)
-	x := &net{hosts: map[string]*node{}}
+	x := &network{hosts: map[string]*node{}}
 	client := x.add(t, peer.Identity{Host: "client's", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 3})
 	home := x.add(t, peer.Identity{Host: "home", Region: "r2", Domain: "r2", Share: 0.2, Incarnation: 2})
 	strong := x.add(t, peer.Identity{Host: "strong", Region: "r3", Domain: "r3", Share: 1, Incarnation: 1})
@@ -45,7 +45,7 @@
 
 // ownerLog counts the owners that were logged.
 type ownerLog struct {
-	quiet
+	discardLog
 	changes int
 }
 
@@ -54,7 +54,7 @@
 // Guards against a line for each request where bound and free requests take turns.
 func TestBoundRequestsAreNoChangeOfOwner(t *testing.T) {
 	g := NewWithT(t)
-	x := &net{hosts: map[string]*node{}}
+	x := &network{hosts: map[string]*node{}}
 	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 2})
 	x.add(t, peer.Identity{Host: "strong", Region: "r2", Domain: "r2", Share: 1, Incarnation: 1})
 	log := &ownerLog{}
@@ -114,12 +114,12 @@
 	g := NewWithT(t)
 	w := newFixture(t)
 	told := 0
-	w.k.tell = func(heldPart) { told++ }
+	w.k.announcePrefix = func(cachedPrefix) { told++ }
 	now := time.Now()
 	for i, set := range []residency.Set{{}, {RouteRegions: []string{"r1"}}} {
-		r := &Request{ID: "r", TargetTime: now.Add(time.Second), AllowedRegions: set, Prompt: draft, Targets: []Target{{ID: "next"}}}
+		r := &Request{ID: "r", TargetTime: now.Add(time.Second), AllowedRegions: set, Prompt: draftPrompt, Targets: []Target{{ID: "next"}}}
 		r.Prompt.LongPrefix = fmt.Sprint("part", i)
-		w.k.choose(&Ticket{Request: r}, now, nil)
+		w.k.chooseTarget(&Ticket{Request: r}, now, nil)
 	}
 	g.Expect(told).To(Equal(1))
 }
--- a/process/stages/stages.go
+++ b/process/stages/stages.go
@@ -45,7 +45,7 @@
 }
 
 // last returns the indexes of the stages that no other stage follows.
-func (r *Request) last() []int {
+func (r *Request) finalStages() []int {
 	followed := make([]bool, len(r.Stages))
 	for _, s := range r.Stages {
 		for _, a := range s.DependsOn {
@@ -62,10 +62,10 @@
 }
 
 // position is where a stage stands in the request's work.
-func (r *Request) position(i int) position {
-	at := position{depth: r.depth(i)}
+func (r *Request) position(i int) stagePosition {
+	at := stagePosition{depth: r.depth(i)}
 	for _, s := range r.Stages {
-		at.followed = at.followed || s.Items > 0 && slices.Contains(s.DependsOn, i)
+		at.hasSuccessor = at.hasSuccessor || s.Items > 0 && slices.Contains(s.DependsOn, i)
 	}
 	return at
 }
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -21,7 +21,7 @@
 
 // near returns the targets with what it costs each that results lie in other failure
 // domains.
-func near(list []Target, inputs []Input) []Target {
+func withTransferCost(list []Target, inputs []Input) []Target {
 	var all int64
 	at := map[string]int64{}
 	for _, in := range inputs {
@@ -50,37 +50,37 @@
 // sees too few of them to tell that a server has three long prompts to read, or where
 // else a part was read when its home was busy; and what servers report comes after
 // the fact.
-type readings struct {
-	mu       sync.Mutex
-	byServer map[string][]reading
-	byPart   map[string][]holder
-	told     map[string]time.Time // when other regions were last told of a part
+type promptTracker struct {
+	mu              sync.Mutex
+	pendingByServer map[string][]pendingPrompt
+	holdersByPrefix map[string][]prefixHolder
+	announcedAt     map[string]time.Time // when other regions were last told of a part
 }
 
 // reading is a prompt that was given to a server and whose answer has not begun.
-type reading struct {
-	request workKey
-	takes   time.Duration
-	since   time.Time
+type pendingPrompt struct {
+	request    workKey
+	duration   time.Duration
+	assignedAt time.Time
 }
 
 // holder is a server that has read a part.
-type holder struct {
-	server string
-	domain string    // failure domain; empty: not known
-	at     time.Time // of the last request with the part
-	ready  time.Time // when it will have read the part
+type prefixHolder struct {
+	serverID string
+	domain   string    // failure domain; empty: not known
+	lastUsed time.Time // of the last request with the part
+	readyAt  time.Time // when it will have read the part
 }
 
 const (
 	// lostReading is when a prompt no longer counts though nobody told that it was
 	// read: the host that would have told is gone, or its message is.
-	lostReading = 3 * time.Second
+	pendingTimeout = 3 * time.Second
 	// partKept is how long a server keeps what it has read: the memory of engines
 	// holds a minute's prompts, less under bursts.
-	partKept = 20 * time.Second
+	prefixTTL = 20 * time.Second
 	// maxParts bounds the parts that are remembered.
-	maxParts = 8192
+	maxTrackedPrefixes = 8192
 )
 
 const (
@@ -105,191 +105,191 @@
 
 // choice is the server on which a request runs; empty: there is none.
 type choice struct {
-	server string
-	wait   time.Duration // for other prompts there
-	fetch  string        // server from which it gets the request's shared part; empty: none
+	serverID  string
+	wait      time.Duration // for other prompts there
+	fetchFrom string        // server from which it gets the request's shared part; empty: none
 	// tell: other regions have to hear that it has the request's shared part.
-	tell bool
+	announce bool
 }
 
 // choose returns the cheapest of the targets for a request with some time left to its
 // aim. Its prompt counts there from now on.
-func (r *readings) choose(now time.Time, request workKey, slack time.Duration, p Prompt, list []Target) choice {
+func (r *promptTracker) choose(now time.Time, request workKey, slack time.Duration, p Prompt, list []Target) choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	holders, prefixed := r.holders(now, p.LongPrefix), r.holders(now, p.ShortPrefix)
+	holders, prefixed := r.currentHolders(now, p.LongPrefix), r.currentHolders(now, p.ShortPrefix)
 	var best option
 	for _, t := range list {
-		if o := r.option(now, slack, p, holders, t); best.ID == "" || o.cost < best.cost {
+		if o := r.evaluate(now, slack, p, holders, t); best.ID == "" || o.totalCost < best.totalCost {
 			best = o
 		}
 	}
 	if best.ID == "" {
 		return choice{}
 	}
-	if best.source == "" && p.FetchTime > 0 {
+	if best.fetchFrom == "" && p.FetchTime > 0 {
 		// Also where the server is believed to have the part: it may have dropped it, and
 		// transfers nothing if it has not.
-		best.source = cmp.Or(fetchSource(now, holders, best.Target), fetchSource(now, prefixed, best.Target))
+		best.fetchFrom = cmp.Or(fetchSource(now, holders, best.Target), fetchSource(now, prefixed, best.Target))
 	}
-	r.set(best.ID, append(r.byServer[best.ID], reading{request, best.takes, now}))
-	one := holder{best.ID, best.Domain, now, now.Add(best.wait + best.takes)}
-	r.hold(p.LongPrefix, holders, one)
-	r.hold(p.ShortPrefix, prefixed, one)
-	return choice{server: best.ID, wait: best.wait, fetch: best.source, tell: r.tells(now, p, best.news)}
+	r.setPending(best.ID, append(r.pendingByServer[best.ID], pendingPrompt{request, best.duration, now}))
+	one := prefixHolder{best.ID, best.Domain, now, now.Add(best.wait + best.duration)}
+	r.recordHolder(p.LongPrefix, holders, one)
+	r.recordHolder(p.ShortPrefix, prefixed, one)
+	return choice{serverID: best.ID, wait: best.wait, fetchFrom: best.fetchFrom, announce: r.claimAnnouncement(now, p, best.unexpected)}
 }
 
 // option is what one target means to a request.
 type option struct {
 	Target
-	cost   time.Duration
-	wait   time.Duration // for other prompts there
-	takes  time.Duration // to read the prompt, or to get it
-	held   bool          // it has the shared part
-	source string        // server from which it gets the part; empty: it has it, or reads it
-	news   bool          // nobody else would know that it has the part
+	totalCost  time.Duration
+	wait       time.Duration // for other prompts there
+	duration   time.Duration // to read the prompt, or to get it
+	cached     bool          // it has the shared part
+	fetchFrom  string        // server from which it gets the part; empty: it has it, or reads it
+	unexpected bool          // nobody else would know that it has the part
 }
 
 // option is called with r.mu held.
-func (r *readings) option(now time.Time, slack time.Duration, p Prompt, holders []holder, t Target) option {
-	o := option{Target: t, wait: r.wait(now, t.ID), takes: p.OwnPrefill, held: has(holders, t)}
-	o.cost = t.Cost + waitCost(o.wait, slack)
-	if o.held {
-		o.cost -= p.CacheGain
+func (r *promptTracker) evaluate(now time.Time, slack time.Duration, p Prompt, holders []prefixHolder, t Target) option {
+	o := option{Target: t, wait: r.pendingTime(now, t.ID), duration: p.OwnPrefill, cached: hasPrefix(holders, t)}
+	o.totalCost = t.Cost + waitCost(o.wait, slack)
+	if o.cached {
+		o.totalCost -= p.CacheGain
 		return o
 	}
 	if p.FetchTime > 0 {
-		o.source = fetchSource(now, holders, t)
+		o.fetchFrom = fetchSource(now, holders, t)
 	}
-	if o.source != "" {
-		o.takes += p.FetchTime
+	if o.fetchFrom != "" {
+		o.duration += p.FetchTime
 		return o
 	}
-	o.takes += p.SharedPrefill
-	o.news = true
+	o.duration += p.SharedPrefill
+	o.unexpected = true
 	return o
 }
 
 // tells reports whether other regions have to hear that a server has a part, and notes
 // that they do. It is called with r.mu held.
-func (r *readings) tells(now time.Time, p Prompt, news bool) bool {
-	if p.LongPrefix == "" || p.SharedPrefill < leastTold || !news && !r.due(now, p) {
+func (r *promptTracker) claimAnnouncement(now time.Time, p Prompt, news bool) bool {
+	if p.LongPrefix == "" || p.SharedPrefill < minAnnouncedPrefill || !news && !r.announcementDue(now, p) {
 		return false
 	}
-	r.noteTold(now, p.LongPrefix)
+	r.recordAnnouncement(now, p.LongPrefix)
 	return true
 }
 
 // tellAgain is how long after they were told of a part other regions can still take it
 // that some server has it.
-const tellAgain = partKept / 4
+const announceInterval = prefixTTL / 4
 
 // due tells whether other regions have to hear of a part again: they would forget who
 // has it, though it is used here. It is called with r.mu held.
-func (r *readings) due(now time.Time, p Prompt) bool {
-	return p.FetchTime > 0 && now.Sub(r.told[p.LongPrefix]) >= tellAgain
+func (r *promptTracker) announcementDue(now time.Time, p Prompt) bool {
+	return p.FetchTime > 0 && now.Sub(r.announcedAt[p.LongPrefix]) >= announceInterval
 }
 
 // noteTold is called with r.mu held.
-func (r *readings) noteTold(now time.Time, part string) {
-	if r.told == nil || len(r.told) >= maxParts {
-		r.told = map[string]time.Time{}
+func (r *promptTracker) recordAnnouncement(now time.Time, part string) {
+	if r.announcedAt == nil || len(r.announcedAt) >= maxTrackedPrefixes {
+		r.announcedAt = map[string]time.Time{}
 	}
-	r.told[part] = now
+	r.announcedAt[part] = now
 }
 
 // fetchSource returns the server from which a target gets a shared part: the one that used
 // it last, in the target's own failure domain if there is one; empty: none has read it yet.
-func fetchSource(now time.Time, holders []holder, to Target) string {
+func fetchSource(now time.Time, holders []prefixHolder, to Target) string {
 	best, near := "", false
 	for _, h := range holders {
-		if h.server == to.ID || now.Before(h.ready) {
+		if h.serverID == to.ID || now.Before(h.readyAt) {
 			continue
 		}
 		if in := h.domain == to.Domain; in || !near {
-			best, near = h.server, in
+			best, near = h.serverID, in
 		}
 	}
 	return best
 }
 
 // known returns the servers that have read a part, as far as is known here.
-func (r *readings) known(now time.Time, part string) []string {
+func (r *promptTracker) holderIDs(now time.Time, part string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for _, h := range r.holders(now, part) {
-		out = append(out, h.server)
+	for _, h := range r.currentHolders(now, part) {
+		out = append(out, h.serverID)
 	}
 	return out
 }
 
 // heard notes what another region's host has told of a server.
-func (r *readings) heard(now time.Time, h heldPart) {
+func (r *promptTracker) recordRemoteHolder(now time.Time, h cachedPrefix) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.hold(h.Part, r.holders(now, h.Part), holder{server: h.Server, at: now, ready: now})
+	r.recordHolder(h.Prefix, r.currentHolders(now, h.Prefix), prefixHolder{serverID: h.ServerID, lastUsed: now, readyAt: now})
 }
 
-func has(holders []holder, t Target) bool {
+func hasPrefix(holders []prefixHolder, t Target) bool {
 	if len(holders) == 0 {
 		return t.Home
 	}
-	return slices.ContainsFunc(holders, func(h holder) bool { return h.server == t.ID })
+	return slices.ContainsFunc(holders, func(h prefixHolder) bool { return h.serverID == t.ID })
 }
 
 // holders returns the servers that have read a part. It is called with r.mu held.
-func (r *readings) holders(now time.Time, part string) []holder {
-	return slices.DeleteFunc(r.byPart[part], func(h holder) bool { return now.Sub(h.at) >= partKept })
+func (r *promptTracker) currentHolders(now time.Time, part string) []prefixHolder {
+	return slices.DeleteFunc(r.holdersByPrefix[part], func(h prefixHolder) bool { return now.Sub(h.lastUsed) >= prefixTTL })
 }
 
 // hold notes that a server reads a part. It is called with r.mu held.
-func (r *readings) hold(part string, holders []holder, one holder) {
+func (r *promptTracker) recordHolder(part string, holders []prefixHolder, one prefixHolder) {
 	if part == "" {
 		return
 	}
-	if r.byPart == nil || len(r.byPart) >= maxParts {
-		r.byPart = map[string][]holder{}
+	if r.holdersByPrefix == nil || len(r.holdersByPrefix) >= maxTrackedPrefixes {
+		r.holdersByPrefix = map[string][]prefixHolder{}
 	}
-	holders = slices.DeleteFunc(holders, func(h holder) bool {
-		if h.server == one.server && h.ready.Before(one.ready) {
-			one.ready = h.ready
+	holders = slices.DeleteFunc(holders, func(h prefixHolder) bool {
+		if h.serverID == one.serverID && h.readyAt.Before(one.readyAt) {
+			one.readyAt = h.readyAt
 		}
-		return h.server == one.server
+		return h.serverID == one.serverID
 	})
-	r.byPart[part] = append(holders, one)
+	r.holdersByPrefix[part] = append(holders, one)
 }
 
 // wait is how long a server reads what it was given. It is called with r.mu held.
-func (r *readings) wait(now time.Time, server string) time.Duration {
-	list := r.byServer[server]
-	for len(list) > 0 && now.Sub(list[0].since) >= lostReading {
+func (r *promptTracker) pendingTime(now time.Time, server string) time.Duration {
+	list := r.pendingByServer[server]
+	for len(list) > 0 && now.Sub(list[0].assignedAt) >= pendingTimeout {
 		list = list[1:]
 	}
-	r.set(server, list)
+	r.setPending(server, list)
 	var sum time.Duration
 	for _, one := range list {
-		sum += one.takes
+		sum += one.duration
 	}
 	return sum
 }
 
 // done notes that a prompt was read, or will not be.
-func (r *readings) done(server string, request workKey) {
+func (r *promptTracker) promptDone(server string, request workKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := slices.DeleteFunc(r.byServer[server], func(one reading) bool { return one.request == request })
-	r.set(server, list)
+	list := slices.DeleteFunc(r.pendingByServer[server], func(one pendingPrompt) bool { return one.request == request })
+	r.setPending(server, list)
 }
 
 // set is called with r.mu held.
-func (r *readings) set(server string, list []reading) {
+func (r *promptTracker) setPending(server string, list []pendingPrompt) {
 	switch {
 	case len(list) == 0:
-		delete(r.byServer, server)
-	case r.byServer == nil:
-		r.byServer = map[string][]reading{server: list}
+		delete(r.pendingByServer, server)
+	case r.pendingByServer == nil:
+		r.pendingByServer = map[string][]pendingPrompt{server: list}
 	default:
-		r.byServer[server] = list
+		r.pendingByServer[server] = list
 	}
 }
--- a/process/stages/target_test.go
+++ b/process/stages/target_test.go
@@ -9,16 +9,16 @@
 )
 
 // draft is a prompt that shares a long part with others.
-var draft = Prompt{LongPrefix: "part", CacheGain: 240 * time.Millisecond, SharedPrefill: 200 * time.Millisecond, OwnPrefill: 100 * time.Millisecond}
+var draftPrompt = Prompt{LongPrefix: "part", CacheGain: 240 * time.Millisecond, SharedPrefill: 200 * time.Millisecond, OwnPrefill: 100 * time.Millisecond}
 
 var homeAndNext = []Target{{ID: "home", Home: true}, {ID: "next"}}
 
 // tight leaves no time to wait without being late.
-const tight = time.Millisecond
+const tightSlack = time.Millisecond
 
 // choose has a request placed and returns where.
-func choose(r *readings, now time.Time, i int, slack time.Duration, p Prompt, list []Target) string {
-	return r.choose(now, key(i), slack, p, list).server
+func choose(r *promptTracker, now time.Time, i int, slack time.Duration, p Prompt, list []Target) string {
+	return r.choose(now, key(i), slack, p, list).serverID
 }
 
 func key(i int) workKey { return workKey{id: fmt.Sprint(i)} }
@@ -30,16 +30,16 @@
 func TestHotPartSpreadsOnceItsHomeIsBehind(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
+	var r promptTracker
 	var chosen []string
 	for i := range 8 {
-		chosen = append(chosen, choose(&r, now, i, tight, draft, homeAndNext))
+		chosen = append(chosen, choose(&r, now, i, tightSlack, draftPrompt, homeAndNext))
 	}
 	g.Expect(chosen).To(Equal([]string{"home", "home", "home", "next", "home", "next", "home", "next"}))
 	for i := range chosen {
-		r.done(chosen[i], key(i))
+		r.promptDone(chosen[i], key(i))
 	}
-	g.Expect(choose(&r, now, 8, tight, draft, homeAndNext)).To(Equal("home"), "it has caught up")
+	g.Expect(choose(&r, now, 8, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"), "it has caught up")
 }
 
 // The home of a part has three prompts to read. A request that has time enough waits
@@ -50,11 +50,11 @@
 		2 * time.Second: "home", 100 * time.Millisecond: "next", -time.Second: "home",
 	} {
 		now := time.Unix(1000, 0)
-		var r readings
+		var r promptTracker
 		for i := range 3 {
-			choose(&r, now, i, time.Second, draft, homeAndNext)
+			choose(&r, now, i, time.Second, draftPrompt, homeAndNext)
 		}
-		NewWithT(t).Expect(choose(&r, now, 4, slack, draft, homeAndNext)).To(Equal(want), "%s", slack)
+		NewWithT(t).Expect(choose(&r, now, 4, slack, draftPrompt, homeAndNext)).To(Equal(want), "%s", slack)
 	}
 }
 
@@ -63,12 +63,12 @@
 func TestPartsAreForgottenAfterAWhile(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
-	choose(&r, now, 1, tight, draft, []Target{{ID: "next"}})
-	r.done("next", key(1))
-	g.Expect(choose(&r, now, 2, tight, draft, homeAndNext)).To(Equal("next"))
-	r.done("next", key(2))
-	g.Expect(choose(&r, now.Add(partKept), 3, tight, draft, homeAndNext)).To(Equal("home"))
+	var r promptTracker
+	choose(&r, now, 1, tightSlack, draftPrompt, []Target{{ID: "next"}})
+	r.promptDone("next", key(1))
+	g.Expect(choose(&r, now, 2, tightSlack, draftPrompt, homeAndNext)).To(Equal("next"))
+	r.promptDone("next", key(2))
+	g.Expect(choose(&r, now.Add(prefixTTL), 3, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"))
 }
 
 // The pattern: one server reads more slowly than the others. Its prompts count until
@@ -76,14 +76,14 @@
 func TestSlowReaderGetsLess(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
+	var r promptTracker
 	chat, list := Prompt{OwnPrefill: 50 * time.Millisecond}, []Target{{ID: "slow"}, {ID: "next", Cost: 40 * time.Millisecond}}
-	g.Expect(choose(&r, now, 1, tight, chat, list)).To(Equal("slow"))
+	g.Expect(choose(&r, now, 1, tightSlack, chat, list)).To(Equal("slow"))
 	now = now.Add(time.Second)
-	g.Expect(choose(&r, now, 2, tight, chat, list)).To(Equal("next"))
-	r.done("next", key(2))
-	r.done("slow", key(1))
-	g.Expect(choose(&r, now, 3, tight, chat, list)).To(Equal("slow"))
+	g.Expect(choose(&r, now, 2, tightSlack, chat, list)).To(Equal("next"))
+	r.promptDone("next", key(2))
+	r.promptDone("slow", key(1))
+	g.Expect(choose(&r, now, 3, tightSlack, chat, list)).To(Equal("slow"))
 }
 
 // The host that would tell that a prompt was read has lost power. Its prompts do not
@@ -91,20 +91,20 @@
 func TestPromptsOfALostHostAreForgotten(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
+	var r promptTracker
 	for i := range 9 {
-		choose(&r, now, i, tight, draft, homeAndNext)
+		choose(&r, now, i, tightSlack, draftPrompt, homeAndNext)
 	}
-	now = now.Add(lostReading)
-	g.Expect(choose(&r, now, 10, tight, draft, homeAndNext)).To(Equal("home"))
-	r.done("home", key(10))
-	r.wait(now, "next")
-	g.Expect(r.byServer).To(BeEmpty())
+	now = now.Add(pendingTimeout)
+	g.Expect(choose(&r, now, 10, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"))
+	r.promptDone("home", key(10))
+	r.pendingTime(now, "next")
+	g.Expect(r.pendingByServer).To(BeEmpty())
 }
 
 func TestChoiceWithoutTargets(t *testing.T) {
-	var r readings
-	NewWithT(t).Expect(choose(&r, time.Unix(1000, 0), 1, tight, draft, nil)).To(BeEmpty())
+	var r promptTracker
+	NewWithT(t).Expect(choose(&r, time.Unix(1000, 0), 1, tightSlack, draftPrompt, nil)).To(BeEmpty())
 }
 
 // Results of 3 MB lie in one failure domain. What a server elsewhere costs for them is
@@ -112,14 +112,14 @@
 func TestLargeResultsDrawTheRequest(t *testing.T) {
 	g := NewWithT(t)
 	inputs := []Input{{Bytes: 3_000_000, Domain: "x"}, {Bytes: 6_000, Domain: "y"}}
-	list := near([]Target{{ID: "a", Domain: "x", Cost: time.Millisecond}, {ID: "b", Domain: "y"}}, inputs)
+	list := withTransferCost([]Target{{ID: "a", Domain: "x", Cost: time.Millisecond}, {ID: "b", Domain: "y"}}, inputs)
 	g.Expect(list[0].Cost).To(BeNumerically("<", 2*time.Millisecond))
 	g.Expect(list[1].Cost).To(Equal(60 * time.Millisecond))
 }
 
 // fetched is a draft whose shared part can be had from another server.
-var fetched = func() Prompt {
-	p := draft
+var fetchablePrompt = func() Prompt {
+	p := draftPrompt
 	p.ShortPrefix, p.FetchTime = "prefix", 10*time.Millisecond
 	return p
 }()
@@ -127,7 +127,7 @@
 var threeDomains = []Target{{ID: "a1", Domain: "a"}, {ID: "a2", Domain: "a"}, {ID: "b1", Domain: "b"}}
 
 // place has a request placed on one server only.
-func place(r *readings, now time.Time, i int, p Prompt, server string) choice {
+func chooseAt(r *promptTracker, now time.Time, i int, p Prompt, server string) choice {
 	for _, t := range threeDomains {
 		if t.ID == server {
 			return r.choose(now, key(i), time.Second, p, []Target{t})
@@ -141,22 +141,22 @@
 func TestPartIsFetchedFromAServerThatHasReadIt(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
-	g.Expect(place(&r, now, 0, fetched, "b1").fetch).To(BeEmpty(), "nobody has it")
-	g.Expect(place(&r, now, 1, fetched, "a1").fetch).To(BeEmpty(), "it is still being read")
+	var r promptTracker
+	g.Expect(chooseAt(&r, now, 0, fetchablePrompt, "b1").fetchFrom).To(BeEmpty(), "nobody has it")
+	g.Expect(chooseAt(&r, now, 1, fetchablePrompt, "a1").fetchFrom).To(BeEmpty(), "it is still being read")
 	now = now.Add(time.Second)
-	g.Expect(place(&r, now, 2, fetched, "b1").fetch).To(Equal("a1"), "its own may be dropped by now")
-	g.Expect(place(&r, now, 3, fetched, "a2").fetch).To(Equal("a1"), "the one in its own failure domain")
-	g.Expect(place(&r, now.Add(partKept+time.Second), 5, fetched, "a2").fetch).To(BeEmpty(), "they have dropped it")
+	g.Expect(chooseAt(&r, now, 2, fetchablePrompt, "b1").fetchFrom).To(Equal("a1"), "its own may be dropped by now")
+	g.Expect(chooseAt(&r, now, 3, fetchablePrompt, "a2").fetchFrom).To(Equal("a1"), "the one in its own failure domain")
+	g.Expect(chooseAt(&r, now.Add(prefixTTL+time.Second), 5, fetchablePrompt, "a2").fetchFrom).To(BeEmpty(), "they have dropped it")
 }
 
 // Guards against a transfer between servers that cannot make one.
 func TestPartIsReadWhereItCannotBeFetched(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
-	place(&r, now, 0, draft, "b1")
-	g.Expect(place(&r, now.Add(time.Second), 1, draft, "a1").fetch).To(BeEmpty())
+	var r promptTracker
+	chooseAt(&r, now, 0, draftPrompt, "b1")
+	g.Expect(chooseAt(&r, now.Add(time.Second), 1, draftPrompt, "a1").fetchFrom).To(BeEmpty())
 }
 
 // The pattern: many things share the first part of their prompts, and each has a second
@@ -165,15 +165,15 @@
 func TestPrefixOfANewPartIsFetched(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
-	place(&r, now, 0, fetched, "b1")
+	var r promptTracker
+	chooseAt(&r, now, 0, fetchablePrompt, "b1")
 	now = now.Add(time.Second)
-	other := fetched
+	other := fetchablePrompt
 	other.LongPrefix = "another part"
-	g.Expect(place(&r, now, 1, other, "a1").fetch).To(Equal("b1"))
+	g.Expect(chooseAt(&r, now, 1, other, "a1").fetchFrom).To(Equal("b1"))
 	other.LongPrefix = "one more"
 	home := []Target{{ID: "a2", Domain: "a", Home: true}}
-	g.Expect(r.choose(now, key(2), time.Second, other, home).fetch).NotTo(BeEmpty())
+	g.Expect(r.choose(now, key(2), time.Second, other, home).fetchFrom).NotTo(BeEmpty())
 }
 
 // Guards against a region that takes a part's holder for gone, since it heard of it once,
@@ -181,9 +181,9 @@
 func TestOtherRegionsHearAgainOfPartsInUse(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	var r readings
-	g.Expect(place(&r, now, 0, fetched, "a1").tell).To(BeTrue())
-	g.Expect(place(&r, now.Add(time.Second), 1, fetched, "a1").tell).To(BeFalse())
-	g.Expect(place(&r, now.Add(tellAgain), 2, fetched, "a1").tell).To(BeTrue())
-	g.Expect(tellAgain).To(BeNumerically("<", partKept))
+	var r promptTracker
+	g.Expect(chooseAt(&r, now, 0, fetchablePrompt, "a1").announce).To(BeTrue())
+	g.Expect(chooseAt(&r, now.Add(time.Second), 1, fetchablePrompt, "a1").announce).To(BeFalse())
+	g.Expect(chooseAt(&r, now.Add(announceInterval), 2, fetchablePrompt, "a1").announce).To(BeTrue())
+	g.Expect(announceInterval).To(BeNumerically("<", prefixTTL))
 }
