--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -145,7 +145,7 @@
 	}
 }
 
-// Room implements batcher.Backend.
+// FreeResultMemory implements batcher.Backend.
 func (c *stageBackend) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
 	answer, err := c.upstream.Do(ctx, s.Address, platform.StageReport(s.ID))
 	if err != nil {
@@ -173,7 +173,7 @@
 	return platform.DecodeStageReport(answer.Status, body)
 }
 
-// Free implements batcher.Backend.
+// ReleaseResults implements batcher.Backend.
 func (c *stageBackend) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
 	q, err := platform.StageFree(s.ID, handles)
 	if err != nil {
--- a/process/batcher/batcher.go
+++ b/process/batcher/batcher.go
@@ -9,172 +9,182 @@
 	"bilberrydale/process/directory"
 )
 
-// Backend carries calls to the servers of a stage. Its methods are called from
-// many goroutines.
+// Backend sends requests to the backend servers of one service. Its methods are
+// called concurrently.
 type Backend interface {
-	// Run sends a call and returns one result an item, or Err.
+	// Run sends a call and returns one result per item, or a response with Err set.
 	Run(ctx context.Context, c *Call) Response
-	// Free tells a server that results are no longer needed.
+	// ReleaseResults tells a server that the results with these handles are no
+	// longer needed.
 	ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error
-	// Room asks a server for the most room for results that it may have left, in
-	// bytes.
+	// FreeResultMemory returns an upper bound on the free result memory of a
+	// server, in bytes.
 	FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error)
 }
 
-// Log receives what a Batcher decides.
+// CallLogger logs calls as they are sent and as they end. waiting is the number of
+// items left in the queue. CallEnded is called concurrently.
 type CallLogger interface {
 	CallSent(service string, c *Call, waiting int)
 	CallEnded(service string, c *Call, took time.Duration, a Response)
 }
 
-// Batcher runs the Queue of one service.
+// Batcher runs the Queue of one service: it sends the calls that the queue composes
+// and reports their responses back. Its methods are safe for concurrent use.
 type Batcher struct {
 	service string
 	backend Backend
 	clock   clock.Clock
 	log     CallLogger
-	changed chan struct{}
+	wakeup  chan struct{}
 
-	mu    sync.Mutex
-	queue *Queue
-	freed map[string]*freeing // by server id
+	mu              sync.Mutex
+	queue           *Queue
+	pendingReleases map[string]*releaseBatch // by server id; the next release message to each
 }
 
-// freeing collects results to be given up at one server.
-type freeing struct {
+// releaseBatch collects results to be released in one message to a server.
+type releaseBatch struct {
 	server  *directory.Server
 	handles []string
 	bytes   int64
 }
 
-// New returns a batcher for a service. Run has to be called.
+// New returns a batcher for a service. It sends nothing until Run is called.
 func New(service string, opts Options, backend Backend, c clock.Clock, log CallLogger) *Batcher {
 	return &Batcher{
-		service: service, backend: backend, clock: c, log: log, changed: make(chan struct{}, 1),
-		queue: NewQueue(opts), freed: map[string]*freeing{},
+		service: service, backend: backend, clock: c, log: log, wakeup: make(chan struct{}, 1),
+		queue: NewQueue(opts), pendingReleases: map[string]*releaseBatch{},
 	}
 }
 
-// Configure puts new options and servers in force.
+// Configure replaces the options and the servers. oneWay returns the one-way
+// network latency to a server.
 func (b *Batcher) Configure(opts Options, servers []*directory.Server, oneWay func(*directory.Server) time.Duration) {
 	b.mu.Lock()
 	b.queue.Configure(opts)
 	b.queue.SetServers(servers, oneWay)
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 }
 
-// Submit adds a job; its Done is called for each item.
+// Submit queues a job. The job's OnResult is called once for each item.
 func (b *Batcher) Submit(j *Job) {
 	b.mu.Lock()
 	b.queue.Submit(j, b.clock.Now())
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 }
 
-// Cancel drops what still waits of a request.
+// Cancel drops the items of a request that are not in a call yet.
 func (b *Batcher) Cancel(requestID string) {
 	b.mu.Lock()
 	b.queue.Cancel(requestID)
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 }
 
-// Capacity is what the service's servers can do now.
+// Capacity returns the current capacity of the service's servers.
 func (b *Batcher) Capacity() Capacity {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.queue.Capacity(b.clock.Now())
 }
 
-// Options returns the options in force.
+// Options returns the options in effect.
 func (b *Batcher) Options() Options {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.queue.opts
 }
 
-func (b *Batcher) wake() {
+// signal makes Run check the queue.
+func (b *Batcher) signal() {
 	select {
-	case b.changed <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 }
 
-// freeEvery is how long freed results are collected: those of one request come
-// together, and a server whose room is full waits for them.
-const freeEvery = 10 * time.Millisecond
+// releaseDelay is how long released results are collected before a message is sent:
+// the results of a request are released within a short time of each other. It is
+// short because a server whose result memory is full waits for the release.
+const releaseDelay = 10 * time.Millisecond
 
-// Run gives out work until ctx ends.
+// Run sends calls until ctx is cancelled. It returns nil. Calls in flight then are
+// not awaited.
 func (b *Batcher) Run(ctx context.Context) error {
-	recover := b.clock.Now()
+	lastDecay := b.clock.Now()
 	for {
 		now := b.clock.Now()
 		b.mu.Lock()
-		if now.Sub(recover) >= time.Second {
+		if now.Sub(lastDecay) >= time.Second {
 			b.queue.DecayEstimates()
-			recover = now
+			lastDecay = now
 		}
 		if len(b.queue.servers) == 0 {
 			b.queue.FailAll(NoServer)
 		}
-		calls, again := b.queue.NextCalls(now)
+		calls, wakeAt := b.queue.NextCalls(now)
 		waiting := b.queue.WaitingItems()
-		unsure := b.queue.ServersToProbe(now)
+		toProbe := b.queue.ServersToProbe(now)
 		b.mu.Unlock()
-		for _, s := range unsure {
-			go b.askRoom(ctx, s)
+		for _, s := range toProbe {
+			go b.probeFreeMemory(ctx, s)
 		}
 		for _, c := range calls {
 			b.log.CallSent(b.service, c, waiting)
-			go b.run(ctx, c)
+			go b.runCall(ctx, c)
 		}
 		var timer <-chan time.Time
-		if !again.IsZero() {
-			timer = b.clock.After(max(again.Sub(now), time.Millisecond))
+		if !wakeAt.IsZero() {
+			timer = b.clock.After(max(wakeAt.Sub(now), time.Millisecond))
 		}
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-b.changed:
+		case <-b.wakeup:
 		case <-timer:
 		}
 	}
 }
 
-// patience is the least time beyond the expected end before a call is given up
-// and its items go to another server: the spread of call times and a lost
-// packet's repeat fit into it.
-const patience = 250 * time.Millisecond
+// minCallGrace is the minimum time after the expected end before a call times out and
+// its items go to another server. It covers the variance of call times and the
+// retransmission of a lost packet.
+const minCallGrace = 250 * time.Millisecond
 
-func (b *Batcher) run(ctx context.Context, c *Call) {
-	// Twice the expected time tells a slow or silent server from the ordinary
-	// spread; what it still makes is freed when it arrives.
+// runCall sends a call and applies its response, or a timeout.
+func (b *Batcher) runCall(ctx context.Context, c *Call) {
+	// Twice the expected time separates a slow or unresponsive server from normal
+	// variance. Results that arrive after the timeout are released.
 	b.mu.Lock()
-	freeAt := c.ExpectedEnd // moves with the end of the call before
+	expectedEnd := c.ExpectedEnd // changes when the call before it ends
 	b.mu.Unlock()
-	bound := freeAt.Sub(b.clock.Now()) + c.ExpectedDuration + patience
-	lost := time.AfterFunc(bound, func() { b.ended(c, Response{Err: context.DeadlineExceeded}, true) })
+	limit := expectedEnd.Sub(b.clock.Now()) + c.ExpectedDuration + minCallGrace
+	timeout := time.AfterFunc(limit, func() { b.finishCall(c, Response{Err: context.DeadlineExceeded}, true) })
 	a := b.backend.Run(ctx, c)
-	lost.Stop()
-	b.ended(c, a, a.Err != nil)
+	timeout.Stop()
+	b.finishCall(c, a, a.Err != nil)
 }
 
-func (b *Batcher) ended(c *Call, a Response, failed bool) {
+// finishCall applies the response to a call. Results of a call that has already been
+// completed by its timeout are released.
+func (b *Batcher) finishCall(c *Call, a Response, failed bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
-	already := c.ended
-	if failed && !already && !a.Busy {
+	alreadyCompleted := c.completed
+	if failed && !alreadyCompleted && !a.Busy {
 		c.Server.RecordFailure(now)
 	}
 	b.queue.CompleteCall(c, a, now)
 	b.mu.Unlock()
-	b.wake()
-	if !already {
-		b.log.CallEnded(b.service, c, now.Sub(c.sent), a)
+	b.signal()
+	if !alreadyCompleted {
+		b.log.CallEnded(b.service, c, now.Sub(c.sentAt), a)
 		return
 	}
-	// The items were given to another server meanwhile: nobody waits for these.
+	// The items went to another server after the timeout, so these results have no user.
 	for _, r := range a.Results {
 		if r.Handle != "" {
 			b.ReleaseResult(r.ServerID, r.Handle, 0)
@@ -182,58 +192,62 @@
 	}
 }
 
-// Free gives up a result. It returns at once.
+// ReleaseResult releases a result of the given size at a server. It returns at once;
+// the message is sent after releaseDelay.
 func (b *Batcher) ReleaseResult(serverID, handle string, bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.queue.servers[serverID]
 	if s == nil {
-		return // the result has gone with its server
+		return // the result was lost with its server
 	}
-	f := b.freed[serverID]
+	f := b.pendingReleases[serverID]
 	if f == nil {
-		f = &freeing{server: s.Server}
-		b.freed[serverID] = f
-		time.AfterFunc(freeEvery, func() { b.flush(serverID) })
+		f = &releaseBatch{server: s.Server}
+		b.pendingReleases[serverID] = f
+		time.AfterFunc(releaseDelay, func() { b.flushReleases(serverID) })
 	}
 	f.handles = append(f.handles, handle)
 	f.bytes += bytes
 }
 
-// roomBound is the time for a server to tell its room; it is asked again soon.
-const roomBound = 300 * time.Millisecond
+// memoryProbeTimeout bounds a request for a server's free result memory. A failed probe
+// is not fatal: the server's calls show whether it works.
+const memoryProbeTimeout = 300 * time.Millisecond
 
-// askRoom asks a server how much of its room is left.
-func (b *Batcher) askRoom(ctx context.Context, s *directory.Server) {
-	ctx, cancel := context.WithTimeout(ctx, roomBound)
+// probeFreeMemory requests the free result memory of a server and updates the queue.
+func (b *Batcher) probeFreeMemory(ctx context.Context, s *directory.Server) {
+	ctx, cancel := context.WithTimeout(ctx, memoryProbeTimeout)
 	defer cancel()
 	free, err := b.backend.FreeResultMemory(ctx, s)
 	now := b.clock.Now()
 	b.mu.Lock()
 	b.queue.UpdateFreeMemory(s.ID, free, err == nil, now)
 	b.mu.Unlock()
-	b.wake()
+	b.signal()
 }
 
-// freeBound: a result that could not be freed in this time frees itself soon.
-const freeBound = time.Second
+// releaseTimeout bounds a release message. Results that it fails to release expire at
+// the server after Options.ResultTTL.
+const releaseTimeout = time.Second
 
-func (b *Batcher) flush(serverID string) {
+// flushReleases sends the collected releases to a server.
+func (b *Batcher) flushReleases(serverID string) {
 	b.mu.Lock()
-	f := b.freed[serverID]
-	delete(b.freed, serverID)
+	f := b.pendingReleases[serverID]
+	delete(b.pendingReleases, serverID)
 	b.mu.Unlock()
 	if f == nil {
 		return
 	}
-	// A call that is sent from now on arrives behind the message that frees.
+	// A call that is sent from now on reaches the server after the release message.
 	b.mu.Lock()
 	b.queue.ResultsReleased(serverID, f.bytes)
 	b.mu.Unlock()
-	b.wake()
-	ctx, cancel := context.WithTimeout(context.Background(), freeBound)
+	b.signal()
+	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
-	// A failure only delays the room until the result's own time is over; the
-	// backend logs it.
+	// After a failure the memory stays in use until the results expire; the backend
+	// logs the error.
 	_ = b.backend.ReleaseResults(ctx, f.server, f.handles)
 }
--- a/process/batcher/batcher_test.go
+++ b/process/batcher/batcher_test.go
@@ -12,10 +12,11 @@
 	"bilberrydale/process/directory"
 )
 
-// calls answers with an answer by server.
-type calls map[string]Response
+// stubBackend holds the response of each server by id. Responses without an error get a
+// result for each item.
+type stubBackend map[string]Response
 
-func (c calls) Run(_ context.Context, call *Call) Response {
+func (c stubBackend) Run(_ context.Context, call *Call) Response {
 	a := c[call.Server.ID]
 	if a.Err == nil {
 		a.Results = make([]Result, len(call.Items))
@@ -26,29 +27,28 @@
 	return a
 }
 
-func (calls) FreeResultMemory(context.Context, *directory.Server) (int64, error) {
-	return sheet.ResultMemoryBytes, nil
+func (stubBackend) FreeResultMemory(context.Context, *directory.Server) (int64, error) {
+	return testOptions.ResultMemoryBytes, nil
 }
-func (calls) ReleaseResults(context.Context, *directory.Server, []string) error { return nil }
+func (stubBackend) ReleaseResults(context.Context, *directory.Server, []string) error { return nil }
 
-type quiet struct{}
+type nopLogger struct{}
 
-func (quiet) CallSent(string, *Call, int)                      {}
-func (quiet) CallEnded(string, *Call, time.Duration, Response) {}
+func (nopLogger) CallSent(string, *Call, int)                      {}
+func (nopLogger) CallEnded(string, *Call, time.Duration, Response) {}
 
-// One server breaks its calls off, another says that it has too much work. The
-// job is done by the third; the first is passed over for a while, the second is
-// sound.
-func TestServerThatBreaksACallOffIsPassedOver(t *testing.T) {
+// One server fails its calls, another refuses them as overloaded. The third server must
+// complete the job. The first has to be avoided for a while, the second must not be.
+func TestServerWithFailedCallIsAvoided(t *testing.T) {
 	g := NewWithT(t)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{
 		{ID: "broken", Service: "s", Domain: "x"}, {ID: "busy", Service: "s", Domain: "x"}, {ID: "sound", Service: "s", Domain: "y"},
 	}, time.Now())
-	b := New("s", sheet, calls{
+	b := New("s", testOptions, stubBackend{
 		"broken": {Err: errors.New("cut")}, "busy": {Err: errors.New("full"), Busy: true}, "sound": {},
-	}, clock.System{}, quiet{})
-	b.Configure(sheet, dir.View().Servers("s"), func(*directory.Server) time.Duration { return 0 })
+	}, clock.System{}, nopLogger{})
+	b.Configure(testOptions, dir.View().Servers("s"), func(*directory.Server) time.Duration { return 0 })
 	go func() { _ = b.Run(t.Context()) }()
 	done := make(chan Result, 1)
 	now := time.Now()
--- a/process/batcher/bench_test.go
+++ b/process/batcher/bench_test.go
@@ -8,8 +8,8 @@
 	"bilberrydale/process/directory"
 )
 
-// BenchmarkNext is one look at a queue whose servers are all at work, with others waiting:
-// what a host that does the stage work of a region does at each event.
+// BenchmarkNext measures NextCalls on a queue with waiting jobs whose servers are all busy,
+// which the entry host that batches for a region runs at each event.
 func BenchmarkNext(b *testing.B) {
 	for _, servers := range []int{5, 50, 400} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
@@ -20,7 +20,7 @@
 				entries = append(entries, directory.Entry{ID: fmt.Sprint(i), Service: "s", Domain: fmt.Sprint(i % 6)})
 			}
 			dir.Replace(entries, now)
-			q := NewQueue(sheet)
+			q := NewQueue(testOptions)
 			q.SetServers(dir.View().Servers("s"), func(*directory.Server) time.Duration { return time.Millisecond })
 			for i := range 2 * servers {
 				j := &Job{Items: make([]Item, 12), TargetTime: now.Add(time.Second), Deadline: now.Add(time.Minute), ResultBytes: 1, OnResult: func(int, Result) {}}
--- a/process/batcher/job.go
+++ b/process/batcher/job.go
@@ -1,9 +1,9 @@
-// Package batcher gives the items of a stage to its backend servers in calls
-// of several. A call costs a fixed time whatever its size, so items of many
-// requests, and of many hosts, share calls: one host collects the items of a
-// service and decides which server takes which, in which order.
+// Package batcher batches the items of pipeline stages into calls to backend servers. A
+// call has a fixed cost in addition to the cost of its items, so items of many requests,
+// and of many entry hosts, share calls. For each service one entry host collects the
+// items, and decides which server runs which items and in which order.
 //
-// The decisions (Queue) take their time as an input and use no network.
+// Queue makes the decisions. It does no I/O and takes the current time as a parameter.
 package batcher
 
 import (
@@ -13,88 +13,88 @@
 	"bilberrydale/process/residency"
 )
 
-// Item is one piece of work of a stage. It may be made more than once.
+// Item is a unit of work of a stage. It may run more than once.
 type Item struct {
 	RequestID string
 	Stage     int
-	Piece     int
-	Key       string   // input, for stages that follow no other
-	Inputs    []string // handles of the results it needs, otherwise
+	Piece     int      // index of the item in its stage
+	Key       string   // input key, for items of stages without a preceding stage
+	Inputs    []string // handles of the results that it takes as input, for items of other stages
 }
 
 // Job is all items of one stage of one request.
 type Job struct {
 	Items []Item
-	// Domain is the failure domain where the items are best made, and AwayBytes
-	// is what crosses domains if they are made elsewhere.
+	// Domain is the failure domain in which the items preferably run, and RemoteBytes
+	// the number of bytes that cross domains if they run elsewhere.
 	Domain      string
 	RemoteBytes int64
-	// Allowed are the regions in which the items may be made.
+	// AllowedRegions are the regions in which the items may run.
 	AllowedRegions residency.Set
-	// AimBy is when the results should be there: jobs are served in this order.
-	// DieBy is when they are of no use any more.
+	// TargetTime is when the results are due; jobs are served in this order. After
+	// Deadline the results are useless.
 	TargetTime, Deadline time.Time
-	// ItemBytes is the approximate size of one result.
+	// ResultBytes is the approximate size of the result of one item.
 	ResultBytes int64
-	// Done is called once for each item with its result or the reason why
-	// there is none. It must not block.
+	// OnResult is called once for each item, with its result or the reason for having
+	// none. It must not block.
 	OnResult func(index int, r Result)
-	// Fetched is called when all items are with servers that have fetched their inputs;
-	// nil: nobody wants to know. It must not block.
+	// OnInputsFetched is called once all items are in calls whose servers have fetched
+	// their inputs. It may be nil. It must not block.
 	OnInputsFetched func()
 
-	next      []int // items neither done nor in a call
-	since     time.Time
-	attempts  int
-	failedOn  map[string]bool // servers that failed on an item
-	cancelled bool
-	held      bool        // waits for a server of its own failure domain
-	fetched   int         // items whose inputs were fetched
-	spent     atomic.Bool // its inputs were given up
+	pendingItems   []int // indices of items that are neither done nor in a call
+	queuedAt       time.Time
+	failedAttempts int
+	failedServers  map[string]bool // ids of servers that failed on an item
+	cancelled      bool
+	heldForLocal   bool        // waits for a server of its own failure domain
+	fetchedItems   int         // number of items whose inputs have been fetched
+	inputsReleased atomic.Bool // see MarkInputsReleased
 }
 
-// Spend notes that the job's inputs are given up: items that fail from now on end with
-// InputGone at once. It may be called at any time.
-func (j *Job) MarkInputsReleased() { j.spent.Store(true) }
+// MarkInputsReleased records that the job's inputs were released. Items that fail after
+// that are not retried and end with InputLost. It is safe for concurrent use.
+func (j *Job) MarkInputsReleased() { j.inputsReleased.Store(true) }
 
-// Reason tells why an item has no result; empty: it has one.
+// Reason says why an item has no result; it is empty if the item has one.
 type Reason string
 
-// Reasons.
+// Reasons for which an item has no result.
 const (
-	TooLate    Reason = "late"      // it could not be made in time
-	InputLost  Reason = "gone"      // a result that it needs no longer exists
-	NoServer   Reason = "no_server" // no server of the service can be reached
-	Failed     Reason = "failed"    // servers failed on it too often
-	Cancelled  Reason = "cancelled" // the request is over
-	NoCapacity Reason = "no_room"   // the server had no room for the result; made elsewhere or later
+	TooLate    Reason = "late"      // the item cannot complete before its deadline
+	InputLost  Reason = "gone"      // an input no longer exists
+	NoServer   Reason = "no_server" // no server may run the item
+	Failed     Reason = "failed"    // servers failed on it maxAttempts times
+	Cancelled  Reason = "cancelled" // the request was cancelled
+	NoCapacity Reason = "no_room"   // the server has no capacity; the item is retried elsewhere or later
 )
 
 // Result is the outcome of one item.
 type Result struct {
-	Handle   string // names the result at its server; empty: none
-	ServerID string // which made it
+	Handle   string // identifies the result at its server; empty if there is none
+	ServerID string // server that holds the result
 	Domain   string // failure domain of that server
 	Reason   Reason
 }
 
-// Options describe a service; they follow the configuration in force.
+// Options configure a service. They change with the configuration.
 type Options struct {
-	Slots             int // calls that a server works on at once; at least 1
-	MaxItems          int // items of one call
-	CallTime          time.Duration
-	ItemTime          time.Duration
-	ResultMemoryBytes int64 // for results at one server; 0: not bounded
-	ResultTTL         time.Duration
+	Slots             int           // calls that a server runs concurrently; values below 1 count as 1
+	MaxItems          int           // maximum number of items in one call
+	CallTime          time.Duration // fixed time of a call
+	ItemTime          time.Duration // additional time per item
+	ResultMemoryBytes int64         // memory for results at one server; 0: unlimited
+	ResultTTL         time.Duration // after which a server drops a result unless it is released
 }
 
-func (o *Options) slots() int { return max(o.Slots, 1) }
+func (o *Options) slotCount() int { return max(o.Slots, 1) }
 
-func (o *Options) expected(items int) time.Duration {
+// expectedCallTime returns the configured time of a call with the given number of items.
+func (o *Options) expectedCallTime(items int) time.Duration {
 	return o.CallTime + time.Duration(items)*o.ItemTime
 }
 
-// maxAttempts bounds how often an item is given to servers: a crash and a slow
-// server in a row still leave one good try, and an item that breaks every
-// server that takes it stops after three.
+// maxAttempts is how often an item is tried. After a crash and a slow server one attempt
+// remains, and an item that crashes every server reaches only three of them.
 const maxAttempts = 3
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -8,69 +8,69 @@
 	"bilberrydale/process/directory"
 )
 
-// Queue decides which server takes which items. It is not safe for concurrent
-// use; Batcher guards it.
+// Queue assigns items to servers. It is not safe for concurrent use; Batcher guards it
+// with a mutex.
 type Queue struct {
-	opts    Options
-	waiting []*Job // with items that are not in a call, by AimBy
-	servers map[string]*server
-	worked  time.Time // when a job last came
+	opts       Options
+	waiting    []*Job // jobs with items that are not in a call, by TargetTime
+	servers    map[string]*server
+	lastSubmit time.Time // time of the last Submit
 }
 
-// NewQueue returns a queue without servers.
+// NewQueue returns an empty queue without servers.
 func NewQueue(opts Options) *Queue {
 	return &Queue{opts: opts, servers: map[string]*server{}}
 }
 
-// server is what the queue knows of one backend server.
+// server is the queue's state of one backend server.
 type server struct {
 	*directory.Server
-	calls   []*Call
-	slow    float64 // time that calls take over the expected time; 1: as expected
-	inCalls int64   // bytes of results that present calls make
-	results []heldResults
-	room    int64     // for results, as the server has shown; 0: as configured
-	foreign int64     // bytes of results that nobody here knows of, as the server has told
-	ask     bool      // it has to be asked for its room
-	askAt   time.Time // not before
-	fullTil time.Time // the server said that it has no room
-	oneWay  time.Duration
+	calls         []*Call
+	slowdown      float64 // ratio of observed to expected call times; 1: as expected
+	inFlightBytes int64   // estimated bytes of the results of calls in flight
+	results       []storedResults
+	memoryLimit   int64     // learned limit of the result memory, in bytes; 0: as configured
+	foreignBytes  int64     // bytes of results that this queue did not produce, from the last probe
+	needsProbe    bool      // its free memory is to be probed
+	nextProbe     time.Time // earliest time of the next probe
+	fullUntil     time.Time // it gets no calls before this time, after a refusal
+	oneWayLatency time.Duration
 }
 
-// Call is a call to one server.
+// Call is a batch of items sent to one server.
 type Call struct {
 	Server           *directory.Server
 	Items            []ItemRef
-	ExpectedDuration time.Duration // how long the server should work on it
-	ExpectedStart    time.Time     // when the server should begin, at the latest
-	// FreeAt is when the server should be done.
+	ExpectedDuration time.Duration // estimated processing time at the server
+	ExpectedStart    time.Time     // latest time at which the server should start
+	// ExpectedEnd is when the server should complete the call.
 	ExpectedEnd time.Time
 
-	bytes   int64
-	sent    time.Time
-	ended   bool
-	fetched bool // the inputs of its items are at the server
+	resultBytes   int64
+	sentAt        time.Time
+	completed     bool
+	inputsFetched bool // the server has fetched the inputs of its items
 }
 
-// Part is one item of a call.
+// ItemRef refers to one item of a job.
 type ItemRef struct {
 	Job   *Job
-	Index int // in Job.Items
+	Index int // index in Job.Items
 }
 
-// Configure puts new options in force.
+// Configure replaces the options.
 func (q *Queue) Configure(opts Options) { q.opts = opts }
 
-// SetServers replaces the servers that may get work. oneWay tells how long a
-// message takes to a server.
+// SetServers replaces the servers. State of servers that stay is kept. oneWay returns the
+// one-way network latency to a server.
 func (q *Queue) SetServers(list []*directory.Server, oneWay func(*directory.Server) time.Duration) {
 	next := make(map[string]*server, len(list))
 	for _, d := range list {
 		s := q.servers[d.ID]
 		if s == nil || s.LocalState != d.LocalState {
-			s = &server{slow: 1}
+			s = &server{slowdown: 1}
 		}
-		s.Server, s.oneWay = d, oneWay(d)
+		s.Server, s.oneWayLatency = d, oneWay(d)
 		next[d.ID] = s
 	}
 	q.servers = next
@@ -78,15 +78,16 @@
 
 // Submit adds a job.
 func (q *Queue) Submit(j *Job, now time.Time) {
-	q.begin(now)
-	j.since = now
-	j.next = make([]int, len(j.Items))
-	for i := range j.next {
-		j.next[i] = i
+	q.probeAfterIdle(now)
+	j.queuedAt = now
+	j.pendingItems = make([]int, len(j.Items))
+	for i := range j.pendingItems {
+		j.pendingItems[i] = i
 	}
 	q.insert(j)
 }
 
+// insert puts a job into the queue in order of TargetTime.
 func (q *Queue) insert(j *Job) {
 	i := sort.Search(len(q.waiting), func(i int) bool { return j.TargetTime.Before(q.waiting[i].TargetTime) })
 	q.waiting = append(q.waiting, nil)
@@ -94,7 +95,7 @@
 	q.waiting[i] = j
 }
 
-// Cancel drops the waiting items of a request.
+// Cancel marks the waiting jobs of a request as cancelled.
 func (q *Queue) Cancel(requestID string) {
 	for _, j := range q.waiting {
 		if j.Items[0].RequestID == requestID {
@@ -103,42 +104,43 @@
 	}
 }
 
-// Waiting returns the number of items that wait for a call.
+// WaitingItems returns the number of items that are not in a call yet.
 func (q *Queue) WaitingItems() int {
 	n := 0
 	for _, j := range q.waiting {
-		n += len(j.next)
+		n += len(j.pendingItems)
 	}
 	return n
 }
 
-// Next returns the calls to send now and when to ask again at the latest. Jobs
-// that have become hopeless are ended.
-func (q *Queue) NextCalls(now time.Time) (calls []*Call, again time.Time) {
-	q.drop(now)
-	fetched := q.noteFetched(now)
-	free := q.free(now)
-	for len(free) > 0 && len(q.waiting) > 0 && !q.gathers(free, now) {
-		c := q.compose(free, now)
+// NextCalls returns the calls to send now, and when it has to be called again at the
+// latest; zero: only after another event. It ends the jobs that were cancelled or cannot
+// complete before their deadline.
+func (q *Queue) NextCalls(now time.Time) (calls []*Call, wakeAt time.Time) {
+	q.dropExpired(now)
+	fetched := q.updateFetchedInputs(now)
+	free := q.freeServers(now)
+	for len(free) > 0 && len(q.waiting) > 0 && !q.waitsForFullerBatch(free, now) {
+		c := q.composeCall(free, now)
 		if c == nil {
 			break
 		}
 		calls = append(calls, c)
-		fetched = earlier(fetched, c.fetchedAt())
-		free = q.free(now)
+		fetched = earlier(fetched, c.inputsFetchedAt())
+		free = q.freeServers(now)
 	}
-	return calls, q.wake(now, fetched)
+	return calls, q.nextWake(now, fetched)
 }
 
-// wake returns when the next busy server can be given its next call, a job has waited
-// long enough, or the inputs of a call are fetched; zero: nothing is to be done then.
-func (q *Queue) wake(now, fetched time.Time) time.Time {
+// nextWake returns the earliest time at which a busy server can get its next call, jobs
+// have to be checked again, or the inputs of a call are fetched; zero: none of these.
+func (q *Queue) nextWake(now, fetched time.Time) time.Time {
 	if len(q.waiting) == 0 {
 		return fetched
 	}
-	at := earlier(fetched, now.Add(maxSleep))
+	at := earlier(fetched, now.Add(maxWakeInterval))
 	for _, s := range q.servers {
-		if s.InBackoff(now) || len(s.calls) != q.opts.slots() {
+		if s.InBackoff(now) || len(s.calls) != q.opts.slotCount() {
 			continue
 		}
 		if t := s.sendAt(); t.After(now) && t.Before(at) {
@@ -148,23 +150,22 @@
 	return at
 }
 
-// maxSleep bounds the wait until hopeless jobs and those that wait for others are
-// looked for again.
-const maxSleep = 25 * time.Millisecond
+// maxWakeInterval bounds the time between checks for jobs that expired or waited long enough.
+const maxWakeInterval = 25 * time.Millisecond
 
-// sendAt is when the next call has to leave so that it arrives as the present
-// one ends. Without the lead a server stands idle for the way there and back
-// after each call, a tenth of its time between regions.
+// sendAt returns when the next call has to be sent to arrive as a running call ends.
+// Without the lead a server is idle for a round trip after each call, which is a tenth
+// of its time between regions.
 func (s *server) sendAt() time.Time {
 	first := s.calls[0].ExpectedEnd
 	for _, c := range s.calls[1:] {
 		first = earlier(first, c.ExpectedEnd)
 	}
-	return first.Add(-2*s.oneWay - sendLead)
+	return first.Add(-2*s.oneWayLatency - sendLead)
 }
 
-// ends are the expected ends of the present calls, the first one first.
-func (s *server) ends() []time.Time {
+// expectedEnds returns the expected ends of the calls in flight in ascending order.
+func (s *server) expectedEnds() []time.Time {
 	out := make([]time.Time, len(s.calls))
 	for i, c := range s.calls {
 		out[i] = c.ExpectedEnd
@@ -173,44 +174,45 @@
 	return out
 }
 
-// sendLead covers the spread of call times: a call that arrives early waits in
-// the server's own queue, one that arrives late leaves the server idle.
+// sendLead covers the variance of call times. A call that arrives early waits in the
+// server's queue; one that arrives late leaves the server idle.
 const sendLead = 10 * time.Millisecond
 
-// free returns the servers that can take a call now, the fastest first.
-func (q *Queue) free(now time.Time) []*server {
+// freeServers returns the servers that can take a call now, in ascending order of slowdown.
+func (q *Queue) freeServers(now time.Time) []*server {
 	var out []*server
 	for _, s := range q.servers {
-		s.expire(now)
-		if s.InBackoff(now) || s.Delisted() || len(s.calls) > q.opts.slots() || now.Before(s.fullTil) {
+		s.dropExpiredResults(now)
+		if s.InBackoff(now) || s.Delisted() || len(s.calls) > q.opts.slotCount() || now.Before(s.fullUntil) {
 			continue
 		}
-		if len(s.calls) == q.opts.slots() && now.Before(s.sendAt()) {
+		if len(s.calls) == q.opts.slotCount() && now.Before(s.sendAt()) {
 			continue
 		}
 		out = append(out, s)
 	}
 	sort.Slice(out, func(i, j int) bool {
-		if out[i].slow != out[j].slow {
-			return out[i].slow < out[j].slow
+		if out[i].slowdown != out[j].slowdown {
+			return out[i].slowdown < out[j].slowdown
 		}
 		return out[i].ID < out[j].ID
 	})
 	return out
 }
 
-// drop ends jobs that are cancelled or that no server could make in time.
-func (q *Queue) drop(now time.Time) {
-	least := q.opts.CallTime / 2 // the configured time is approximate
+// dropExpired ends the jobs that are cancelled, cannot meet their deadline or have no
+// permitted server.
+func (q *Queue) dropExpired(now time.Time) {
+	minCallTime := q.opts.CallTime / 2 // the configured time is approximate
 	kept := q.waiting[:0]
 	for _, j := range q.waiting {
 		switch {
 		case j.cancelled:
-			j.end(Cancelled)
-		case now.Add(least).After(j.Deadline):
-			j.end(TooLate)
-		case !q.served(j):
-			j.end(NoServer)
+			j.finishPending(Cancelled)
+		case now.Add(minCallTime).After(j.Deadline):
+			j.finishPending(TooLate)
+		case !q.hasAllowedServer(j):
+			j.finishPending(NoServer)
 		default:
 			kept = append(kept, j)
 		}
@@ -219,9 +221,9 @@
 	q.waiting = kept
 }
 
-// served tells whether some server may take a job, now or later. A service without any
-// server is told of by Fail.
-func (q *Queue) served(j *Job) bool {
+// hasAllowedServer reports whether some listed server is in a region that the job allows.
+// Jobs without a region restriction are ended by FailAll if there is no server at all.
+func (q *Queue) hasAllowedServer(j *Job) bool {
 	if !j.AllowedRegions.Restricted() {
 		return true
 	}
@@ -233,63 +235,64 @@
 	return false
 }
 
-// end gives all waiting items their outcome.
-func (j *Job) end(r Reason) {
-	items := j.next
-	j.next = nil
+// finishPending ends all pending items of the job with a reason.
+func (j *Job) finishPending(r Reason) {
+	items := j.pendingItems
+	j.pendingItems = nil
 	for _, i := range items {
 		j.OnResult(i, Result{Reason: r})
 	}
 }
 
-// Fail ends every waiting job, for a service that has lost all servers.
+// FailAll ends every waiting job, for a service that has lost all its servers.
 func (q *Queue) FailAll(r Reason) {
 	waiting := q.waiting
 	q.waiting = nil
 	for _, j := range waiting {
-		j.end(r)
+		j.finishPending(r)
 	}
 }
 
-// Capacity is what the servers of a service can do now.
+// Capacity is the current capacity of the servers of a service.
 type Capacity struct {
-	ListedServers    int      // servers
-	Regions          []string // of these servers
-	AvailableServers int      // of these, that are not avoided
-	ItemsPerSecond   float64  // items a second in full calls
-	// Room is what is left for results, in bytes, beside those of the items that
-	// already wait; it may be negative. RoomAll is all room; 0: not bounded.
+	ListedServers    int      // number of servers in the directory
+	Regions          []string // regions of these servers
+	AvailableServers int      // number of these servers that are not avoided after failures
+	ItemsPerSecond   float64  // throughput of the available servers with full calls
+	// FreeResultBytes is the result memory that remains on available servers after
+	// reserving it for waiting items; it may be negative. TotalResultBytes is the
+	// result memory of the available servers; 0: unlimited.
 	FreeResultBytes, TotalResultBytes int64
 }
 
-// Capacity returns what the servers can do at now.
+// Capacity returns the capacity at the given time.
 func (q *Queue) Capacity(now time.Time) Capacity {
 	c := Capacity{ListedServers: len(q.servers)}
-	full := q.opts.expected(q.opts.MaxItems).Seconds()
+	full := q.opts.expectedCallTime(q.opts.MaxItems).Seconds()
 	for _, s := range q.servers {
 		if !slices.Contains(c.Regions, s.Region) {
 			c.Regions = append(c.Regions, s.Region)
 		}
 		if !s.InBackoff(now) {
 			c.AvailableServers++
-			c.ItemsPerSecond += float64(q.opts.slots()*q.opts.MaxItems) / (full * s.slow)
-			c.TotalResultBytes += q.roomOf(s)
-			c.FreeResultBytes += q.roomOf(s) - s.held()
+			c.ItemsPerSecond += float64(q.opts.slotCount()*q.opts.MaxItems) / (full * s.slowdown)
+			c.TotalResultBytes += q.resultMemory(s)
+			c.FreeResultBytes += q.resultMemory(s) - s.usedBytes()
 		}
 	}
 	for _, j := range q.waiting {
-		c.FreeResultBytes -= int64(len(j.next)) * j.ResultBytes
+		c.FreeResultBytes -= int64(len(j.pendingItems)) * j.ResultBytes
 	}
 	return c
 }
 
-// freeAt is when the server can begin one more call.
-func (q *Queue) freeAt(s *server, now time.Time) time.Time {
-	over := len(s.calls) - q.opts.slots()
+// slotFreeAt returns when the server can start one more call.
+func (q *Queue) slotFreeAt(s *server, now time.Time) time.Time {
+	over := len(s.calls) - q.opts.slotCount()
 	if over < 0 {
 		return now
 	}
-	if at := s.ends()[over]; at.After(now) {
+	if at := s.expectedEnds()[over]; at.After(now) {
 		return at
 	}
 	return now
--- a/process/batcher/regions_test.go
+++ b/process/batcher/regions_test.go
@@ -10,16 +10,16 @@
 	"bilberrydale/process/residency"
 )
 
-// Guards against a result that is made in a region which its request does not allow: calls
-// are shared by many requests, servers fail, and a job may have no server at all.
-func TestItemsAreMadeWhereTheirRequestsAllow(t *testing.T) {
+// Guards against results that are computed in a region which the request does not allow:
+// calls mix items of many requests, servers fail, and a job may have no permitted server.
+func TestItemsRunOnlyInAllowedRegions(t *testing.T) {
 	domains := []string{"x", "y", "z"}
 	rapid.Check(t, func(rt *rapid.T) {
 		servers := map[string]string{}
 		for i := range rapid.IntRange(1, 6).Draw(rt, "servers") {
 			servers[fmt.Sprint("s", i)] = rapid.SampledFrom(domains).Draw(rt, "domain")
 		}
-		b := newBench(t, sheet, servers)
+		b := newHarness(t, testOptions, servers)
 		allowed := map[string]residency.Set{}
 		for i := range rapid.IntRange(1, 12).Draw(rt, "jobs") {
 			id := fmt.Sprint("job", i)
@@ -32,10 +32,10 @@
 			j.AllowedRegions = allowed[id]
 		}
 		for range 30 {
-			for _, c := range b.next() {
+			for _, c := range b.nextCalls() {
 				for _, part := range c.Items {
 					if !part.Job.AllowedRegions.Allows(c.Server.Region) {
-						rt.Fatalf("%s, bound to %v, in %s", part.Job.Items[0].RequestID, part.Job.AllowedRegions, c.Server.Region)
+						rt.Fatalf("%s, restricted to %v, ran in %s", part.Job.Items[0].RequestID, part.Job.AllowedRegions, c.Server.Region)
 					}
 				}
 				if rapid.Bool().Draw(rt, "fails") {
@@ -49,8 +49,8 @@
 			for _, domain := range servers {
 				served = served || set.Allows("region of "+domain)
 			}
-			if r, done := b.done[id+"/0"]; !served && (!done || r.Reason != NoServer) {
-				rt.Fatalf("%s has no server and was told %+v, %t", id, r, done)
+			if r, done := b.results[id+"/0"]; !served && (!done || r.Reason != NoServer) {
+				rt.Fatalf("%s has no permitted server but got %+v, %t", id, r, done)
 			}
 		}
 	})
--- a/process/stages/load_test.go
+++ b/process/stages/load_test.go
@@ -107,7 +107,7 @@
 	return true
 }
 
-// Room implements batcher.Backend.
+// FreeResultMemory implements batcher.Backend.
 func (b simBackend) FreeResultMemory(_ context.Context, s *directory.Server) (int64, error) {
 	time.Sleep(2 * b.sim.servers[s.ID].oneWay)
 	b.sim.mu.Lock()
@@ -115,7 +115,7 @@
 	return b.sim.servers[s.ID].freeBytes, nil
 }
 
-// Free implements batcher.Backend.
+// ReleaseResults implements batcher.Backend.
 func (b simBackend) ReleaseResults(_ context.Context, s *directory.Server, handles []string) error {
 	to := b.sim.servers[s.ID]
 	time.Sleep(to.oneWay)
