--- a/connection/upstream/socket.go
+++ b/connection/upstream/socket.go
@@ -28,8 +28,8 @@
 // quiet reports whether an idle connection is open and has nothing to read. A
 // closed one would lose the next request, and bytes that wait there belong to
 // no request.
-func (k *conn) quiet() bool {
-	raw, err := k.raw.SyscallConn()
+func (k *conn) isReusable() bool {
+	raw, err := k.tcp.SyscallConn()
 	if err != nil {
 		return false
 	}
@@ -45,6 +45,6 @@
 
 // rawURL carries path and query unchanged: parsing and printing them again
 // could change an escape.
-func rawURL(uri string) *url.URL {
+func opaqueURL(uri string) *url.URL {
 	return &url.URL{Opaque: uri}
 }
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -74,11 +74,11 @@
 type Client struct {
 	opts  Options
 	mu    sync.Mutex
-	pools map[string]*pool
+	pools map[string]*idlePool
 	open  atomic.Int64
 }
 
-type pool struct {
+type idlePool struct {
 	idle []*conn // the most recently used last
 }
 
@@ -93,32 +93,32 @@
 	if opts.DefaultIdleTimeout <= 0 {
 		opts.DefaultIdleTimeout = 3 * time.Second
 	}
-	return &Client{opts: opts, pools: map[string]*pool{}}
+	return &Client{opts: opts, pools: map[string]*idlePool{}}
 }
 
 // Open returns the number of open connections.
 func (c *Client) OpenConnections() int64 { return c.open.Load() }
 
 type conn struct {
-	client  *Client
-	address string
-	raw     *net.TCPConn
-	r       *bufio.Reader
-	served  int
-	idleAt  time.Time
-	keep    time.Duration
-	closed  atomic.Bool
+	client      *Client
+	address     string
+	tcp         *net.TCPConn
+	reader      *bufio.Reader
+	served      int
+	idleSince   time.Time
+	idleTimeout time.Duration
+	closed      atomic.Bool
 }
 
 func (k *conn) close() {
 	if k.closed.CompareAndSwap(false, true) {
 		k.client.open.Add(-1)
-		_ = k.raw.Close()
+		_ = k.tcp.Close()
 	}
 }
 
 // take returns an idle connection that still looks sound, or nil.
-func (c *Client) take(address string) *conn {
+func (c *Client) takeIdle(address string) *conn {
 	for {
 		c.mu.Lock()
 		p := c.pools[address]
@@ -129,7 +129,7 @@
 		k := p.idle[len(p.idle)-1]
 		p.idle = p.idle[:len(p.idle)-1]
 		c.mu.Unlock()
-		if time.Since(k.idleAt) < k.keep && k.quiet() {
+		if time.Since(k.idleSince) < k.idleTimeout && k.isReusable() {
 			return k
 		}
 		k.close()
@@ -137,13 +137,13 @@
 }
 
 // put keeps a connection for the next request.
-func (c *Client) put(k *conn) {
-	k.idleAt = time.Now()
+func (c *Client) putIdle(k *conn) {
+	k.idleSince = time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	p := c.pools[k.address]
 	if p == nil {
-		p = &pool{}
+		p = &idlePool{}
 		c.pools[k.address] = p
 	}
 	p.idle = append(p.idle, k)
@@ -172,7 +172,7 @@
 	for address, p := range c.pools {
 		kept := p.idle[:0]
 		for _, k := range p.idle {
-			if now.Sub(k.idleAt) < k.keep {
+			if now.Sub(k.idleSince) < k.idleTimeout {
 				kept = append(kept, k)
 			} else {
 				old = append(old, k)
@@ -205,7 +205,7 @@
 	if c.opts.OnConnect != nil {
 		c.opts.OnConnect(address)
 	}
-	return &conn{client: c, address: address, raw: tcp, r: bufio.NewReaderSize(tcp, 4096)}, nil
+	return &conn{client: c, address: address, tcp: tcp, reader: bufio.NewReaderSize(tcp, 4096)}, nil
 }
 
 // Answer is the head of an answer; its body is read by Read. Close must be
@@ -217,18 +217,18 @@
 	ContentLength int64
 	ReusedConn    bool
 
-	conn    *conn
-	body    io.ReadCloser
-	stop    func() bool
-	ended   bool // the body was read to its marked end
-	keep    bool
-	written chan error
+	conn        *conn
+	body        io.ReadCloser
+	stopCancel  func() bool
+	complete    bool // the body was read to its marked end
+	keepAlive   bool
+	writeResult chan error
 }
 
 // Do sends a request and returns the head of the answer. The error is an
 // *Error. The exchange ends when ctx does, also while the body is read.
 func (c *Client) Do(ctx context.Context, address string, q *Request) (*Response, error) {
-	k := c.take(address)
+	k := c.takeIdle(address)
 	reused := k != nil
 	if k == nil {
 		var err error
@@ -237,8 +237,8 @@
 		}
 	}
 	// The deadline of the connection is the only way to interrupt a read.
-	stop := context.AfterFunc(ctx, func() { _ = k.raw.SetDeadline(time.Unix(1, 0)) })
-	a, err := c.exchange(k, q)
+	stop := context.AfterFunc(ctx, func() { _ = k.tcp.SetDeadline(time.Unix(1, 0)) })
+	a, err := c.roundTrip(k, q)
 	if err != nil {
 		stop()
 		k.close()
@@ -247,18 +247,18 @@
 		}
 		return nil, &Error{Sent: true, ReusedConn: reused, Cause: err}
 	}
-	a.stop, a.ReusedConn = stop, reused
+	a.stopCancel, a.ReusedConn = stop, reused
 	return a, nil
 }
 
 // smallBody is written before the answer is awaited: it fits into the smallest
 // window, so that the write cannot block on a server that does not read.
-const smallBody = 8 << 10
+const maxSyncWriteBytes = 8 << 10
 
-func (c *Client) exchange(k *conn, q *Request) (*Response, error) {
+func (c *Client) roundTrip(k *conn, q *Request) (*Response, error) {
 	hr := &http.Request{
 		Method: q.Method, Host: q.Host, Header: q.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL: rawURL(q.URI),
+		URL: opaqueURL(q.URI),
 	}
 	if q.HasBody {
 		hr.Body, hr.ContentLength = io.NopCloser(bytes.NewReader(q.Body)), int64(len(q.Body))
@@ -274,40 +274,40 @@
 		return nil, fmt.Errorf("write request: %w", err)
 	}
 	written := make(chan error, 1)
-	if head.Len() <= smallBody {
-		_, err := k.raw.Write(head.Bytes())
+	if head.Len() <= maxSyncWriteBytes {
+		_, err := k.tcp.Write(head.Bytes())
 		written <- err
 	} else {
 		go func() {
-			_, err := k.raw.Write(head.Bytes())
+			_, err := k.tcp.Write(head.Bytes())
 			written <- err
 		}()
 	}
-	resp, err := c.readHead(k, hr)
+	resp, err := c.readResponseHead(k, hr)
 	if err != nil {
 		return nil, err
 	}
 	k.served++
 	a := &Response{
 		Status: resp.StatusCode, Header: resp.Header, ContentLength: resp.ContentLength,
-		conn: k, body: resp.Body, written: written,
+		conn: k, body: resp.Body, writeResult: written,
 	}
-	a.keep = !resp.Close && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
-	k.keep = c.opts.DefaultIdleTimeout
+	a.keepAlive = !resp.Close && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
+	k.idleTimeout = c.opts.DefaultIdleTimeout
 	if c.opts.ServerIdleTimeout != nil {
 		if said := c.opts.ServerIdleTimeout(resp.Header); said > 0 {
 			// A request must not cross the server's close: whole seconds are
 			// said, and the way there takes its time.
-			k.keep = max(said-time.Second, said/2)
+			k.idleTimeout = max(said-time.Second, said/2)
 		}
 	}
 	return a, nil
 }
 
 // readHead skips interim answers (1xx).
-func (c *Client) readHead(k *conn, hr *http.Request) (*http.Response, error) {
+func (c *Client) readResponseHead(k *conn, hr *http.Request) (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(k.r, hr)
+		resp, err := http.ReadResponse(k.reader, hr)
 		if err != nil {
 			return nil, fmt.Errorf("read answer: %w", err)
 		}
@@ -321,7 +321,7 @@
 func (a *Response) Read(b []byte) (int, error) {
 	n, err := a.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.ended = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -330,15 +330,15 @@
 // to its marked end, nothing follows it and the request was sent whole: a
 // server that answered early still expects the rest of that body.
 func (a *Response) Close() {
-	stopped := a.stop()
+	stopped := a.stopCancel()
 	sent := false
 	select {
-	case err := <-a.written:
+	case err := <-a.writeResult:
 		sent = err == nil
 	default:
 	}
-	if stopped && a.ended && a.keep && sent && a.conn.r.Buffered() == 0 {
-		a.conn.client.put(a.conn)
+	if stopped && a.complete && a.keepAlive && sent && a.conn.reader.Buffered() == 0 {
+		a.conn.client.putIdle(a.conn)
 		return
 	}
 	a.conn.close()
@@ -346,6 +346,6 @@
 
 // Discard closes the connection whatever the state of the answer.
 func (a *Response) Discard() {
-	a.keep = false
+	a.keepAlive = false
 	a.Close()
 }
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -17,23 +17,23 @@
 
 // server answers each request on its connections with the next of its raw
 // answers, and counts.
-type server struct {
-	l        net.Listener
-	mu       sync.Mutex
-	answers  []string
-	requests []string
-	conns    int
+type rawServer struct {
+	listener  net.Listener
+	mu        sync.Mutex
+	responses []string
+	requests  []string
+	conns     int
 }
 
 // hangUp as the end of an answer closes the connection behind it.
-const hangUp = "\x00"
+const closeMark = "\x00"
 
-func newServer(t *testing.T, answers ...string) *server {
+func newRawServer(t *testing.T, answers ...string) *rawServer {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(func() { _ = l.Close() })
-	s := &server{l: l, answers: answers}
+	s := &rawServer{listener: l, responses: answers}
 	go func() {
 		for {
 			c, err := l.Accept()
@@ -49,7 +49,7 @@
 	return s
 }
 
-func (s *server) serve(c net.Conn) {
+func (s *rawServer) serve(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -61,11 +61,11 @@
 		s.mu.Lock()
 		s.requests = append(s.requests, req.Method+" "+req.RequestURI+" "+string(body))
 		answer := ""
-		if len(s.answers) > 0 {
-			answer, s.answers = s.answers[0], s.answers[1:]
+		if len(s.responses) > 0 {
+			answer, s.responses = s.responses[0], s.responses[1:]
 		}
 		s.mu.Unlock()
-		text, closes := strings.CutSuffix(answer, hangUp)
+		text, closes := strings.CutSuffix(answer, closeMark)
 		_, _ = io.WriteString(c, text)
 		if closes {
 			return
@@ -73,16 +73,16 @@
 	}
 }
 
-func (s *server) counts() (requests, conns int) {
+func (s *rawServer) counts() (requests, conns int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.requests), s.conns
 }
 
-const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+const okResponse = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-func get(c *Client, s *server) (string, error) {
-	a, err := c.Do(context.Background(), s.l.Addr().String(), &Request{Method: "GET", URI: "/a%2Fb?x=%20", Host: "h", Header: http.Header{}})
+func getBody(c *Client, s *rawServer) (string, error) {
+	a, err := c.Do(context.Background(), s.listener.Addr().String(), &Request{Method: "GET", URI: "/a%2Fb?x=%20", Host: "h", Header: http.Header{}})
 	if err != nil {
 		return "", err
 	}
@@ -91,12 +91,12 @@
 	return string(data), err
 }
 
-func TestConnectionIsKeptAfterAWholeAnswer(t *testing.T) {
+func TestConnectionIsReusedAfterCompleteResponse(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, ok, ok)
+	s := newRawServer(t, okResponse, okResponse)
 	c := New(Options{})
 	for range 2 {
-		body, err := get(c, s)
+		body, err := getBody(c, s)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("ok"))
 	}
@@ -108,12 +108,12 @@
 
 // A server sends a second answer behind the first. It belongs to no request:
 // the next one must not read it.
-func TestBytesBehindAnAnswerBelongToNoRequest(t *testing.T) {
+func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, ok+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", ok)
+	s := newRawServer(t, okResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", okResponse)
 	c := New(Options{})
 	for range 2 {
-		body, err := get(c, s)
+		body, err := getBody(c, s)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(body).To(Equal("ok"))
 	}
@@ -123,14 +123,14 @@
 
 // A caller gives up an answer of which the end has not arrived yet. The
 // connection must not serve the next request, which would read that end.
-func TestConnectionWithAnUnreadAnswerIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnreadResponseIsNotReused(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n", ok)
+	s := newRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n", okResponse)
 	c := New(Options{})
-	a, err := c.Do(t.Context(), s.l.Addr().String(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
+	a, err := c.Do(t.Context(), s.listener.Addr().String(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 	g.Expect(err).NotTo(HaveOccurred())
 	a.Close()
-	body, err := get(c, s)
+	body, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("ok"))
 	_, conns := s.counts()
@@ -139,13 +139,13 @@
 
 // The server closes a connection as a request arrives on it. net/http's own
 // transport would send a GET again by itself; here the caller decides.
-func TestNoRequestIsRepeated(t *testing.T) {
+func TestRequestsAreNotRetried(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, ok, hangUp, ok)
+	s := newRawServer(t, okResponse, closeMark, okResponse)
 	c := New(Options{})
-	_, err := get(c, s)
+	_, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
-	_, err = get(c, s)
+	_, err = getBody(c, s)
 	var failed *Error
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
 	g.Expect(failed.Sent).To(BeTrue())
@@ -156,38 +156,38 @@
 
 // A server closed a connection while it was idle. The next request finds that
 // out before it is sent.
-func TestClosedIdleConnectionIsNotUsed(t *testing.T) {
+func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, ok+hangUp, ok)
+	s := newRawServer(t, okResponse+closeMark, okResponse)
 	c := New(Options{})
-	_, err := get(c, s)
+	_, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Eventually(func() bool { return c.pools[s.l.Addr().String()].idle[0].quiet() }, "5s").Should(BeFalse())
-	_, err = get(c, s)
+	g.Eventually(func() bool { return c.pools[s.listener.Addr().String()].idle[0].isReusable() }, "5s").Should(BeFalse())
+	_, err = getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
 // An answer breaks off, with a length, in a chunk, or by a reset. It must not
 // look whole.
-func TestBrokenAnswersDoNotLookWhole(t *testing.T) {
+func TestTruncatedResponsesReturnError(t *testing.T) {
 	for name, answer := range map[string]string{
-		"length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + hangUp,
-		"chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n" + hangUp,
-		"head":   "HTTP/1.1 200 OK\r\nContent-Le" + hangUp,
-		"bytes":  "these are no answer\r\n\r\n" + hangUp,
+		"length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + closeMark,
+		"chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n" + closeMark,
+		"head":   "HTTP/1.1 200 OK\r\nContent-Le" + closeMark,
+		"bytes":  "these are no answer\r\n\r\n" + closeMark,
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := get(New(Options{}), newServer(t, answer))
+			_, err := getBody(New(Options{}), newRawServer(t, answer))
 			NewWithT(t).Expect(err).To(HaveOccurred())
 		})
 	}
 }
 
-func TestAnswerWithoutLengthEndsWithItsConnection(t *testing.T) {
+func TestResponseWithoutLengthEndsAtClose(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, "HTTP/1.1 200 OK\r\n\r\nwhole"+hangUp, ok)
+	s := newRawServer(t, "HTTP/1.1 200 OK\r\n\r\nwhole"+closeMark, okResponse)
 	c := New(Options{})
-	body, err := get(c, s)
+	body, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(body).To(Equal("whole"))
 	g.Expect(c.OpenConnections()).To(BeZero())
@@ -195,7 +195,7 @@
 
 // A server answers before it has read a long body, keeps the connection and
 // reads on. The next request must not be read as the rest of that body.
-func TestConnectionWithAnUnsentBodyIsNotUsedAgain(t *testing.T) {
+func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -210,7 +210,7 @@
 			conns <- c
 			go func() {
 				_, _ = c.Read(make([]byte, 100))
-				_, _ = io.WriteString(c, ok)
+				_, _ = io.WriteString(c, okResponse)
 			}()
 		}
 	}()
@@ -226,11 +226,11 @@
 	g.Expect(conns).To(HaveLen(2))
 }
 
-func TestNothingWasSentIfNobodyListens(t *testing.T) {
+func TestDialErrorIsNotSent(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t)
-	_ = s.l.Close()
-	_, err := get(New(Options{}), s)
+	s := newRawServer(t)
+	_ = s.listener.Close()
+	_, err := getBody(New(Options{}), s)
 	var failed *Error
 	g.Expect(errors.As(err, &failed)).To(BeTrue())
 	g.Expect(failed.Sent).To(BeFalse())
@@ -239,22 +239,22 @@
 
 // The server never answers. The request ends with its context, and the
 // connection is not used again.
-func TestSilentServerEndsWithTheContext(t *testing.T) {
+func TestContextEndsRequestToUnresponsiveServer(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, "")
+	s := newRawServer(t, "")
 	c := New(Options{})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
-	_, err := c.Do(ctx, s.l.Addr().String(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
+	_, err := c.Do(ctx, s.listener.Addr().String(), &Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{}})
 	g.Expect(err).To(MatchError(context.Canceled))
 	g.Expect(c.OpenConnections()).To(BeZero())
 }
 
-func TestIdleConnectionsAreClosedInTime(t *testing.T) {
+func TestExpiredIdleConnectionsAreClosed(t *testing.T) {
 	g := NewWithT(t)
-	s := newServer(t, ok)
+	s := newRawServer(t, okResponse)
 	c := New(Options{ServerIdleTimeout: func(http.Header) time.Duration { return time.Nanosecond }})
-	_, err := get(c, s)
+	_, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 	c.CloseExpired()
 	g.Expect(c.OpenConnections()).To(BeZero())
--- a/edge/logging.go
+++ b/edge/logging.go
@@ -58,8 +58,8 @@
 		"service", r.Service, "server", r.Server, "attempts", r.Attempts, "status", r.Status,
 		"stages_ms", ms(r.StageDuration), "first_byte_ms", ms(r.TimeToFirstByte), "took_ms", ms(r.Duration), "left_ms", ms(r.DeadlineRemaining),
 	}
-	if r.Resumptions > 0 {
-		kv = append(kv, "resumed", r.Resumptions)
+	if r.StreamInterruptions > 0 {
+		kv = append(kv, "resumed", r.StreamInterruptions)
 	}
 	if r.Kind != "" {
 		kv = append(kv, "kind", r.Kind, "ran", r.Ran, "detail", r.Detail, "retry_after_ms", ms(r.RetryAfter))
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -15,64 +15,66 @@
 
 // attempt is one send of the request to one backend server.
 type attempt struct {
-	server *directory.Server
-	answer *upstream.Response
-	head   wire.ServerResponse
-	cancel context.CancelFunc
+	server   *directory.Server
+	response *upstream.Response
+	head     wire.ServerResponse
+	cancel   context.CancelFunc
 }
 
-// close ends the attempt; whole tells that the answer may be trusted to its end.
-func (a *attempt) close(whole bool) {
-	if whole {
-		a.answer.Close()
+// close ends the attempt. The connection is closed unless complete is set, which requires
+// that the response is valid up to its end.
+func (a *attempt) close(complete bool) {
+	if complete {
+		a.response.Close()
 	} else {
-		a.answer.Discard()
+		a.response.Discard()
 	}
 	a.cancel()
 	a.server.InFlight.Add(-1)
 }
 
-// Errors of one attempt. errNotRun and errNotSent are proof that the server did
-// not run the request; after errBroken it may have.
+// Errors of an attempt. errNotSent and errNotRun prove that the server did not run the
+// request. After errInvalidResponse it may have run.
 var (
-	errNotSent = errors.New("the request did not reach a backend server")
-	errNotRun  = errors.New("the backend server did not run the request")
-	errBroken  = errors.New("the backend server's answer broke off or is not its own")
+	errNotSent         = errors.New("the request did not reach a backend server")
+	errNotRun          = errors.New("the backend server did not run the request")
+	errInvalidResponse = errors.New("the backend server's answer broke off or is not its own")
 )
 
-// send gives the request to a server. firstByte bounds the wait for the head of
-// the answer; 0: only the request's deadline does.
-func (x *exchange) send(ctx context.Context, s *directory.Server, lastEvent string, firstByte time.Duration) (*attempt, error) {
+// send sends the request to a server and returns once the response head has been checked.
+// firstByteTimeout limits the wait for the head; with 0 only the deadline of the request
+// does. A stream resumes after lastEventID, if that is not empty.
+func (x *exchange) send(ctx context.Context, s *directory.Server, lastEventID string, firstByteTimeout time.Duration) (*attempt, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	now := x.opts.Clock.Now()
-	left := x.deadline.Sub(now)
-	q := &upstream.Request{
+	remaining := x.deadline.Sub(now)
+	req := &upstream.Request{
 		Method: x.r.Method, URI: x.r.RequestURI, Host: x.r.Host, Body: x.body,
 		HasBody: x.r.ContentLength != 0 || x.r.Method != http.MethodGet,
 		Header: x.opts.Headers.EncodeServerRequest(x.r.Header, wire.ServerRequest{
-			ServerID: s.ID, Account: x.account, Timeout: left, InputHandles: x.inputs, LastEventID: lastEvent, Priority: x.rank(now), KVSource: x.fetchFrom(s, now),
+			ServerID: s.ID, Account: x.account, Timeout: remaining, InputHandles: x.inputHandles, LastEventID: lastEventID, Priority: x.enginePriority(now), KVSource: x.kvSourceAddress(s, now),
 		}),
 	}
 	var timer *time.Timer
-	if firstByte > 0 {
-		timer = time.AfterFunc(firstByte, cancel)
+	if firstByteTimeout > 0 {
+		timer = time.AfterFunc(firstByteTimeout, cancel)
 	}
 	s.InFlight.Add(1)
-	x.rec.Attempts++
-	x.rec.Server = s.ID
-	answer, err := x.opts.Upstream.Do(ctx, s.Address, q)
+	x.entry.Attempts++
+	x.entry.Server = s.ID
+	response, err := x.opts.Upstream.Do(ctx, s.Address, req)
 	if timer != nil && !timer.Stop() && err == nil {
-		answer.Discard()
+		response.Discard()
 		err = &upstream.Error{Sent: true, Cause: context.DeadlineExceeded}
 	}
 	if err != nil {
 		s.InFlight.Add(-1)
 		cancel()
-		return nil, x.sendFailed(s, now, err)
+		return nil, x.handleSendError(s, now, err)
 	}
-	x.arrived = true
-	a := &attempt{server: s, answer: answer, cancel: cancel, head: x.opts.Headers.DecodeServerResponse(answer.Status, answer.Header)}
-	if err := x.check(a); err != nil {
+	x.reachedServer = true
+	a := &attempt{server: s, response: response, cancel: cancel, head: x.opts.Headers.DecodeServerResponse(response.Status, response.Header)}
+	if err := x.checkResponse(a); err != nil {
 		a.close(errors.Is(err, errNotRun) && a.drain())
 		return nil, err
 	}
@@ -81,94 +83,100 @@
 }
 
 const (
-	// lateRank is the priority at an engine of a stream that is late already: it is
-	// read behind those that can still be on time.
-	lateRank = 8
-	// noRank leaves the priority to the engine.
-	noRank = -1
+	// latePriority is the engine priority of a stream that already misses its target
+	// latency. The engine processes its prompt after those that can still meet theirs.
+	latePriority = 8
+	// unsetPriority leaves the priority to the engine.
+	unsetPriority = -1
 )
 
-// rank is the request's priority at its server, as it is sent at now. A stream that
-// has begun keeps its place: its client has waited for the beginning.
-func (x *exchange) rank(now time.Time) int {
-	if x.route.Kind != plan.Stream || x.begun {
-		return noRank
+// enginePriority returns the priority for the backend server of a request sent at now. A
+// resumed stream is not lowered, as its client has already waited for its first event.
+func (x *exchange) enginePriority(now time.Time) int {
+	if x.route.Kind != plan.Stream || x.headSent {
+		return unsetPriority
 	}
-	if now.Add(x.times.expect(x.route.Name).first).After(x.aim) {
-		return lateRank
+	if now.Add(x.streamDurations.estimate(x.route.Name).toFirstEvent).After(x.targetTime) {
+		return latePriority
 	}
-	return noRank
+	return unsetPriority
 }
 
-// silentTime without a byte tells of the server, also when it was the request's
-// deadline that ended the wait; less may just be a request that came late.
-const silentTime = 500 * time.Millisecond
+// minUnresponsiveTime without a response counts as a failure of the server even if the
+// deadline of the request ended the wait. A shorter wait may only mean that the request
+// arrived shortly before its deadline.
+const minUnresponsiveTime = 500 * time.Millisecond
 
-// blame tells whether what ended an attempt, begun at a time, speaks against the
-// server.
-func (x *exchange) blame(began time.Time) bool {
+// serverAtFault reports whether the failure of an attempt started at startedAt counts
+// against the server. It does not if the client has disconnected or the attempt was cut
+// short by the deadline.
+func (x *exchange) serverAtFault(startedAt time.Time) bool {
 	now := x.opts.Clock.Now()
-	return x.r.Context().Err() == nil && (now.Before(x.deadline) || now.Sub(began) >= silentTime)
+	return x.r.Context().Err() == nil && (now.Before(x.deadline) || now.Sub(startedAt) >= minUnresponsiveTime)
 }
 
-// brokeOff notes an answer that broke off, unless the client or its deadline
-// ended it: clients that give up would have their servers passed over.
-func (x *exchange) brokeOff(a *attempt) {
+// recordTruncatedResponse records a server failure for a truncated response, unless the
+// client disconnected or the deadline passed: otherwise impatient clients would cause
+// healthy servers to be avoided.
+func (x *exchange) recordTruncatedResponse(a *attempt) {
 	if now := x.opts.Clock.Now(); x.r.Context().Err() == nil && now.Before(x.deadline) {
 		a.server.RecordFailure(now)
 	}
 }
 
-func (x *exchange) sendFailed(s *directory.Server, began time.Time, err error) error {
-	var failed *upstream.Error
-	if !errors.As(err, &failed) {
-		x.arrived = true
-		return fmt.Errorf("%w: %w", errBroken, err)
-	}
-	if x.blame(began) {
+// handleSendError records the failure of a send and returns it as errNotSent or
+// errInvalidResponse.
+func (x *exchange) handleSendError(s *directory.Server, startedAt time.Time, err error) error {
+	var upstreamErr *upstream.Error
+	if !errors.As(err, &upstreamErr) {
+		x.reachedServer = true
+		return fmt.Errorf("%w: %w", errInvalidResponse, err)
+	}
+	if x.serverAtFault(startedAt) {
 		s.RecordFailure(x.opts.Clock.Now())
 		x.opts.Upstream.CloseIdle(s.Address)
 	}
-	if !failed.Sent {
+	if !upstreamErr.Sent {
 		return fmt.Errorf("%w: %s: %w", errNotSent, s.ID, err)
 	}
-	x.sent, x.arrived = true, true
-	return fmt.Errorf("%w: %s: %w", errBroken, s.ID, err)
+	x.mayHaveRun, x.reachedServer = true, true
+	return fmt.Errorf("%w: %s: %w", errInvalidResponse, s.ID, err)
 }
 
-// check tells whether the head is the server's own answer to this request. A
-// refusal may come without an id, from a process that is not the server: on a
-// new connection it can only be the answer to this request.
-func (x *exchange) check(a *attempt) error {
-	anonymous := a.head.AttemptID == "" && a.head.NotRun && !a.answer.ReusedConn
+// checkResponse verifies that the response head is the server's own response to this
+// request. A refusal without an attempt ID is accepted on a new connection: it may come from
+// another process at that address, but can only belong to this request.
+func (x *exchange) checkResponse(a *attempt) error {
+	anonymous := a.head.AttemptID == "" && a.head.NotRun && !a.response.ReusedConn
 	if a.head.AttemptID != x.client.AttemptID && !anonymous {
-		// An answer to another request, or bytes of a faulty server.
-		x.sent = true
-		return fmt.Errorf("%w: %s: the answer carries the id %q", errBroken, a.server.ID, a.head.AttemptID)
+		// A response to another request, or output of a faulty server.
+		x.mayHaveRun = true
+		return fmt.Errorf("%w: %s: the answer carries the id %q", errInvalidResponse, a.server.ID, a.head.AttemptID)
 	}
 	if a.head.LoadReported {
 		a.server.RecordLoad(a.head.RunningRequests, a.head.QueuedRequests, x.opts.Clock.Now())
 	}
-	if a.head.NotRun && a.answer.Status == http.StatusConflict {
-		return fmt.Errorf("%w: %s", errInputsGone, a.server.ID)
+	if a.head.NotRun && a.response.Status == http.StatusConflict {
+		return fmt.Errorf("%w: %s", errInputsLost, a.server.ID)
 	}
 	if a.head.NotRun {
 		a.server.RecordResponse(true, x.opts.Clock.Now())
-		return fmt.Errorf("%w: %s: status %d", errNotRun, a.server.ID, a.answer.Status)
+		return fmt.Errorf("%w: %s: status %d", errNotRun, a.server.ID, a.response.Status)
 	}
-	x.sent = true
-	if a.head.ContentEncoded || a.answer.Status/100 == 2 && !a.head.Signed {
-		return fmt.Errorf("%w: %s: status %d without the server's signature", errBroken, a.server.ID, a.answer.Status)
+	x.mayHaveRun = true
+	if a.head.ContentEncoded || a.response.Status/100 == 2 && !a.head.Signed {
+		return fmt.Errorf("%w: %s: status %d without the server's signature", errInvalidResponse, a.server.ID, a.response.Status)
 	}
 	return nil
 }
 
-// drain reads a short answer to its end so that the connection may be kept.
+// drain reads a short response to its end, so that the connection can be reused. It reports
+// whether the end was reached within 16 KiB.
 func (a *attempt) drain() bool {
 	var b [2048]byte
 	for range 8 {
-		if _, err := a.answer.Read(b[:]); err != nil {
-			return true // Close keeps the connection only after a marked end
+		if _, err := a.response.Read(b[:]); err != nil {
+			return true // Close reuses the connection only if the end was delimited
 		}
 	}
 	return false
--- a/request/gateway/attempt_test.go
+++ b/request/gateway/attempt_test.go
@@ -11,9 +11,9 @@
 	"bilberrydale/version/plan"
 )
 
-// The host that does the stage work chose a server for the request. By the time the
-// results are there, that server has failed somebody: another one gets the request.
-func TestChosenServerIsPassedOverOnceItHasFailed(t *testing.T) {
+// Guards against sending a request to the server chosen with its stage results although that
+// server has failed in the meantime: another server gets the request.
+func TestPreferredServerIsSkippedAfterFailure(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	dir := directory.New()
@@ -21,27 +21,28 @@
 	gw := New(Options{Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Distance: func(domain string) time.Duration {
 		return time.Duration(domain[0]) * time.Millisecond // "a" is nearer
 	}})
-	x := &exchange{Gateway: gw, plan: &plan.Plan{}, route: &plan.Route{}, service: "s", target: "b"}
-	g.Expect(x.choose(tried{}).ID).To(Equal("b"))
-	g.Expect(x.choose(tried{"b": true}).ID).To(Equal("a"))
+	x := &exchange{Gateway: gw, plan: &plan.Plan{}, route: &plan.Route{}, service: "s", preferredServer: "b"}
+	g.Expect(x.chooseServer(serverSet{}).ID).To(Equal("b"))
+	g.Expect(x.chooseServer(serverSet{"b": true}).ID).To(Equal("a"))
 	dir.View().Server("b").RecordFailure(now)
-	g.Expect(x.choose(tried{}).ID).To(Equal("a"))
-	x.target = "gone"
-	g.Expect(x.choose(tried{}).ID).To(Equal("a"))
+	g.Expect(x.chooseServer(serverSet{}).ID).To(Equal("a"))
+	x.preferredServer = "gone"
+	g.Expect(x.chooseServer(serverSet{}).ID).To(Equal("a"))
 }
 
-// The pattern: in a burst, streams that are late already and streams that can still be
-// on time meet at an engine. The late ones say that they may be read last. One that has
-// begun, or that has no aim to lose, does not.
-func TestLateStreamsAreReadBehindOthers(t *testing.T) {
+// Guards against late streams delaying streams that can still meet their target latency. In
+// a burst both are queued at the same engine, and the late ones are sent with a low
+// priority. A stream whose first event was sent, or a request without a latency target for
+// the first event, is not.
+func TestLateStreamsGetLowEnginePriority(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
-	x := staged(now, 10*time.Second, streamTime{first: 400 * time.Millisecond})
+	x := newStagedExchange(now, 10*time.Second, streamDuration{toFirstEvent: 400 * time.Millisecond})
 	x.route.Kind = plan.Stream
-	g.Expect(x.rank(now.Add(time.Second))).To(Equal(noRank))
-	g.Expect(x.rank(now.Add(1700 * time.Millisecond))).To(Equal(lateRank))
-	x.begun = true
-	g.Expect(x.rank(now.Add(1700 * time.Millisecond))).To(Equal(noRank))
-	x.begun, x.route.Kind = false, plan.Safe
-	g.Expect(x.rank(now.Add(time.Hour))).To(Equal(noRank))
+	g.Expect(x.enginePriority(now.Add(time.Second))).To(Equal(unsetPriority))
+	g.Expect(x.enginePriority(now.Add(1700 * time.Millisecond))).To(Equal(latePriority))
+	x.headSent = true
+	g.Expect(x.enginePriority(now.Add(1700 * time.Millisecond))).To(Equal(unsetPriority))
+	x.headSent, x.route.Kind = false, plan.Safe
+	g.Expect(x.enginePriority(now.Add(time.Hour))).To(Equal(unsetPriority))
 }
--- /dev/null
+++ b/request/gateway/buffered.go
@@ -0,0 +1,195 @@
+package gateway
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"bilberrydale/process/directory"
+	"bilberrydale/process/kind"
+	"bilberrydale/version/plan"
+)
+
+// bufferedResponse is a complete response of a backend server.
+type bufferedResponse struct {
+	status int
+	header http.Header
+	body   []byte
+}
+
+// attemptHistory records the outcomes of the attempts of one request.
+type attemptHistory struct {
+	tried          serverSet
+	refusals       int               // attempts that provably did not run the request
+	possibleRuns   int               // attempts that may have run the request
+	failedResponse *bufferedResponse // 5xx response of a server, relayed if no later attempt succeeds
+	lastErr        error
+}
+
+// maxRefusals limits the attempts of a request that provably did not run it.
+const maxRefusals = 4
+
+// nextServer returns the server for the next attempt, or nil if no further attempt is
+// possible or allowed. A cold server that it returns has been charged against its limit, and
+// a retry against the retry budget.
+func (x *exchange) nextServer(ctx context.Context, hist *attemptHistory) *directory.Server {
+	if ctx.Err() != nil || hist.refusals >= maxRefusals {
+		return nil
+	}
+	if hist.possibleRuns > 0 && (!x.retryable() || hist.possibleRuns >= x.route.MaxAttempts) {
+		return nil
+	}
+	s := x.chooseServer(hist.tried)
+	for s != nil && !x.opts.ColdStart.Allow(s, x.coldStartLimit(), x.opts.Clock.Now()) {
+		hist.tried[s.ID] = true // cold, and another request has used up this host's share
+		s = x.chooseServer(hist.tried)
+	}
+	if s == nil {
+		return nil
+	}
+	// An attempt that reached no server has not added to the load of the servers, so
+	// that its repetition needs no retry budget.
+	if x.reachedServer && !x.opts.Budget.AllowRetry(x.service) {
+		hist.lastErr = fmt.Errorf("no further attempt within the retry budget: %w", hist.lastErr)
+		return nil
+	}
+	hist.tried[s.ID] = true
+	return s
+}
+
+// retryable reports whether the request may be sent again after it may have run.
+func (x *exchange) retryable() bool {
+	return x.route.Kind == plan.Safe || x.route.Kind == plan.Stream && x.route.Resumable
+}
+
+// record adds the outcome of a failed attempt.
+func (hist *attemptHistory) record(err error) {
+	hist.lastErr = err
+	if errors.Is(err, errNotSent) || errors.Is(err, errNotRun) {
+		hist.refusals++
+		return
+	}
+	hist.possibleRuns++
+}
+
+// finish ends a request for which no further attempt is possible: it relays the 5xx response
+// of a server if there is one, and returns an error otherwise.
+func (x *exchange) finish(hist *attemptHistory) error {
+	switch {
+	case hist.failedResponse != nil:
+		return x.writeBuffered(hist.failedResponse)
+	case x.mayHaveRun:
+		return &kind.Error{Kind: kind.BackendFailed, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
+	case hist.refusals > 0:
+		return &kind.Error{Kind: kind.Overloaded, Detail: hist.lastErrorText(), RetryAfter: x.jitter(refusedRetryAfter), Cause: hist.lastErr}
+	default:
+		return x.noUsableServer()
+	}
+}
+
+// refusedRetryAfter is the time in which a service without stages completes a few requests
+// and has a free slot again.
+const refusedRetryAfter = 150 * time.Millisecond
+
+func (hist *attemptHistory) lastErrorText() string {
+	if hist.lastErr == nil {
+		return "no attempt was made"
+	}
+	return hist.lastErr.Error()
+}
+
+// serveBuffered handles a request with a single response. The response is read completely
+// before any of it is sent to the client, so that the request can be retried after a
+// truncated response.
+func (x *exchange) serveBuffered(ctx context.Context) error {
+	hist := &attemptHistory{tried: serverSet{}}
+	for {
+		s := x.nextServer(ctx, hist)
+		if s == nil {
+			return x.finish(hist)
+		}
+		r, err := x.sendBuffered(ctx, s, x.firstByteTimeout(hist))
+		if err != nil {
+			hist.record(err)
+			continue
+		}
+		if r.status < 500 || !x.retryable() {
+			return x.writeBuffered(r)
+		}
+		hist.failedResponse = r
+		hist.possibleRuns++
+	}
+}
+
+// firstByteLatencyShare is the share of the target latency after which a request without
+// a response is retried on another server. The retry can then still meet the target, which
+// justifies its cost.
+const firstByteLatencyShare = 0.75
+
+// firstByteTimeout returns how long to wait for a response head before the request is
+// retried on another server. 0: until the deadline, as no retry is allowed.
+func (x *exchange) firstByteTimeout(hist *attemptHistory) time.Duration {
+	if !x.retryable() || hist.possibleRuns+1 >= x.route.MaxAttempts {
+		return 0
+	}
+	return time.Duration(firstByteLatencyShare * float64(x.route.TargetLatency))
+}
+
+// maxBufferedBytes limits the body of a response that is read into memory.
+const maxBufferedBytes = 16 << 20 // 16 MiB
+
+// sendBuffered sends the request to a server and reads the complete response.
+func (x *exchange) sendBuffered(ctx context.Context, s *directory.Server, firstByteTimeout time.Duration) (*bufferedResponse, error) {
+	a, err := x.send(ctx, s, "", firstByteTimeout)
+	if err != nil {
+		return nil, err
+	}
+	return x.readBuffered(a)
+}
+
+// readBuffered reads the rest of a response and ends the attempt.
+func (x *exchange) readBuffered(a *attempt) (*bufferedResponse, error) {
+	body, err := io.ReadAll(io.LimitReader(a.response, maxBufferedBytes+1))
+	if err != nil || len(body) > maxBufferedBytes {
+		a.close(false)
+		x.recordTruncatedResponse(a)
+		return nil, fmt.Errorf("%w: %s: %w", errInvalidResponse, a.server.ID, err)
+	}
+	r := &bufferedResponse{status: a.response.Status, header: a.response.Header, body: body}
+	a.server.RecordResponse(r.status >= 500, x.opts.Clock.Now())
+	a.close(true)
+	return r, nil
+}
+
+// writeBuffered relays the response of a backend server to the client.
+func (x *exchange) writeBuffered(r *bufferedResponse) error {
+	if impliesNotRun(r.status) {
+		// The client would take this status as proof that the request did not run,
+		// which the server has not confirmed.
+		return &kind.Error{Kind: kind.BackendFailed, Detail: "the server answered " + strconv.Itoa(r.status), Dispatched: true}
+	}
+	h := x.w.Header()
+	x.setResponseHeaders(h, r.header)
+	h["Content-Length"] = []string{strconv.Itoa(len(r.body))}
+	x.headSent = true
+	x.entry.Status, x.entry.Ran = r.status, kind.RanYes
+	x.entry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
+	x.w.WriteHeader(r.status)
+	if _, err := x.w.Write(r.body); err != nil {
+		x.abort = true
+		return &kind.Error{Kind: kind.Cancelled, Detail: "the answer could not be written", Dispatched: true, Cause: err}
+	}
+	return nil
+}
+
+// setResponseHeaders copies the headers of a server's response. It suppresses the Date and
+// Content-Type headers that net/http would add.
+func (x *exchange) setResponseHeaders(to, from http.Header) {
+	to["Date"], to["Content-Type"] = nil, nil
+	x.opts.Headers.CopyResponseHeaders(to, from)
+	x.closeIfShuttingDown(to)
+}
--- a/request/gateway/choose.go
+++ b/request/gateway/choose.go
@@ -6,47 +6,52 @@
 	"bilberrydale/process/directory"
 )
 
-// tried keeps the servers that one request was given to.
-type tried map[string]bool
+// serverSet is a set of server IDs.
+type serverSet map[string]bool
 
-// choose returns the server for the next attempt; nil: there is none.
-func (x *exchange) choose(t tried) *directory.Server {
-	if s := x.chosen(t); s != nil {
+// chooseServer returns the server for the next attempt, or nil if there is none. Servers in
+// tried are excluded.
+func (x *exchange) chooseServer(tried serverSet) *directory.Server {
+	if s := x.usablePreferredServer(tried); s != nil {
 		return s
 	}
-	return balance.Choose(x.query(t))
+	return balance.Choose(x.balanceQuery(tried))
 }
 
-// chosen is the server that was chosen with the request's results, as long as nothing
-// speaks against it; nil: choose another.
-func (x *exchange) chosen(t tried) *directory.Server {
-	s := x.opts.Directory.View().Server(x.target)
+// usablePreferredServer returns the server that was chosen together with the stage results,
+// or nil if it has been tried, is gone, draining, evacuated or avoided after a failure, does
+// not serve the request's service, is outside the allowed regions, or has no cold-start
+// capacity left.
+func (x *exchange) usablePreferredServer(tried serverSet) *directory.Server {
+	s := x.opts.Directory.View().Server(x.preferredServer)
 	now := x.opts.Clock.Now()
-	if s == nil || !s.AcceptsWork() || s.Service != x.service || !x.allowed.Allows(s.Region) || t[s.ID] || s.InBackoff(now) || !x.opts.ColdStart.WouldAllow(s, x.cold(), now) {
+	if s == nil || !s.AcceptsWork() || s.Service != x.service || !x.allowed.Allows(s.Region) || tried[s.ID] || s.InBackoff(now) || !x.opts.ColdStart.WouldAllow(s, x.coldStartLimit(), now) {
 		return nil
 	}
 	return s
 }
 
-// candidates are the servers on which the request may run.
+// candidates returns the servers of the service in the allowed regions.
 func (x *exchange) candidates() directory.Candidates {
 	return x.opts.Directory.View().Candidates(x.service, x.allowed)
 }
 
-// cold is what the request's servers bear while they are cold.
-func (x *exchange) cold() coldstart.Limit {
+// coldStartLimit returns the service's limit on requests to cold servers.
+func (x *exchange) coldStartLimit() coldstart.Limit {
 	if s := x.plan.Service(x.service); s != nil {
 		return s.ColdStart
 	}
 	return coldstart.Limit{}
 }
 
-func (x *exchange) query(t tried) balance.Query {
-	affinity, tokens := x.affinity()
-	now, cold := x.opts.Clock.Now(), x.cold()
+// balanceQuery returns the load balancing query of the request. Servers in tried, and cold
+// servers at their limit, are excluded.
+func (x *exchange) balanceQuery(tried serverSet) balance.Query {
+	affinity, tokens := x.sharedPrefix()
+	now, cold := x.opts.Clock.Now(), x.coldStartLimit()
 	return balance.Query{
 		Servers: x.candidates(), OneWayLatency: x.opts.Distance,
-		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.reads.token(x.service), InputDomain: x.near, InputBytes: x.nearBytes,
-		Exclude: func(s *directory.Server) bool { return t[s.ID] || !x.opts.ColdStart.WouldAllow(s, cold, now) }, Now: now,
+		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.tokenTimes.estimate(x.service), InputDomain: x.inputDomain, InputBytes: x.inputDomainBytes,
+		Exclude: func(s *directory.Server) bool { return tried[s.ID] || !x.opts.ColdStart.WouldAllow(s, cold, now) }, Now: now,
 	}
 }
--- /dev/null
+++ b/request/gateway/errors.go
@@ -0,0 +1,99 @@
+package gateway
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"bilberrydale/process/directory"
+	"bilberrydale/process/kind"
+)
+
+// impliesNotRun reports whether clients take the status as proof that their request did not
+// run.
+func impliesNotRun(status int) bool {
+	switch status {
+	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
+		return true
+	}
+	return false
+}
+
+// writeError writes the error response of a request that has no other response.
+func (x *exchange) writeError(e *kind.Error) {
+	advice := kind.Lookup(e.Kind)
+	x.entry.Kind, x.entry.Ran, x.entry.Detail = e.Kind, e.Ran(), e.Detail
+	if x.headSent || x.abort {
+		x.abort = true
+		return
+	}
+	status := advice.Status
+	if impliesNotRun(status) && e.Ran() != kind.RanNo {
+		// The status would claim that the request did not run, which is not certain.
+		status = http.StatusBadGateway
+	}
+	h := x.w.Header()
+	h["Date"] = nil
+	h["Content-Type"] = []string{"application/problem+json"}
+	x.opts.Headers.SetAttemptID(h, x.client.AttemptID)
+	if wait := e.Wait(); wait > 0 && impliesNotRun(status) {
+		x.entry.RetryAfter = wait
+		x.opts.Headers.SetRetryAfter(h, wait)
+	}
+	x.closeIfShuttingDown(h)
+	x.entry.Status = status
+	x.w.WriteHeader(status)
+	// A write error only means that the client has disconnected.
+	_, _ = fmt.Fprintf(x.w, `{"kind":%q,"ran":%q,"title":%q}`, e.Kind, e.Ran(), advice.Title)
+}
+
+// closeIfShuttingDown asks the client to close its connection if the process is shutting
+// down.
+func (x *exchange) closeIfShuttingDown(h http.Header) {
+	if x.opts.ShuttingDown() {
+		h["Connection"] = []string{"close"}
+	}
+}
+
+// checkServable refuses a request that no server can run now, before any work is done for
+// it.
+func (x *exchange) checkServable() error {
+	if x.allowed.Empty() {
+		return kind.New(kind.NoRegion, "route %s allows %v, account %s %v", x.route.Name, x.allowed.RouteRegions, x.account, x.allowed.AccountRegions)
+	}
+	now, candidates := x.opts.Clock.Now(), x.candidates()
+	if candidates.Empty() {
+		return x.noServerError("takes work", noServerRetryAfter)
+	}
+	responsive := func(s *directory.Server) bool { return !s.InBackoff(now) }
+	if x.allowed.Restricted() && !candidates.Any(responsive) {
+		// All permitted servers have recently failed, and no other region may serve the
+		// request: waiting for them would only use up the client's time.
+		return x.noServerError("answers", noServerRetryAfter)
+	}
+	return nil
+}
+
+// noUsableServer returns the error of a request for which no attempt was made.
+func (x *exchange) noUsableServer() error {
+	if x.candidates().Empty() {
+		return x.noServerError("takes work", noServerRetryAfter)
+	}
+	// Another host may have some of its share of the cold servers left.
+	return x.noServerError("takes more while it is cold", coldRetryAfter)
+}
+
+// noServerError returns the error that no server permitted for the request satisfies the
+// predicate, which is the end of the sentence in the detail text.
+func (x *exchange) noServerError(predicate string, retryAfter time.Duration) error {
+	where := ""
+	if x.allowed.Restricted() {
+		where = " in a permitted region"
+	}
+	e := kind.New(kind.NoBackend, "no server of %s%s %s", x.service, where, predicate)
+	e.RetryAfter = x.jitter(retryAfter)
+	return e
+}
+
+// drainingRetryAfter is short, as another host accepts the request immediately.
+const drainingRetryAfter = 50 * time.Millisecond
--- a/request/gateway/events.go
+++ b/request/gateway/events.go
@@ -7,21 +7,22 @@
 	"io"
 )
 
-// eventReader splits a stream into its events.
+// eventReader splits a stream of server-sent events into events.
 type eventReader struct {
-	r     *bufio.Reader
-	event bytes.Buffer
-	id    string // of the last event that had one
+	r      *bufio.Reader
+	event  bytes.Buffer
+	lastID string // ID of the last event with an ID
 }
 
+// newEventReader returns an eventReader for r.
 func newEventReader(r io.Reader) *eventReader {
 	return &eventReader{r: bufio.NewReaderSize(r, 2048)}
 }
 
-// next returns the next whole event, with its end. The bytes are valid until the
-// next call. At the end of the stream it returns io.EOF with what came after the
-// last whole event; any other error comes with nothing, for an event that broke
-// off is of no use.
+// next returns the next complete event, including the blank line at its end. The bytes are
+// valid until the next call. At the end of the stream it returns io.EOF with the bytes after
+// the last complete event. With any other error it returns no bytes, as an interrupted event
+// cannot be used.
 func (e *eventReader) next() (event []byte, err error) {
 	e.event.Reset()
 	lineStart := 0
@@ -40,7 +41,7 @@
 		line := e.event.Bytes()[lineStart:]
 		lineStart = e.event.Len()
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
-			e.id = string(bytes.TrimSpace(value))
+			e.lastID = string(bytes.TrimSpace(value))
 		}
 		if len(bytes.TrimRight(line, "\r\n")) == 0 {
 			return e.event.Bytes(), nil
@@ -48,9 +49,9 @@
 	}
 }
 
-// more tells whether the next event has arrived whole: then one flush serves
-// both.
-func (e *eventReader) more() bool {
-	next, _ := e.r.Peek(e.r.Buffered()) // no more than there is, so no error
-	return bytes.Contains(next, []byte("\n\n")) || bytes.Contains(next, []byte("\n\r\n"))
+// nextBuffered reports whether the next event is completely buffered, so that one flush can
+// send both.
+func (e *eventReader) nextBuffered() bool {
+	buffered, _ := e.r.Peek(e.r.Buffered()) // cannot fail for the buffered length
+	return bytes.Contains(buffered, []byte("\n\n")) || bytes.Contains(buffered, []byte("\n\r\n"))
 }
--- a/request/gateway/events_test.go
+++ b/request/gateway/events_test.go
@@ -16,18 +16,19 @@
 	event, err := r.next()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(event)).To(Equal("id: 1\ndata: a\n\n"))
-	g.Expect(r.id).To(Equal("1"))
+	g.Expect(r.lastID).To(Equal("1"))
 	event, err = r.next()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(event)).To(Equal("version: 2\r\nid: 2\r\ndata: b\r\n\r\n"))
-	g.Expect(r.id).To(Equal("2"))
+	g.Expect(r.lastID).To(Equal("2"))
 	event, err = r.next()
 	g.Expect(err).To(MatchError(io.EOF))
 	g.Expect(string(event)).To(Equal("id: 3\ndata"))
 }
 
-// A server breaks off anywhere. Whatever bytes came: events are whole and in
-// order, together they are the stream, and a break is told from an end.
+// Guards against wrong events after a server connection breaks at any byte: events are
+// complete and in order, together they are the stream, and a break is distinguished from the
+// end.
 func FuzzEvents(f *testing.F) {
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\ndata: b\n\n"), true)
 	f.Add([]byte("id: 1\ndata: a\n\nid: 2\nda"), false)
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -1,7 +1,8 @@
-// Package gateway serves one client request on a platform: it finds the route
-// and the client account, has the stages' items made, sends the request to one
-// backend server and passes the answer on. It keeps what may be repeated apart
-// from what may not, and says "not run" only where that is certain.
+// Package gateway handles client requests on a platform. For each request it matches the
+// route, authenticates the client account, runs the route's stages, sends the request to
+// one backend server and relays the response. It retries only requests whose route permits
+// it or that provably did not run, and reports "not run" to the client only if that is
+// certain.
 package gateway
 
 import (
@@ -23,126 +24,134 @@
 	"bilberrydale/version/plan"
 )
 
-// Options are what a Gateway needs; all are required.
+// Options configures a Gateway. All fields are required.
 type Options struct {
-	Domain    string // failure domain of this host
-	Distance  func(domain string) time.Duration
+	Domain    string                            // failure domain of this entry host
+	Distance  func(domain string) time.Duration // one-way network latency to a failure domain
 	Plan      *inforce.Cell[plan.Plan]
 	Directory *directory.Directory
 	Upstream  *upstream.Client
-	Headers   wire.Headers // of the platform
+	Headers   wire.Headers // header format of the platform
 	Pool      *stages.Pool
 	Budget    RetryBudget
 	ColdStart *coldstart.Limiter
 	Clock     clock.Clock
 	Rand      clock.Rand
-	// KeysFresh reports whether the keys of the plan in force are recent enough
-	// to be honoured, and the age of that knowledge.
+	// KeysFresh reports whether the API keys of the current plan were confirmed recently enough
+	// to be accepted, and the time since that confirmation.
 	KeysFresh func() (ok bool, age time.Duration)
-	// Closing reports whether the process is about to stop.
+	// ShuttingDown reports whether the process is shutting down. Responses then carry
+	// "Connection: close".
 	ShuttingDown func() bool
-	// RefuseLong reports whether streams would be cut by the stop of the process.
+	// RefuseStreams reports whether new streams are refused because the shutdown would cut them
+	// off.
 	RefuseStreams func() bool
-	// Stopping is closed when the process is told to stop; StopEnd tells from
-	// then on when requests will be cut.
+	// ShutdownStarted is closed when the shutdown starts. From then on, ShutdownDeadline
+	// returns the time at which the remaining requests are cut off.
 	ShutdownStarted  <-chan struct{}
 	ShutdownDeadline func() time.Time
-	Log              func(*LogEntry)
+	// Log is called once for each request, at its end.
+	Log func(*LogEntry)
 }
 
-// Budget bounds the sends beyond the first of each request, by service.
+// RetryBudget limits, per service, the attempts of requests beyond the first.
 type RetryBudget interface {
+	// RecordRequest counts a new request, which adds to the budget.
 	RecordRequest(service string)
+	// AllowRetry consumes a retry from the budget and reports whether one was left.
 	AllowRetry(service string) bool
 }
 
-// Gateway is the handler of clients' requests.
+// Gateway is the http.Handler for client requests. It is safe for concurrent use.
 type Gateway struct {
-	opts  Options
-	times streamTimes
-	reads readTimes
+	opts            Options
+	streamDurations streamDurations
+	tokenTimes      tokenTimes
 }
 
-// New returns a gateway.
+// New returns a Gateway with the given options.
 func New(opts Options) *Gateway { return &Gateway{opts: opts} }
 
-// Record is what is logged of one request.
+// LogEntry is the access log entry of one request.
 type LogEntry struct {
-	ID                string
-	Route             string
-	Account           string
-	Service           string
-	PlanVersion       int64
-	Status            int
-	Kind              kind.Kind // empty: a backend server's answer
-	Ran               kind.Ran
-	Detail            string
-	Server            string
-	Attempts          int
-	Duration          time.Duration
-	StageDuration     time.Duration
-	TimeToFirstByte   time.Duration // from arrival; 0: none
-	DeadlineRemaining time.Duration // of the client's deadline, at the end
-	RetryAfter        time.Duration
-	Resumptions       int
-	KeyAge            time.Duration // of the knowledge that the key holds
+	ID                  string
+	Route               string
+	Account             string
+	Service             string
+	PlanVersion         int64 // configuration version
+	Status              int
+	Kind                kind.Kind // empty: the response of a backend server was relayed
+	Ran                 kind.Ran
+	Detail              string
+	Server              string // ID of the last backend server that the request was sent to
+	Attempts            int    // sends to backend servers
+	Duration            time.Duration
+	StageDuration       time.Duration // from arrival to the end of the stage work
+	TimeToFirstByte     time.Duration // since arrival; 0: no byte was sent
+	DeadlineRemaining   time.Duration // until the deadline, at the end of the request; negative: exceeded
+	RetryAfter          time.Duration // sent to the client; 0: none
+	StreamInterruptions int           // attempts whose stream broke off, resumed or not
+	KeyAge              time.Duration // time since the API keys were last confirmed
 }
 
-// exchange is one request on its way.
+// exchange is the state of one request while it is handled.
 type exchange struct {
 	*Gateway
-	w         http.ResponseWriter
-	r         *http.Request
-	client    wire.ClientRequest
-	plan      *plan.Plan
-	route     *plan.Route
-	account   string
-	priority  int
-	service   string
-	allowed   residency.Set // regions in which it may be served
-	body      []byte
-	start     time.Time
-	aim       time.Time
-	deadline  time.Time
-	made      stages.Results // inputs that are not yet freed
-	round     int            // how often the inputs were made again
-	inputs    []string
-	target    string // server chosen for the first attempt; empty: none
-	fetch     string // server that has read the shared part of the prompt; empty: none known
-	near      string // failure domain that holds most of the inputs
-	nearBytes int64
-	rec       LogEntry
-	begun     bool      // the head of the answer is on its way
-	abort     bool      // the answer has to end as incomplete
-	sent      bool      // a backend server may have run the request
-	arrived   bool      // it may have reached one, which ran it or not
-	firstAt   time.Time // of the first event
+	w                http.ResponseWriter
+	r                *http.Request
+	client           wire.ClientRequest
+	plan             *plan.Plan
+	route            *plan.Route
+	account          string
+	priority         int
+	service          string
+	allowed          residency.Set // regions in which the request may be served
+	body             []byte
+	start            time.Time
+	targetTime       time.Time // arrival plus target latency
+	deadline         time.Time
+	results          stages.Results // stage results that are not yet freed
+	stageRound       int            // number of times the stages were rerun
+	inputHandles     []string       // handles of the stage results
+	preferredServer  string         // ID of the server chosen with the stage results; empty: none
+	kvSource         string         // ID of a server that has the KV cache of the shared prompt prefix; empty: unknown
+	inputDomain      string         // failure domain that holds most of the input bytes
+	inputDomainBytes int64
+	entry            LogEntry
+	headSent         bool      // the response headers have been written
+	abort            bool      // the connection has to be aborted, as the response is incomplete
+	mayHaveRun       bool      // a backend server may have run the request
+	reachedServer    bool      // the request may have reached a backend server, whether or not it ran
+	firstEventAt     time.Time // time of the first event of a stream
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler if the response
+// cannot be completed.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClientRequest(r.Header)}
-	x.rec.ID = x.client.AttemptID
+	x.entry.ID = x.client.AttemptID
 	if err := x.serve(); err != nil {
-		x.answerError(kind.From(err))
+		x.writeError(kind.From(err))
 	}
-	x.freeInputs()
-	x.rec.Duration = g.opts.Clock.Now().Sub(x.start)
+	x.freeResults()
+	x.entry.Duration = g.opts.Clock.Now().Sub(x.start)
 	if !x.deadline.IsZero() {
-		x.rec.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
+		x.entry.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
 	}
-	g.opts.Log(&x.rec)
+	g.opts.Log(&x.entry)
 	if x.abort {
-		// Ending the handler would mark the answer as whole.
+		// A normal return would mark the response as complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
+// serve handles the request up to the end of the response. A non-nil error has not been
+// reported to the client yet.
 func (x *exchange) serve() error {
 	if err := x.admit(); err != nil {
 		return err
 	}
-	if err := x.servable(); err != nil {
+	if err := x.checkServable(); err != nil {
 		return err
 	}
 	if err := x.readBody(); err != nil {
@@ -151,28 +160,29 @@
 	ctx, cancel := context.WithDeadline(x.r.Context(), x.deadline)
 	defer cancel()
 	if err := x.runStages(ctx); err != nil {
-		return x.final(ctx, err)
+		return x.classifyError(ctx, err)
 	}
 	if x.route.Kind == plan.Stream {
-		return x.final(ctx, x.stream(ctx))
+		return x.classifyError(ctx, x.serveStream(ctx))
 	}
-	return x.final(ctx, x.plain(ctx))
+	return x.classifyError(ctx, x.serveBuffered(ctx))
 }
 
-// admit finds route and account and sets the request's times.
+// admit matches the route, authorizes the client account, and sets the deadline, the target
+// time and the service.
 func (x *exchange) admit() error {
 	p := x.opts.Plan.Load()
 	if p == nil {
 		return kind.New(kind.NotReady, "no configuration yet")
 	}
-	x.plan, x.rec.PlanVersion = p, p.Version
+	x.plan, x.entry.PlanVersion = p, p.Version
 	x.route = p.Match(x.r.Host, x.r.URL.Path)
 	if x.route == nil {
 		return kind.New(kind.NoRoute, "no route for host %q and path %q", x.r.Host, x.r.URL.Path)
 	}
-	x.rec.Route = x.route.Name
+	x.entry.Route = x.route.Name
 	if x.route.Kind == plan.Stream && x.opts.RefuseStreams() {
-		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetry}
+		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetryAfter}
 	}
 	x.priority = x.route.Priority
 	x.allowed.RouteRegions = x.route.Regions
@@ -182,31 +192,33 @@
 	if x.client.AttemptID == "" {
 		return kind.New(kind.BadRequest, "the request has no id")
 	}
-	wait := x.route.Timeout
-	if d := x.client.Timeout; d > 0 && (wait <= 0 || d < wait) {
-		wait = d
+	timeout := x.route.Timeout
+	if d := x.client.Timeout; d > 0 && (timeout <= 0 || d < timeout) {
+		timeout = d
 	}
-	if wait <= 0 {
-		wait = defaultWait
+	if timeout <= 0 {
+		timeout = defaultTimeout
 	}
-	x.deadline = x.start.Add(wait)
-	x.aim = x.start.Add(x.route.TargetLatency)
+	x.deadline = x.start.Add(timeout)
+	x.targetTime = x.start.Add(x.route.TargetLatency)
 	x.service = x.route.PickService(x.opts.Rand.Float64())
-	x.rec.Service = x.service
+	x.entry.Service = x.service
 	x.opts.Budget.RecordRequest(x.service)
 	return nil
 }
 
-// defaultWait bounds a request for which neither client nor route says how long
-// it may take.
-const defaultWait = 30 * time.Second
+// defaultTimeout applies to requests for which neither the client nor the route sets a
+// timeout.
+const defaultTimeout = 30 * time.Second
 
+// authorize finds the client account by the API key, unless the route is public or no
+// accounts are configured.
 func (x *exchange) authorize() error {
 	if x.route.Public || !x.plan.HasAccounts() {
 		return nil
 	}
 	fresh, age := x.opts.KeysFresh()
-	x.rec.KeyAge = age
+	x.entry.KeyAge = age
 	if !fresh {
 		return kind.New(kind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
 	}
@@ -214,7 +226,7 @@
 	if a == nil {
 		return kind.New(kind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
-	x.account, x.rec.Account = a.Name, a.Name
+	x.account, x.entry.Account = a.Name, a.Name
 	x.allowed.AccountRegions = a.Regions
 	if a.HasPriority {
 		x.priority = a.Priority
@@ -222,10 +234,11 @@
 	return nil
 }
 
+// readBody reads the request body into memory, up to the configured limit.
 func (x *exchange) readBody() error {
 	limit := x.plan.Limits.MaxBodyBytes
 	if limit <= 0 {
-		limit = defaultBody
+		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
 		return kind.New(kind.TooLarge, "the body has %d bytes, over %d", x.r.ContentLength, limit)
@@ -245,38 +258,40 @@
 	return nil
 }
 
-// defaultBody bounds bodies where the configuration does not: 4 MiB.
-const defaultBody = 4 << 20
+// defaultMaxBodyBytes limits request bodies if the configuration sets no limit.
+const defaultMaxBodyBytes = 4 << 20 // 4 MiB
 
-// final turns what ended a request into its answer's error.
-func (x *exchange) final(ctx context.Context, err error) error {
+// classifyError converts the error that ended a request into a *kind.Error, and marks the
+// response as aborted if the client has disconnected.
+func (x *exchange) classifyError(ctx context.Context, err error) error {
 	if err == nil {
 		return nil
 	}
 	if x.r.Context().Err() != nil {
 		x.abort = true
-		return &kind.Error{Kind: kind.Cancelled, Detail: "the client left", Dispatched: x.sent, Cause: err}
+		return &kind.Error{Kind: kind.Cancelled, Detail: "the client left", Dispatched: x.mayHaveRun, Cause: err}
 	}
 	var known *kind.Error
 	if errors.As(err, &known) {
-		known.Dispatched = known.Dispatched || x.sent
+		known.Dispatched = known.Dispatched || x.mayHaveRun
 		return known
 	}
-	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) && !x.sent {
+	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) && !x.mayHaveRun {
 		k := kind.Overloaded
-		if x.sent {
+		if x.mayHaveRun {
 			k = kind.DeadlineExceeded
 		}
-		return &kind.Error{Kind: k, Detail: "the deadline has passed", Dispatched: x.sent, Cause: err}
+		return &kind.Error{Kind: k, Detail: "the deadline has passed", Dispatched: x.mayHaveRun, Cause: err}
 	}
 	k := kind.NoBackend
-	if x.sent {
+	if x.mayHaveRun {
 		k = kind.BackendFailed
 	}
-	return &kind.Error{Kind: k, Detail: err.Error(), Dispatched: x.sent, Cause: err}
+	return &kind.Error{Kind: k, Detail: err.Error(), Dispatched: x.mayHaveRun, Cause: err}
 }
 
-func (x *exchange) freeInputs() {
-	x.opts.Pool.Free(x.made)
-	x.made = stages.Results{}
+// freeResults releases the stage results that the request still holds.
+func (x *exchange) freeResults() {
+	x.opts.Pool.Free(x.results)
+	x.results = stages.Results{}
 }
--- a/request/gateway/place_test.go
+++ b/request/gateway/placement_test.go
@@ -20,20 +20,21 @@
 	"bilberrydale/version/plan"
 )
 
-type unbounded struct{}
+// unlimitedBudget allows every retry.
+type unlimitedBudget struct{}
 
-func (unbounded) RecordRequest(string)   {}
-func (unbounded) AllowRetry(string) bool { return true }
+func (unlimitedBudget) RecordRequest(string)   {}
+func (unlimitedBudget) AllowRetry(string) bool { return true }
 
-// noPeers is a link of a host that knows no other.
+// noPeers is the peer link of a host without peers.
 type noPeers struct{ stages.Link }
 
 func (noPeers) Handle(peer.Method, peer.Handler) {}
 
-// placed returns a request of one service before the servers that dir lists.
-func placed(dir *directory.Directory, now time.Time, allowed residency.Set) *exchange {
+// newExchange returns a request for service "s", to be served by the servers in dir.
+func newExchange(dir *directory.Directory, now time.Time, allowed residency.Set) *exchange {
 	gw := New(Options{
-		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Budget: unbounded{},
+		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Budget: unlimitedBudget{},
 		Distance: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
@@ -41,10 +42,10 @@
 	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, PrefixAffinity: true}, service: "s", allowed: allowed, start: now}
 }
 
-// Guards against a request that is served where its route or account forbids it, or in an
-// evacuated failure domain: servers crash, leave and turn cold, some were tried before,
-// and the host that collects stage work may have chosen any of them.
-func TestEachChoiceKeepsToPermittedRegions(t *testing.T) {
+// Guards against a request served in a region that its route or client account does not
+// allow, or in an evacuated failure domain, while servers fail, drain or are cold, some have
+// been tried, and any of them may be the preferred server.
+func TestServersAreChosenInAllowedRegions(t *testing.T) {
 	regions := []string{"r0", "r1", "r2"}
 	now := time.Unix(1000, 0)
 	rapid.Check(t, func(t *rapid.T) {
@@ -67,42 +68,42 @@
 				s.RecordFailure(now)
 			}
 		}
-		some := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID)
-		x := placed(dir, now, residency.Set{RouteRegions: some.Draw(t, "route"), AccountRegions: some.Draw(t, "account")})
+		regionSubset := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID)
+		x := newExchange(dir, now, residency.Set{RouteRegions: regionSubset.Draw(t, "route"), AccountRegions: regionSubset.Draw(t, "account")})
 		x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
-		x.target = fmt.Sprint("e", rapid.IntRange(0, 8).Draw(t, "target"))
-		may := func(s *directory.Server) bool {
+		x.preferredServer = fmt.Sprint("e", rapid.IntRange(0, 8).Draw(t, "target"))
+		allowed := func(s *directory.Server) bool {
 			return x.allowed.Allows(s.Region) && !s.Draining && s.Domain != evacuated
 		}
-		tries := &tries{seen: tried{}}
-		for s := x.next(context.Background(), tries); s != nil; s = x.next(context.Background(), tries) {
-			if !may(s) {
+		hist := &attemptHistory{tried: serverSet{}}
+		for s := x.nextServer(context.Background(), hist); s != nil; s = x.nextServer(context.Background(), hist) {
+			if !allowed(s) {
 				t.Fatalf("%+v may not run on %+v", x.allowed, s.Entry)
 			}
-			x.rec.Attempts++
+			x.entry.Attempts++
 		}
 		r := &stages.Request{}
 		x.setTargets(r)
 		for _, target := range r.Targets {
-			if !may(dir.View().Server(target.ID)) {
+			if !allowed(dir.View().Server(target.ID)) {
 				t.Fatalf("%+v may not run on %s", x.allowed, target.ID)
 			}
 		}
-		open := func(s *directory.Server) bool { return x.opts.ColdStart.WouldAllow(s, x.cold(), now) }
-		if domain := x.likelyDomain(); x.candidates().Any(open) && !x.allowed.Allows(domain[:2]) {
+		available := func(s *directory.Server) bool { return x.opts.ColdStart.WouldAllow(s, x.coldStartLimit(), now) }
+		if domain := x.predictedDomain(); x.candidates().Any(available) && !x.allowed.Allows(domain[:2]) {
 			t.Fatalf("stage work for %+v in %s", x.allowed, domain)
 		}
 	})
 }
 
-// Guards against work for a request that nobody may run, or nobody can run now: it is
-// refused at once and told when to come back.
-func TestRequestThatCannotBeServedIsRefusedAtOnce(t *testing.T) {
+// Guards against work for a request that no server is allowed or currently able to run: it
+// is refused immediately, with a Retry-After time.
+func TestUnservableRequestIsRefusedImmediately(t *testing.T) {
 	now := time.Unix(1000, 0)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "near", Service: "s", Region: "r0", Domain: "r0-a"}, {ID: "far", Service: "s", Region: "r1", Domain: "r1-a"}}, now)
 	refused := func(allowed residency.Set) kind.Kind {
-		err := placed(dir, now, allowed).servable()
+		err := newExchange(dir, now, allowed).checkServable()
 		if err == nil {
 			return ""
 		}
@@ -119,15 +120,15 @@
 	g.Expect(refused(only([]string{"r1"}, []string{"r0"}))).To(Equal(kind.NoRegion))
 	g.Expect(refused(only(nil, []string{"r2"}))).To(Equal(kind.NoBackend), "no server there")
 	dir.View().Server("far").RecordFailure(now)
-	g.Expect(refused(only([]string{"r1"}, nil))).To(Equal(kind.NoBackend), "its region does not answer")
+	g.Expect(refused(only([]string{"r1"}, nil))).To(Equal(kind.NoBackend), "the servers of its region have failed")
 	g.Expect(refused(only(nil, nil))).To(BeEmpty(), "another region can serve it")
 	dir.SetEvacuated([]string{"r0-a", "r1-a"}, now)
 	g.Expect(refused(only(nil, nil))).To(Equal(kind.NoBackend), "all are evacuated")
 }
 
-// Guards against a choice that sends a cold server more than this host's share: the next
-// request takes another server, and one that has no other is told to come back soon.
-func TestColdServersGetNoMoreThanTheirShare(t *testing.T) {
+// Guards against sending a cold server more than this host's share: the next request uses
+// another server, and one that has no other is refused with a short Retry-After time.
+func TestColdServersGetLimitedShare(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	dir := directory.New()
@@ -135,21 +136,21 @@
 		{ID: "cold", Service: "s", Region: "r0", Domain: "r0-a", Slots: 9, ColdRemaining: time.Second},
 		{ID: "warm", Service: "s", Region: "r1", Domain: "r1-a", Slots: 9},
 	}, now)
-	x := placed(dir, now, residency.Set{})
+	x := newExchange(dir, now, residency.Set{})
 	x.opts.Distance = func(domain string) time.Duration { return map[string]time.Duration{"r1-a": time.Second}[domain] }
 	var got []string
 	for range 4 {
-		got = append(got, x.next(context.Background(), &tries{seen: tried{}}).ID)
+		got = append(got, x.nextServer(context.Background(), &attemptHistory{tried: serverSet{}}).ID)
 	}
 	g.Expect(got).To(Equal([]string{"cold", "cold", "warm", "warm"}))
 	x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}}
 	r := &stages.Request{}
 	x.setTargets(r)
-	g.Expect(r.Targets).To(HaveLen(1), "none that this host may not send to")
+	g.Expect(r.Targets).To(HaveLen(1), "cold server at its limit is left out")
 	x.allowed.RouteRegions = []string{"r0"}
-	last := &tries{seen: tried{}}
-	g.Expect(x.next(context.Background(), last)).To(BeNil())
-	e := kind.From(x.end(last))
+	hist := &attemptHistory{tried: serverSet{}}
+	g.Expect(x.nextServer(context.Background(), hist)).To(BeNil())
+	e := kind.From(x.finish(hist))
 	g.Expect(e.Kind).To(Equal(kind.NoBackend))
 	g.Expect(e.Ran()).To(Equal(kind.RanNo))
 }
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -6,38 +6,40 @@
 	"bilberrydale/process/directory"
 )
 
-// prefix names the shared part before the longest one; empty: there is none.
-func (x *exchange) prefix() string {
+// shorterPrefix returns the ID of the second longest shared prefix of the prompt. Empty:
+// there is none.
+func (x *exchange) shorterPrefix() string {
 	if n := len(x.client.PromptParts); x.route.PrefixAffinity && n > 2 {
 		return x.client.PromptParts[n-3].ID
 	}
 	return ""
 }
 
-// fetchTime is how long an engine takes to get so many tokens from another one.
-func (x *exchange) fetchTime(tokens int) time.Duration {
+// kvTransferTime returns how long an engine takes to fetch the KV cache of so many tokens
+// from another engine. 0: it cannot.
+func (x *exchange) kvTransferTime(tokens int) time.Duration {
 	if s := x.plan.Service(x.service); s != nil {
 		return s.Engine.KVTransferTime(tokens)
 	}
 	return 0
 }
 
-// fetchFrom returns the address of the server from which another one gets the shared part
-// of the prompt; empty: it reads the part.
-func (x *exchange) fetchFrom(to *directory.Server, now time.Time) string {
-	for _, id := range []string{x.fetch, x.target} {
+// kvSourceAddress returns the address of the server from which the server "to" fetches the
+// KV cache of the shared prompt prefix. Empty: it computes the prefix itself.
+func (x *exchange) kvSourceAddress(to *directory.Server, now time.Time) string {
+	for _, id := range []string{x.kvSource, x.preferredServer} {
 		s := x.opts.Directory.View().Server(id)
-		if s != nil && s.ID != to.ID && s.AcceptsWork() && x.allowed.Allows(s.Region) && !s.InBackoff(now) && x.fetchTime(1) > 0 {
+		if s != nil && s.ID != to.ID && s.AcceptsWork() && x.allowed.Allows(s.Region) && !s.InBackoff(now) && x.kvTransferTime(1) > 0 {
 			return s.Address
 		}
 	}
 	return ""
 }
 
-// affinity names the longest part of the prompt that other requests share: all
-// but the last, which belongs to this request or its session. tokens counts it
-// and the parts before it.
-func (x *exchange) affinity() (part string, tokens int) {
+// sharedPrefix returns the ID of the longest prompt prefix that other requests share, and
+// its length in tokens, earlier parts included. The last part is left out, as it belongs to
+// this request or its session.
+func (x *exchange) sharedPrefix() (part string, tokens int) {
 	n := len(x.client.PromptParts)
 	if !x.route.PrefixAffinity || n == 0 {
 		return "", 0
--- a/request/gateway/fetch_test.go
+++ b/request/gateway/prompt_test.go
@@ -11,31 +11,31 @@
 	"bilberrydale/version/plan"
 )
 
-// Guards against a transfer from a server that is gone, leaves, is evacuated, failed a
-// moment ago or lies where the request may not be kept.
-func TestPartsAreFetchedOnlyFromSoundPermittedServers(t *testing.T) {
+// Guards against a KV cache transfer from a server that is gone, draining, evacuated,
+// recently failed, or in a region that the request does not allow.
+func TestKVSourceIsUsableAndInAllowedRegion(t *testing.T) {
 	now := time.Unix(1000, 0)
 	entry := func(id, region string, draining bool) directory.Entry {
 		return directory.Entry{ID: id, Service: "s", Address: id + ":1", Region: region, Domain: region + "-a", Draining: draining}
 	}
 	dir := directory.New()
 	dir.Replace([]directory.Entry{entry("to", "r0", false), entry("has", "r0", false), entry("far", "r1", false), entry("leaves", "r0", true)}, now)
-	x := placed(dir, now, residency.Set{RouteRegions: []string{"r0"}})
-	from := func(fetch, chosen string) string {
-		x.fetch, x.target = fetch, chosen
-		return x.fetchFrom(dir.View().Server("to"), now)
+	x := newExchange(dir, now, residency.Set{RouteRegions: []string{"r0"}})
+	source := func(kvSource, preferred string) string {
+		x.kvSource, x.preferredServer = kvSource, preferred
+		return x.kvSourceAddress(dir.View().Server("to"), now)
 	}
 	g := NewWithT(t)
-	g.Expect(from("has", "to")).To(BeEmpty(), "engines that cannot")
+	g.Expect(source("has", "to")).To(BeEmpty(), "engines without KV transfer")
 	x.plan = plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", Engine: &plan.Engine{KVBytesPerToken: 18432, LinkBytesPerSecond: 4e10}}}})
-	g.Expect(from("has", "to")).To(Equal("has:1"))
-	g.Expect(from("", "has")).To(Equal("has:1"), "the chosen server has it, but refused the request")
+	g.Expect(source("has", "to")).To(Equal("has:1"))
+	g.Expect(source("", "has")).To(Equal("has:1"), "the preferred server has the prefix, but refused the request")
 	for _, bad := range []string{"", "to", "far", "leaves", "unknown"} {
-		g.Expect(from(bad, "to")).To(BeEmpty(), bad)
+		g.Expect(source(bad, "to")).To(BeEmpty(), bad)
 	}
 	dir.View().Server("has").RecordFailure(now)
-	g.Expect(from("has", "to")).To(BeEmpty())
+	g.Expect(source("has", "to")).To(BeEmpty())
 	dir.SetEvacuated([]string{"r0-a"}, now.Add(time.Minute))
 	now = now.Add(time.Minute)
-	g.Expect(from("has", "to")).To(BeEmpty(), "evacuated")
+	g.Expect(source("has", "to")).To(BeEmpty(), "evacuated")
 }
--- a/request/gateway/retry_test.go
+++ b/request/gateway/retry_test.go
@@ -12,33 +12,32 @@
 	"bilberrydale/process/residency"
 )
 
-// spent is a retry budget of which nothing is left.
-type spent struct{ unbounded }
+// exhaustedBudget is a retry budget that allows no retry.
+type exhaustedBudget struct{ unlimitedBudget }
 
-func (spent) AllowRetry(string) bool { return false }
+func (exhaustedBudget) AllowRetry(string) bool { return false }
 
-// The pattern: a quarter of the engines crash at once, and each host finds more of them
-// gone than its part of the retry budget has repeats. Guards against refusing a request
-// that no server has got, though others could run it; one that did reach a server needs
-// the budget.
-func TestRequestThatReachedNobodyNeedsNoRetryBudget(t *testing.T) {
+// A quarter of the engines crash at once, and each host has more failed connections than its
+// share of the retry budget. Guards against refusing a request that has reached no server
+// although others could run it. A request that reached a server does need the budget.
+func TestUnsentRequestNeedsNoRetryBudget(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}}, now)
-	x := placed(dir, now, residency.Set{})
-	x.opts.Budget, x.r = spent{}, httptest.NewRequest("GET", "/", nil)
-	tries := &tries{seen: tried{}}
+	x := newExchange(dir, now, residency.Set{})
+	x.opts.Budget, x.r = exhaustedBudget{}, httptest.NewRequest("GET", "/", nil)
+	hist := &attemptHistory{tried: serverSet{}}
 	for range 2 {
-		s := x.next(t.Context(), tries)
+		s := x.nextServer(t.Context(), hist)
 		g.Expect(s).NotTo(BeNil())
-		tries.note(x.sendFailed(s, now, &upstream.Error{DialFailed: true}))
-		x.rec.Attempts++
+		hist.record(x.handleSendError(s, now, &upstream.Error{DialFailed: true}))
+		x.entry.Attempts++
 	}
-	s := x.next(t.Context(), tries)
+	s := x.nextServer(t.Context(), hist)
 	g.Expect(s).NotTo(BeNil())
-	tries.note(x.sendFailed(s, now, &upstream.Error{Sent: true}))
-	g.Expect(x.arrived).To(BeTrue())
+	hist.record(x.handleSendError(s, now, &upstream.Error{Sent: true}))
+	g.Expect(x.reachedServer).To(BeTrue())
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}, {ID: "d", Service: "s"}}, now)
-	g.Expect(x.next(t.Context(), tries)).To(BeNil())
+	g.Expect(x.nextServer(t.Context(), hist)).To(BeNil())
 }
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -11,40 +11,43 @@
 	"bilberrydale/process/stages"
 )
 
-// runStages has the results made that the request needs.
+// runStages runs the stages of the route and stores their results in the exchange.
 func (x *exchange) runStages(ctx context.Context) error {
 	if len(x.route.Stages) == 0 {
 		return nil
 	}
 	r := x.stageRequest()
-	// Nobody may wait longer than the work can be of use.
+	// After Deadline the results are of no use any more.
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
-	ctx, leave := x.untilStop(ctx)
-	defer leave()
-	made, err := x.opts.Pool.Run(ctx, r)
-	x.rec.StageDuration = x.opts.Clock.Now().Sub(x.start)
-	if err != nil && errors.Is(context.Cause(ctx), errStops) {
-		return &kind.Error{Kind: kind.Draining, Detail: errStops.Error(), RetryAfter: drainingRetry, Cause: err}
+	ctx, stopWatch := x.cancelBeforeShutdown(ctx)
+	defer stopWatch()
+	results, err := x.opts.Pool.Run(ctx, r)
+	x.entry.StageDuration = x.opts.Clock.Now().Sub(x.start)
+	if err != nil && errors.Is(context.Cause(ctx), errShutdown) {
+		return &kind.Error{Kind: kind.Draining, Detail: errShutdown.Error(), RetryAfter: drainingRetryAfter, Cause: err}
 	}
 	if err != nil {
 		return x.stageError(err)
 	}
-	x.made = made
-	x.inputs = made.Handles()
-	x.target, x.fetch = made.TargetID, made.FetchFrom
-	x.near, x.nearBytes = x.domainOf(made)
+	x.results = results
+	x.inputHandles = results.Handles()
+	x.preferredServer, x.kvSource = results.TargetID, results.FetchFrom
+	x.inputDomain, x.inputDomainBytes = x.largestDomain(results)
 	return nil
 }
 
-var errStops = errors.New("this host stops before the stream could end")
+// errShutdown is the cancellation cause of stage work whose stream would be cut off by the
+// shutdown of the process.
+var errShutdown = errors.New("this host stops before the stream could end")
 
-// untilStop ends ctx when the process has been told to stop and the stream that
-// follows could no longer end before it does: refused now, the request can go to
-// another host; begun, it would be cut.
-func (x *exchange) untilStop(ctx context.Context) (context.Context, func()) {
+// cancelBeforeShutdown returns a context that is cancelled when the process is shutting down
+// and the stream that follows the stages could no longer end before the shutdown deadline. A
+// request that is refused now can be sent to another host; once started, its stream would be
+// cut off. The returned function releases the watch.
+func (x *exchange) cancelBeforeShutdown(ctx context.Context) (context.Context, func()) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	takes := x.times.expect(x.route.Name).total()
+	streamTime := x.streamDurations.estimate(x.route.Name).upperEstimate()
 	go func() {
 		select {
 		case <-x.opts.ShutdownStarted:
@@ -52,89 +55,92 @@
 			return
 		}
 		select {
-		case <-x.opts.Clock.After(x.opts.ShutdownDeadline().Add(-takes).Sub(x.opts.Clock.Now())):
-			cancel(errStops)
+		case <-x.opts.Clock.After(x.opts.ShutdownDeadline().Add(-streamTime).Sub(x.opts.Clock.Now())):
+			cancel(errShutdown)
 		case <-ctx.Done():
 		}
 	}()
 	return ctx, func() { cancel(nil) }
 }
 
+// stageRequest describes the stage work of the request, with the time by which the results
+// are needed to meet the target latency and the time after which they are of no use.
 func (x *exchange) stageRequest() *stages.Request {
 	r := &stages.Request{
-		ID: x.client.AttemptID, Round: x.round, InputKey: x.client.StageInputKey, RunDomain: x.likelyDomain(), HostDomain: x.opts.Domain,
+		ID: x.client.AttemptID, Round: x.stageRound, InputKey: x.client.StageInputKey, RunDomain: x.predictedDomain(), HostDomain: x.opts.Domain,
 		AllowedRegions: x.allowed, Worth: x.worth(),
 		Stages: make([]stages.Stage, len(x.route.Stages)),
 	}
 	for i, s := range x.route.Stages {
-		r.Stages[i] = stages.Stage{Service: s.Service, DependsOn: s.DependsOn, ResultBytes: s.ResultBytes, Items: x.items(i)}
+		r.Stages[i] = stages.Stage{Service: s.Service, DependsOn: s.DependsOn, ResultBytes: s.ResultBytes, Items: x.stageItems(i)}
 	}
 	x.setTargets(r)
-	takes := x.times.expect(x.route.Name)
-	r.TargetTime = x.aim.Add(-takes.first)
-	r.Deadline = x.start.Add(x.patience() - min(takes.first, x.patience()/reserveDivisor))
-	wait := x.deadline.Sub(x.start)
-	if end := x.deadline.Add(-min(takes.total(), wait/reserveDivisor)); end.Before(r.Deadline) {
+	expected := x.streamDurations.estimate(x.route.Name)
+	r.TargetTime = x.targetTime.Add(-expected.toFirstEvent)
+	r.Deadline = x.start.Add(x.abandonTime() - min(expected.toFirstEvent, x.abandonTime()/reserveDivisor))
+	timeout := x.deadline.Sub(x.start)
+	if end := x.deadline.Add(-min(expected.upperEstimate(), timeout/reserveDivisor)); end.Before(r.Deadline) {
 		r.Deadline = end
 	}
 	return r
 }
 
-// maxTargets is the number of servers to choose from: two for the shared part and two
-// near ones.
-const maxTargets = 4
+// maxTargetServers is the number of servers offered for the request: two by prefix affinity
+// and two by proximity.
+const maxTargetServers = 4
 
-// setTargets names the servers on which the request may run, for the host that does
-// its stage work to choose from.
+// setTargets lists the servers on which the request may run. The host that coordinates its
+// stage work chooses one of them.
 func (x *exchange) setTargets(r *stages.Request) {
 	if len(x.client.PromptParts) == 0 {
-		return // nothing is read that others would wait for
+		return // without prompt parts there is no shared prefix and no prefill that delays others
 	}
-	q := x.query(nil)
-	for _, c := range balance.Rank(q, maxTargets) {
+	q := x.balanceQuery(nil)
+	for _, c := range balance.Rank(q, maxTargetServers) {
 		r.Targets = append(r.Targets, stages.Target{ID: c.Server.ID, Domain: c.Server.Domain, Cost: c.Cost, Home: c.Home})
 	}
-	own := max(x.client.InputTokens-q.PrefixTokens, 0)
-	r.Prompt = stages.Prompt{LongPrefix: q.AffinityKey, ShortPrefix: x.prefix(), CacheGain: q.AffinityDiscount(), SharedPrefill: q.PrefillTime(), FetchTime: x.fetchTime(q.PrefixTokens), OwnPrefill: time.Duration(own) * q.PrefillTimePerToken}
+	ownTokens := max(x.client.InputTokens-q.PrefixTokens, 0)
+	r.Prompt = stages.Prompt{LongPrefix: q.AffinityKey, ShortPrefix: x.shorterPrefix(), CacheGain: q.AffinityDiscount(), SharedPrefill: q.PrefillTime(), FetchTime: x.kvTransferTime(q.PrefixTokens), OwnPrefill: time.Duration(ownTokens) * q.PrefillTimePerToken}
 }
 
-// reserveDivisor: at most half of a client's time is kept for the stream. What streams
-// take is learned from those that end. Streams over a pause of the process may teach more
-// than the whole deadline: without this bound every request of the route would be refused
-// on arrival, and nothing new would be learned.
+// reserveDivisor limits the time reserved for the stream to half of the time that the client
+// waits. Stream durations are learned from streams that end. Streams that were in progress
+// while the process was paused can raise the estimate above the whole deadline. Without this
+// limit every request of the route would then be refused on arrival, and the estimate would
+// never recover.
 const reserveDivisor = 2
 
-// items is the number of items of a stage; a stage that the client does not
-// mention has one.
-func (x *exchange) items(stage int) int {
+// stageItems returns the number of items of a stage: 1 if the client does not specify it.
+func (x *exchange) stageItems(stage int) int {
 	if stage < len(x.client.StageItems) {
 		return x.client.StageItems[stage]
 	}
 	return 1
 }
 
-// Clients leave a stream that has not begun after the longest of these.
+// Clients abandon a stream without a first event after the longest of these times.
 const (
-	leastPatience   = 2 * time.Second
-	patienceLatency = 4 // times the target latency
-	patienceGap     = 8 // times the longest pause between events
+	minAbandonTime       = 2 * time.Second
+	abandonLatencyFactor = 4 // times the target latency
+	abandonGapFactor     = 8 // times the longest gap between events that is on time
 )
 
-// patience is how long the client of a stream waits for its first event.
-func (x *exchange) patience() time.Duration {
-	return max(leastPatience, patienceLatency*x.route.TargetLatency, patienceGap*x.route.MaxEventGap)
+// abandonTime returns how long the client of a stream waits for its first event.
+func (x *exchange) abandonTime() time.Duration {
+	return max(minAbandonTime, abandonLatencyFactor*x.route.TargetLatency, abandonGapFactor*x.route.MaxEventGap)
 }
 
-// likelyDomain is where the request will run if nothing changes: its inputs are
-// best made there. Where stage work waits, a part of the requests goes elsewhere.
-func (x *exchange) likelyDomain() string {
-	q := x.query(nil)
-	part := 2 * x.opts.Rand.Float64()
+// predictedDomain returns the failure domain in which the request would currently run, which
+// is the best place for its stage work. If stage work is queued there, a random share of the
+// requests moves to other failure domains.
+func (x *exchange) predictedDomain() string {
+	q := x.balanceQuery(nil)
+	share := 2 * x.opts.Rand.Float64()
 	costs := map[string]time.Duration{} // of the few domains, for many servers
 	q.QueueingCost = func(domain string) time.Duration {
 		cost, known := costs[domain]
 		if !known {
-			cost = time.Duration(part * float64(min(x.opts.Pool.ExpectedWait(domain), maxBusyWait)) / busyDivisor)
+			cost = time.Duration(share * float64(min(x.opts.Pool.ExpectedWait(domain), maxQueueWait)) / queueCostDivisor)
 			costs[domain] = cost
 		}
 		return cost
@@ -146,20 +152,22 @@
 }
 
 const (
-	// maxBusyWait: a longer wait tells no more; all requests that can go
-	// elsewhere do.
-	maxBusyWait = 400 * time.Millisecond
-	// busyDivisor makes a wait a cost: at the longest wait four of five requests
-	// whose server is free to choose go to another region, 40 ms away there and
-	// back, at a quarter of it one of five. All at once would only move the wait.
-	busyDivisor = 4
+	// maxQueueWait caps the queueing time that counts: beyond it, all requests that can
+	// go elsewhere do.
+	maxQueueWait = 400 * time.Millisecond
+	// queueCostDivisor converts a queueing time to a cost. With a round trip of 40 ms to
+	// the other region, four of five requests without a fixed server go there at
+	// maxQueueWait, and one of five at a quarter of it. If all of them went at once, the
+	// queue would only move.
+	queueCostDivisor = 4
 )
 
-// domainOf is the failure domain that holds most of the results, and how much.
-func (x *exchange) domainOf(m stages.Results) (domain string, most int64) {
+// largestDomain returns the failure domain that holds most bytes of the stage results, and
+// that number of bytes.
+func (x *exchange) largestDomain(results stages.Results) (domain string, most int64) {
 	view := x.opts.Directory.View()
 	bytes := map[string]int64{}
-	for _, in := range m.Inputs {
+	for _, in := range results.Inputs {
 		s := view.Server(in.ServerID)
 		if s == nil {
 			continue
@@ -172,43 +180,44 @@
 	return domain, most
 }
 
-// urgency weighs requests by priority: an urgent one counts for more than its
-// size alone, one of the last rank for less.
-var urgency = []float64{2, 1.2, 0.7, 0.5}
+// priorityWeights scales the worth of a request by its priority. The most urgent one counts
+// for more than its size, the least urgent one for less.
+var priorityWeights = []float64{2, 1.2, 0.7, 0.5}
 
-// worth estimates what a request is worth relative to others. A generation is
-// worth its size, in which a generated token counts as ten that are read.
+// worth estimates the weight of one completed request relative to others: its size in
+// tokens, with a generated token counting as ten prompt tokens, scaled by priority.
 func (x *exchange) worth() float64 {
 	size := float64(x.client.InputTokens + 10*x.client.MaxOutputTokens)
-	return max(size, 1) * urgency[min(max(x.priority, 0), len(urgency)-1)]
+	return max(size, 1) * priorityWeights[min(max(x.priority, 0), len(priorityWeights)-1)]
 }
 
-// Waits after which a client may come back. A stage that is too full now is
-// worth another try after about two calls of it.
+// Retry-After times. An overloaded stage has capacity again after about two of its calls.
 const (
-	overloadedRetry = 800 * time.Millisecond
-	noServerRetry   = time.Second
-	// coldRetry: each host may send a cold server another request within a second.
-	coldRetry = 200 * time.Millisecond
+	overloadedRetryAfter = 800 * time.Millisecond
+	noServerRetryAfter   = time.Second
+	// coldRetryAfter is short, as each host may send a cold server another request
+	// within a second.
+	coldRetryAfter = 200 * time.Millisecond
 )
 
+// stageError converts an error of the stage work into a *kind.Error.
 func (x *exchange) stageError(err error) error {
-	var failed *stages.Error
-	if !errors.As(err, &failed) {
+	var stageErr *stages.Error
+	if !errors.As(err, &stageErr) {
 		return err
 	}
-	e := &kind.Error{Kind: kind.Overloaded, RetryAfter: x.spread(overloadedRetry), Detail: err.Error(), Cause: err}
-	if failed.Reason == batcher.NoServer {
-		e.Kind, e.RetryAfter = kind.NoBackend, x.spread(noServerRetry)
+	e := &kind.Error{Kind: kind.Overloaded, RetryAfter: x.jitter(overloadedRetryAfter), Detail: err.Error(), Cause: err}
+	if stageErr.Reason == batcher.NoServer {
+		e.Kind, e.RetryAfter = kind.NoBackend, x.jitter(noServerRetryAfter)
 	}
-	if failed.RetryAfter > 0 {
-		e.RetryAfter = x.spread(failed.RetryAfter)
+	if stageErr.RetryAfter > 0 {
+		e.RetryAfter = x.jitter(stageErr.RetryAfter)
 	}
 	return e
 }
 
-// spread parts the clients that are refused together, so that they do not come
-// back together.
-func (x *exchange) spread(d time.Duration) time.Duration {
+// jitter returns a random duration between d and 2d, so that clients refused at the same
+// time do not retry at the same time.
+func (x *exchange) jitter(d time.Duration) time.Duration {
 	return time.Duration((1 + x.opts.Rand.Float64()) * float64(d))
 }
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -12,146 +12,150 @@
 	"bilberrydale/process/kind"
 )
 
-// maxRemakes bounds how often the stages of a request are run again because
-// results were lost with their server.
-const maxRemakes = 2
-
-// stream serves a request whose answer is a series of events. Where the route
-// allows it, a stream that breaks off goes on at another server, after the last
-// event that the client has got.
-func (x *exchange) stream(ctx context.Context) error {
-	t := &tries{seen: tried{}}
-	st := &streaming{last: x.client.LastEventID}
-	remakes := 0
+// maxStageReruns limits how often the stages of a request are rerun because results were
+// lost with their server.
+const maxStageReruns = 2
+
+// serveStream handles a request whose response is a stream of events. On a resumable route,
+// an interrupted stream is resumed on another server after the last event sent to the
+// client.
+func (x *exchange) serveStream(ctx context.Context) error {
+	hist := &attemptHistory{tried: serverSet{}}
+	progress := &streamProgress{lastEventID: x.client.LastEventID}
+	reruns := 0
 	for {
-		s := x.next(ctx, t)
+		s := x.nextServer(ctx, hist)
 		if s == nil {
-			return x.endStream(t)
+			return x.finishStream(hist)
 		}
-		a, err := x.send(ctx, s, st.last, 0)
+		a, err := x.send(ctx, s, progress.lastEventID, 0)
 		if err == nil {
-			err = x.follow(a, st, t)
+			err = x.relayStream(a, progress, hist)
 			if err == nil {
 				return nil
 			}
 		}
-		if errors.Is(err, errInputsGone) && remakes < maxRemakes {
-			remakes++
-			delete(t.seen, s.ID)
-			if err := x.remake(ctx); err != nil {
+		if errors.Is(err, errInputsLost) && reruns < maxStageReruns {
+			reruns++
+			delete(hist.tried, s.ID)
+			if err := x.rerunStages(ctx); err != nil {
 				return err
 			}
 			continue
 		}
-		t.note(err)
+		hist.record(err)
 	}
 }
 
-// errInputsGone: a result that the request needs was lost; it has not run.
-var errInputsGone = fmt.Errorf("%w: an input is gone", errNotRun)
+// errInputsLost means that a stage result that the request needs was lost. The request did
+// not run.
+var errInputsLost = fmt.Errorf("%w: an input is gone", errNotRun)
 
-// remake runs the stages again.
-func (x *exchange) remake(ctx context.Context) error {
-	x.freeInputs()
-	x.inputs = nil
-	x.round++
+// rerunStages frees the remaining stage results and runs the stages again.
+func (x *exchange) rerunStages(ctx context.Context) error {
+	x.freeResults()
+	x.inputHandles = nil
+	x.stageRound++
 	return x.runStages(ctx)
 }
 
-func (x *exchange) endStream(t *tries) error {
-	if x.begun {
-		return &kind.Error{Kind: kind.StreamCut, Detail: t.text(), Dispatched: true, Cause: t.last}
+// finishStream returns the error of a stream for which no further attempt is possible.
+func (x *exchange) finishStream(hist *attemptHistory) error {
+	if x.headSent {
+		return &kind.Error{Kind: kind.StreamCut, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
 	}
-	return x.end(t)
+	return x.finish(hist)
 }
 
-// streaming is what the client has of a stream.
-type streaming struct {
-	last   string // id of the last event that was passed on
-	lastID int64  // the same as a number; 0: none
+// streamProgress is the position in the stream up to which the client has received events.
+type streamProgress struct {
+	lastEventID   string // ID of the last event sent to the client
+	lastNumericID int64  // lastEventID as a number; 0: none
 }
 
-// follow passes a server's events on. nil means that the client has its whole
-// answer.
-func (x *exchange) follow(a *attempt, st *streaming, t *tries) error {
-	if a.answer.Status/100 != 2 {
-		r, err := x.whole(a)
+// relayStream relays a server's response to the client and ends the attempt. It returns nil
+// once the client has the complete response.
+func (x *exchange) relayStream(a *attempt, progress *streamProgress, hist *attemptHistory) error {
+	if a.response.Status/100 != 2 {
+		r, err := x.readBuffered(a)
 		if err != nil {
 			return err
 		}
-		if !x.begun && (!x.repeatable() || r.status < 500) {
-			return x.deliver(r)
+		if !x.headSent && (!x.retryable() || r.status < 500) {
+			return x.writeBuffered(r)
 		}
-		t.failed = r
-		if x.begun {
-			t.failed = nil
+		hist.failedResponse = r
+		if x.headSent {
+			hist.failedResponse = nil
 		}
-		return fmt.Errorf("%w: %s: status %d", errBroken, a.server.ID, r.status)
+		return fmt.Errorf("%w: %s: status %d", errInvalidResponse, a.server.ID, r.status)
 	}
-	err := x.events(a, st, t)
+	err := x.relayEvents(a, progress, hist)
 	a.close(err == nil)
 	if err != nil {
-		x.brokeOff(a)
-		x.rec.Resumptions++
-		return fmt.Errorf("%w: %s after event %q: %w", errBroken, a.server.ID, st.last, err)
+		x.recordTruncatedResponse(a)
+		x.entry.StreamInterruptions++
+		return fmt.Errorf("%w: %s after event %q: %w", errInvalidResponse, a.server.ID, progress.lastEventID, err)
 	}
 	now := x.opts.Clock.Now()
 	a.server.RecordResponse(false, now)
-	if !x.begun {
-		x.begin(a)
+	if !x.headSent {
+		x.writeHead(a)
 	}
-	x.noteTimes(now)
+	x.observeTimes(now)
 	return nil
 }
 
-// noteTimes learns from a stream that has ended.
-func (x *exchange) noteTimes(end time.Time) {
-	first := x.firstAt.Sub(x.start) - x.rec.StageDuration
-	x.times.note(x.route.Name, streamTime{first: first, rest: end.Sub(x.firstAt)})
-	if x.client.InputTokens > 0 && x.rec.Attempts == 1 {
-		// What is shared has been read before, mostly.
-		_, shared := x.affinity()
-		x.reads.note(x.service, max(x.client.InputTokens-shared, 0), first)
+// observeTimes updates the estimates of stream durations and token times from a stream that
+// ended at end.
+func (x *exchange) observeTimes(end time.Time) {
+	first := x.firstEventAt.Sub(x.start) - x.entry.StageDuration
+	x.streamDurations.observe(x.route.Name, streamDuration{toFirstEvent: first, afterFirstEvent: end.Sub(x.firstEventAt)})
+	if x.client.InputTokens > 0 && x.entry.Attempts == 1 {
+		// The shared prefix is usually in the KV cache already.
+		_, shared := x.sharedPrefix()
+		x.tokenTimes.observe(x.service, max(x.client.InputTokens-shared, 0), first)
 	}
 }
 
-// Silence after which a stream that may go on elsewhere does. The first event
-// waits for the reading of prompts; later ones come every few milliseconds, and
-// a pause of this length is already late.
+// Time without an event after which a stream that can be resumed on another server is.
+// The first event comes after the prompts of this and other requests have been processed.
+// Later events come every few milliseconds, so that an event after a gap of eventTimeout
+// would already be late.
 const (
-	firstEventSilence = 1200 * time.Millisecond
-	eventSilence      = 700 * time.Millisecond
+	firstEventTimeout = 1200 * time.Millisecond
+	eventTimeout      = 700 * time.Millisecond
 )
 
-// silence returns how long the first and each later event are awaited. A stream
-// that cannot go on elsewhere is awaited to its deadline: nothing better could
-// come.
-func (x *exchange) silence(t *tries) (first, later time.Duration) {
-	if !x.repeatable() || t.runs+1 >= x.route.MaxAttempts {
+// eventTimeouts returns the timeouts for the first event and for each later one. A stream
+// that cannot be resumed elsewhere is awaited until its deadline, as there is no
+// alternative.
+func (x *exchange) eventTimeouts(hist *attemptHistory) (first, later time.Duration) {
+	if !x.retryable() || hist.possibleRuns+1 >= x.route.MaxAttempts {
 		left := x.deadline.Sub(x.opts.Clock.Now())
 		return left, left
 	}
-	return firstEventSilence, eventSilence
+	return firstEventTimeout, eventTimeout
 }
 
-// events passes whole events on as they arrive; the rest of an event that broke
-// off is dropped, so that the next run's first event does not join it.
-func (x *exchange) events(a *attempt, st *streaming, t *tries) error {
-	first, later := x.silence(t)
-	quiet := time.AfterFunc(first, a.cancel)
-	defer quiet.Stop()
-	r := newEventReader(a.answer)
+// relayEvents forwards complete events as they arrive. The rest of an interrupted event is
+// dropped, so that it is not joined with the first event of the next attempt.
+func (x *exchange) relayEvents(a *attempt, progress *streamProgress, hist *attemptHistory) error {
+	first, later := x.eventTimeouts(hist)
+	timer := time.AfterFunc(first, a.cancel)
+	defer timer.Stop()
+	r := newEventReader(a.response)
 	flush := http.NewResponseController(x.w)
 	for {
 		event, err := r.next()
 		if err != nil && !errors.Is(err, io.EOF) {
 			return err
 		}
-		if perr := x.pass(a, st, event, r.id); perr != nil || err != nil {
-			return perr // nil at the end
+		if writeErr := x.writeEvent(a, progress, event, r.lastID); writeErr != nil || err != nil {
+			return writeErr // nil at the end of the stream
 		}
-		quiet.Reset(later)
-		if r.more() {
+		timer.Reset(later)
+		if r.nextBuffered() {
 			continue
 		}
 		if err := flush.Flush(); err != nil {
@@ -160,46 +164,47 @@
 	}
 }
 
-// pass writes one event, unless the client has it already. A write that fails
-// ends the client's context, so that nothing more is tried for it.
-func (x *exchange) pass(a *attempt, st *streaming, event []byte, id string) error {
+// writeEvent sends an event to the client unless the client already has it. net/http cancels
+// the request's context if the write fails, which prevents further attempts.
+func (x *exchange) writeEvent(a *attempt, progress *streamProgress, event []byte, id string) error {
 	if len(event) == 0 {
 		return nil
 	}
-	n, numeric := number(id)
-	if numeric && st.lastID > 0 && n <= st.lastID {
+	n, numeric := numericID(id)
+	if numeric && progress.lastNumericID > 0 && n <= progress.lastNumericID {
 		return nil
 	}
-	if !x.begun {
-		x.begin(a)
+	if !x.headSent {
+		x.writeHead(a)
 	}
 	if _, err := x.w.Write(event); err != nil {
 		return err
 	}
 	if id != "" {
-		st.last = id
+		progress.lastEventID = id
 	}
 	if numeric {
-		st.lastID = n
+		progress.lastNumericID = n
 	}
 	return nil
 }
 
-func number(id string) (int64, bool) {
+// numericID parses an event ID as a number.
+func numericID(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
 
-// begin writes the head with the first event: until then a request that failed
-// at one server can still get another's answer under that server's own head.
-func (x *exchange) begin(a *attempt) {
-	x.head(x.w.Header(), a.answer.Header)
-	x.begun = true
-	x.rec.Status, x.rec.Ran = a.answer.Status, kind.RanYes
+// writeHead sends the response head. It is called with the first event: until then, the
+// request can still fail over to another server and get that server's head.
+func (x *exchange) writeHead(a *attempt) {
+	x.setResponseHeaders(x.w.Header(), a.response.Header)
+	x.headSent = true
+	x.entry.Status, x.entry.Ran = a.response.Status, kind.RanYes
 	now := x.opts.Clock.Now()
-	x.rec.TimeToFirstByte = now.Sub(x.start)
-	x.firstAt = now
-	x.w.WriteHeader(a.answer.Status)
-	// The engine has read its inputs before it made the first event.
-	x.freeInputs()
+	x.entry.TimeToFirstByte = now.Sub(x.start)
+	x.firstEventAt = now
+	x.w.WriteHeader(a.response.Status)
+	// The engine has read its inputs before it generates the first event.
+	x.freeResults()
 }
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -82,7 +82,7 @@
 }
 
 // fetchSetup is the time in which two engines agree on a transfer.
-const fetchSetup = 5 * time.Millisecond
+const kvTransferSetup = 5 * time.Millisecond
 
 // FetchTime is how long an engine takes to get so many tokens from another one that has
 // read them; 0: it cannot.
@@ -90,7 +90,7 @@
 	if e == nil || e.KVBytesPerToken <= 0 || e.LinkBytesPerSecond <= 0 {
 		return 0
 	}
-	return fetchSetup + time.Duration(float64(tokens)*float64(e.KVBytesPerToken)/e.LinkBytesPerSecond*float64(time.Second))
+	return kvTransferSetup + time.Duration(float64(tokens)*float64(e.KVBytesPerToken)/e.LinkBytesPerSecond*float64(time.Second))
 }
 
 // Batch describes how servers of a stage take work: calls with several items.
@@ -134,42 +134,42 @@
 
 // Plan is a compiled configuration.
 type Plan struct {
-	Version  int64
-	Limits   Limits
-	services map[string]*Service
-	hosts    map[string][]*Route // by host, longest path prefix first
-	keys     map[string]*Account
-	accounts int
-	names    []string
+	Version       int64
+	Limits        Limits
+	services      map[string]*Service
+	routesByHost  map[string][]*Route // by host, longest path prefix first
+	accountsByKey map[string]*Account
+	accountCount  int
+	serviceNames  []string
 }
 
 // Compile indexes a configuration for reading.
 func Compile(c Config) *Plan {
 	p := &Plan{
 		Version: c.Version, Limits: c.Limits,
-		services: make(map[string]*Service, len(c.Services)),
-		hosts:    make(map[string][]*Route),
-		keys:     make(map[string]*Account),
+		services:      make(map[string]*Service, len(c.Services)),
+		routesByHost:  make(map[string][]*Route),
+		accountsByKey: make(map[string]*Account),
 	}
 	for i := range c.Services {
 		s := &c.Services[i]
 		p.services[s.Name] = s
-		p.names = append(p.names, s.Name)
+		p.serviceNames = append(p.serviceNames, s.Name)
 	}
-	sort.Strings(p.names)
+	sort.Strings(p.serviceNames)
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Host)
-		p.hosts[host] = append(p.hosts[host], r)
+		p.routesByHost[host] = append(p.routesByHost[host], r)
 	}
-	for _, rs := range p.hosts {
+	for _, rs := range p.routesByHost {
 		sort.SliceStable(rs, func(i, j int) bool { return len(rs[i].PathPrefix) > len(rs[j].PathPrefix) })
 	}
-	p.accounts = len(c.Accounts)
+	p.accountCount = len(c.Accounts)
 	for i := range c.Accounts {
 		a := &c.Accounts[i]
 		for _, k := range a.Keys {
-			p.keys[k] = a
+			p.accountsByKey[k] = a
 		}
 	}
 	return p
@@ -178,7 +178,7 @@
 // Match returns the route of a request, or nil. The longest path prefix wins.
 func (p *Plan) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
-	for _, r := range p.hosts[strings.ToLower(name)] {
+	for _, r := range p.routesByHost[strings.ToLower(name)] {
 		if strings.HasPrefix(path, r.PathPrefix) {
 			return r
 		}
@@ -187,17 +187,17 @@
 }
 
 // Account returns the holder of an API key, or nil.
-func (p *Plan) AccountByKey(key string) *Account { return p.keys[key] }
+func (p *Plan) AccountByKey(key string) *Account { return p.accountsByKey[key] }
 
 // HasAccounts reports whether requests need a key at all. They do also where
 // every key was taken away.
-func (p *Plan) HasAccounts() bool { return p.accounts > 0 }
+func (p *Plan) HasAccounts() bool { return p.accountCount > 0 }
 
 // Service returns a service by name, or nil.
 func (p *Plan) Service(name string) *Service { return p.services[name] }
 
 // ServiceNames returns the names of all services in order.
-func (p *Plan) ServiceNames() []string { return p.names }
+func (p *Plan) ServiceNames() []string { return p.serviceNames }
 
 // Choose picks the service of one request by the weights of the route's
 // targets; u is uniform in [0,1).
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestLongestPrefixOfTheHostWins(t *testing.T) {
+func TestLongestPathPrefixMatches(t *testing.T) {
 	g := NewWithT(t)
 	p := Compile(Config{Routes: []Route{
 		{Name: "all", Host: "a.example", PathPrefix: "/"},
@@ -22,7 +22,7 @@
 	g.Expect(p.Match("c.example", "/x/")).To(BeNil())
 }
 
-func TestTargetsAreChosenByWeight(t *testing.T) {
+func TestServicesArePickedByWeight(t *testing.T) {
 	g := NewWithT(t)
 	r := Route{Targets: []Target{{"a", 90}, {"b", 10}, {"none", 0}}}
 	n := map[string]int{}
@@ -33,7 +33,7 @@
 	g.Expect((&Route{}).PickService(0.5)).To(BeEmpty())
 }
 
-func TestKeysNameTheirAccount(t *testing.T) {
+func TestAccountByKey(t *testing.T) {
 	g := NewWithT(t)
 	p := Compile(Config{Accounts: []Account{{Name: "a", Keys: []string{"1", "2"}}, {Name: "b", Keys: []string{"3"}}}})
 	g.Expect(p.AccountByKey("2").Name).To(Equal("a"))
