--- a/process/balance/balance.go
+++ b/process/balance/balance.go
@@ -1,5 +1,6 @@
-// Package balance chooses the backend server of one request among those that
-// the platform lists. It is pure: time, distance and load are inputs.
+// Package balance selects the backend server for a request among the candidates of a
+// service. It does no I/O and reads no clock: the time, network latencies and server loads
+// are inputs.
 package balance
 
 import (
@@ -11,87 +12,94 @@
 	"bilberrydale/process/directory"
 )
 
-// Query is what a choice depends on.
+// Query holds the inputs of a server selection.
 type Query struct {
 	Servers       directory.Candidates
-	OneWayLatency func(domain string) time.Duration // one way
-	// Affinity names the part of the prompt that requests share, of SharedTokens
-	// tokens with those before it. They go to the same server, wherever it is,
-	// while it is not fuller than others. Empty: none.
+	OneWayLatency func(domain string) time.Duration // network latency to a failure domain
+	// AffinityKey identifies the prompt prefix of PrefixTokens tokens that the request
+	// shares with earlier ones. Requests with the same key go to the same server in any
+	// region, unless it is more heavily loaded than others. Empty: no shared prefix.
 	AffinityKey  string
 	PrefixTokens int
-	// TokenTime is how long a server reads a token of a prompt.
+	// PrefillTimePerToken is the time that a server takes to process one prompt token.
 	PrefillTimePerToken time.Duration
-	// Near is the failure domain that holds the request's inputs, of NearBytes;
-	// empty: none.
+	// InputDomain is the failure domain that holds the request's inputs of InputBytes
+	// bytes; empty: the request has no stored inputs.
 	InputDomain string
 	InputBytes  int64
-	// Busy is the cost of a failure domain whose stage work waits; nil: none.
+	// QueueingCost returns the extra cost of a failure domain in which stage work is
+	// queued; nil: none.
 	QueueingCost func(domain string) time.Duration
-	Exclude      func(*directory.Server) bool
-	Now          time.Time
+	// Exclude reports whether a server must not be selected; nil: none is excluded.
+	Exclude func(*directory.Server) bool
+	Now     time.Time
 }
 
 const (
-	// reportMaxAge: a server's own report of its load counts for so long. The
-	// load of short requests changes within some hundred milliseconds.
+	// reportMaxAge is the age from which a server's own load report is ignored. The load
+	// of short requests changes within a few hundred milliseconds.
 	reportMaxAge = 500 * time.Millisecond
-	// fullCost is the cost of one request beyond a server's slots: about the
-	// time until a place is free at a plain service.
-	fullCost = 20 * time.Millisecond
-	// shareCost is the cost of one request beside which a request runs, for
-	// servers that share their speed among their requests.
-	shareCost = 2 * time.Millisecond
-	// affinityGain is what a shared part in an engine's memory is worth beside
-	// the time of its reading. It outweighs the way there and back between
-	// regions: a part that two regions read takes memory and time at both, and
-	// the streams that run beside the reading pause.
-	affinityGain = 45 * time.Millisecond
-	// wholeGain is the reading time of a shared part from which that gain is whole.
-	// Less is read sooner than a message goes to another region and back, and
-	// streams that stay pay no way between regions.
-	wholeGain = 27 * time.Millisecond
-	// leastShared tokens make affinity worth anything.
-	leastShared = 100
-	// nearTime is what it is worth for each megabyte of inputs to run where
-	// they lie, and maxNear the most.
-	nearTime = 40 * time.Millisecond
-	maxNear  = 60 * time.Millisecond
-	// errorCost is the cost of certain failure: a server that fails a third of its
-	// answers costs as much as the way to another region and back.
-	errorCost = 150 * time.Millisecond
-	// avoidCost keeps servers that failed a short time ago for the case that
-	// there is no other.
-	avoidCost = 10 * time.Second
+	// queuedRequestCost is the cost of each request beyond a server's slots, about the
+	// time until a slot becomes free at a plain (non-engine) service.
+	queuedRequestCost = 20 * time.Millisecond
+	// concurrentRequestCost is the cost of each request that is already at the server:
+	// some servers divide their speed among concurrent requests.
+	concurrentRequestCost = 2 * time.Millisecond
+	// maxAffinityDiscount is the value of a prefix cached by an engine, beyond the prefill
+	// time that it saves. It exceeds the round trip between regions: a prefix that is
+	// processed in two regions takes memory and time in both, and prefill pauses the other
+	// streams of the engine.
+	maxAffinityDiscount = 45 * time.Millisecond
+	// fullDiscountPrefillTime is the prefill time of a prefix from which the discount is
+	// maxAffinityDiscount; below it the discount is proportional. A shorter prefix is
+	// processed in less time than a message takes to another region and back, and a stream
+	// that stays in its region avoids the latency between regions.
+	fullDiscountPrefillTime = 27 * time.Millisecond
+	// minPrefixTokens is the shortest prefix for which affinity is considered.
+	minPrefixTokens = 100
+	// The cost of inputs in another failure domain grows with each megabyte (1e6 bytes),
+	// up to maxRemoteInputCost.
+	remoteInputCostPerMB = 40 * time.Millisecond
+	maxRemoteInputCost   = 60 * time.Millisecond
+	// certainFailureCost is the cost of a server with a failure rate of 1; it scales
+	// linearly. A server that fails a third of its responses costs as much as a round trip
+	// to another region.
+	certainFailureCost = 150 * time.Millisecond
+	// backoffCost is so high that a server in backoff after a recent failure is selected
+	// only if there is no other.
+	backoffCost = 10 * time.Second
 )
 
-// Choose returns the cheapest server, or nil if there is none.
+// Choose returns the server with the lowest cost, or nil if every candidate is excluded or
+// there is none.
 func Choose(q Query) *directory.Server {
 	var best ScoredServer
-	home := q.home()
+	home := q.homeServer()
 	for s := range q.Servers.All() {
 		if q.Exclude != nil && q.Exclude(s) {
 			continue
 		}
-		if c := q.choice(s, home); best.Server == nil || q.before(c, best) {
+		if c := q.score(s, home); best.Server == nil || q.cheaper(c, best) {
 			best = c
 		}
 	}
 	return best.Server
 }
 
-// Choice is a server that a request may go to.
+// ScoredServer is a candidate server and its cost.
 type ScoredServer struct {
 	Server *directory.Server
-	// Cost against other servers; in that of a Rank no home has its gain.
+	// Cost is comparable between the servers of one query only. Rank does not subtract the
+	// affinity discount from the cost of the home server.
 	Cost time.Duration
-	Home bool // the shared part's requests prefer it
+	Home bool // the first server by rendezvous hashing for the affinity key
 }
 
-// Rank returns servers to choose from: the home of the shared part, the next one in
-// its place, and the cheapest others, n at most in all.
+// Rank returns up to n servers: the home server of the shared prefix, the server that
+// replaces it when it is unavailable, and the others with the lowest cost in ascending
+// order. n has to be at least 2 if the query has an affinity key.
 func Rank(q Query, n int) []ScoredServer {
-	home, next := q.homes()
+	home, next := q.homeServers()
 	var homes, others []ScoredServer
 	for s := range q.Servers.All() {
 		if q.Exclude != nil && q.Exclude(s) {
@@ -103,7 +111,7 @@
 			continue
 		}
 		i := len(others)
-		for i > 0 && q.before(c, others[i-1]) {
+		for i > 0 && q.cheaper(c, others[i-1]) {
 			i--
 		}
 		if i < n {
@@ -114,7 +122,8 @@
 	return append(homes, others[:min(len(others), n-len(homes))]...)
 }
 
-func (q *Query) choice(s, home *directory.Server) ScoredServer {
+// score returns the cost of a server with the affinity discount for the home server.
+func (q *Query) score(s, home *directory.Server) ScoredServer {
 	c := ScoredServer{Server: s, Cost: q.Cost(s), Home: s == home}
 	if c.Home {
 		c.Cost -= q.AffinityDiscount()
@@ -122,55 +131,60 @@
 	return c
 }
 
-func (q *Query) before(a, b ScoredServer) bool {
-	return a.Cost < b.Cost || a.Cost == b.Cost && q.tie(a.Server) > q.tie(b.Server)
+// cheaper reports whether a costs less than b. The hash breaks ties.
+func (q *Query) cheaper(a, b ScoredServer) bool {
+	return a.Cost < b.Cost || a.Cost == b.Cost && q.affinityHash(a.Server) > q.affinityHash(b.Server)
 }
 
-// Reading is how long the shared part takes to read.
+// PrefillTime returns the time that a server takes to process the shared prefix.
 func (q *Query) PrefillTime() time.Duration {
 	return time.Duration(q.PrefixTokens) * q.PrefillTimePerToken
 }
 
-// Gain is what a server is worth that has read the shared part.
+// AffinityDiscount returns how much the cost of a server is lowered if it has the shared
+// prefix in its cache; 0 if the prefix is shorter than minPrefixTokens.
 func (q *Query) AffinityDiscount() time.Duration {
-	if q.AffinityKey == "" || q.PrefixTokens < leastShared {
+	if q.AffinityKey == "" || q.PrefixTokens < minPrefixTokens {
 		return 0
 	}
-	part := min(float64(q.PrefillTime())/float64(wholeGain), 1)
-	return time.Duration(part*float64(affinityGain)) + q.PrefillTime()
+	fraction := min(float64(q.PrefillTime())/float64(fullDiscountPrefillTime), 1)
+	return time.Duration(fraction*float64(maxAffinityDiscount)) + q.PrefillTime()
 }
 
-// Cost is what a request costs at a server, but for what was read there before.
+// Cost returns the cost of running the request on a server, without the affinity discount.
+// It adds the network round trip, the load, the transfer of inputs, queued stage work, the
+// failure rate, and a surcharge for servers in backoff or cold servers.
 func (q *Query) Cost(s *directory.Server) time.Duration {
 	load := EstimatedLoad(s, q.Now)
-	c := 2*q.OneWayLatency(s.Domain) + time.Duration(load)*shareCost
-	if over := load + 1 - s.Slots; over > 0 {
-		c += time.Duration(over) * fullCost
+	cost := 2*q.OneWayLatency(s.Domain) + time.Duration(load)*concurrentRequestCost
+	if excess := load + 1 - s.Slots; excess > 0 {
+		cost += time.Duration(excess) * queuedRequestCost
 	}
 	if q.InputDomain != "" && s.Domain != q.InputDomain {
-		c += RemoteInputCost(q.InputBytes)
+		cost += RemoteInputCost(q.InputBytes)
 	}
 	if q.QueueingCost != nil {
-		c += q.QueueingCost(s.Domain)
+		cost += q.QueueingCost(s.Domain)
 	}
 	if s.InBackoff(q.Now) {
-		c += avoidCost
+		cost += backoffCost
 	}
-	c += time.Duration(s.FailureRate(q.Now) * float64(errorCost))
+	cost += time.Duration(s.FailureRate(q.Now) * float64(certainFailureCost))
 	if s.ColdRemaining > 0 {
-		c += fullCost
+		cost += queuedRequestCost
 	}
-	return c
+	return cost
 }
 
-// AwayCost is what it costs a request that so many bytes of its inputs lie in other
-// failure domains.
+// RemoteInputCost returns the cost of a request of which the given number of input bytes
+// is stored in other failure domains.
 func RemoteInputCost(bytes int64) time.Duration {
-	return min(time.Duration(float64(nearTime)*float64(bytes)/1e6), maxNear)
+	return min(time.Duration(float64(remoteInputCostPerMB)*float64(bytes)/1e6), maxRemoteInputCost)
 }
 
-// Load is the number of requests at a server: this host's, or all as the
-// server last said, whichever is more.
+// EstimatedLoad returns the number of requests at a server: the larger of this host's
+// requests in flight and the server's own report of running and queued requests, if that
+// is recent enough.
 func EstimatedLoad(s *directory.Server, now time.Time) int {
 	load := int(s.InFlight.Load())
 	if running, waiting, age := s.ReportedLoad(now); age < reportMaxAge {
@@ -179,15 +193,16 @@
 	return load
 }
 
-// home is the server that requests with the same affinity prefer.
-func (q *Query) home() *directory.Server {
-	home, _ := q.homes()
+// homeServer returns the server that requests with this affinity key prefer, or nil.
+func (q *Query) homeServer() *directory.Server {
+	home, _ := q.homeServers()
 	return home
 }
 
-// homes are the first two servers by hashing, so that every host names the same.
-func (q *Query) homes() (home, next *directory.Server) {
-	if q.AffinityKey == "" || q.PrefixTokens < leastShared {
+// homeServers returns the first two servers by rendezvous hashing, so that every host
+// selects the same ones. Servers in backoff are left out.
+func (q *Query) homeServers() (home, next *directory.Server) {
+	if q.AffinityKey == "" || q.PrefixTokens < minPrefixTokens {
 		return nil, nil
 	}
 	var first, second uint64
@@ -195,7 +210,7 @@
 		if s.InBackoff(q.Now) {
 			continue
 		}
-		switch h := q.tie(s); {
+		switch h := q.affinityHash(s); {
 		case home == nil || h > first:
 			home, next, first, second = s, home, h, first
 		case next == nil || h > second:
@@ -205,7 +220,7 @@
 	return home, next
 }
 
-// tie spreads equal servers differently for each thing asked about.
-func (q *Query) tie(s *directory.Server) uint64 {
+// affinityHash orders equal servers differently for each affinity key.
+func (q *Query) affinityHash(s *directory.Server) uint64 {
 	return xxhash.Sum64String(q.AffinityKey + "\x00" + s.ID)
 }
--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -14,10 +14,11 @@
 
 var now = time.Unix(1000, 0)
 
-// tokenTime of engines that read 55 tokens a millisecond.
-const tokenTime = 18 * time.Microsecond
+// prefillTimePerToken corresponds to engines that process 55 prompt tokens per
+// millisecond.
+const prefillTimePerToken = 18 * time.Microsecond
 
-// servers lists some servers in each of three regions.
+// servers returns candidates with the given number of servers in each of three regions.
 func servers(each int) directory.Candidates {
 	d := directory.New()
 	var entries []directory.Entry
@@ -30,7 +31,9 @@
 	return d.View().Candidates("s", residency.Set{})
 }
 
-func from(home string) func(string) time.Duration {
+// latencyFrom returns the latencies seen from one domain: 200 µs within it and 20 ms to
+// others.
+func latencyFrom(home string) func(string) time.Duration {
 	return func(domain string) time.Duration {
 		if domain == home {
 			return 200 * time.Microsecond
@@ -39,45 +42,49 @@
 	}
 }
 
-func TestNearServersServeWhileTheyHaveSlots(t *testing.T) {
+// Guards against leaving the local region while it has free slots, and against use of an
+// outdated load report: only a recent one with more requests than slots diverts the
+// request.
+func TestLocalServersAreChosenWhileSlotsAreFree(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(1)
 	list := slices.Collect(fleet.All())
-	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: now}
+	q := Query{Servers: fleet, OneWayLatency: latencyFrom("y"), Now: now}
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
 	list[1].RecordLoad(6, 3, now)
-	g.Expect(Choose(q).Domain).NotTo(Equal("y"), "three wait there already")
+	g.Expect(Choose(q).Domain).NotTo(Equal("y"), "three requests are queued there")
 	list[1].RecordLoad(6, 3, now.Add(-time.Second))
-	g.Expect(Choose(q).ID).To(Equal("y-0"), "an old report")
+	g.Expect(Choose(q).ID).To(Equal("y-0"), "an outdated report")
 }
 
-// A server failed a moment ago. It is passed over while there is another, and
-// tried again after a while.
-func TestFailedServerIsAvoidedForAWhile(t *testing.T) {
+// Guards against repeated use of a server that has just failed. It is skipped while there
+// is another one, and used again once its backoff has ended.
+func TestFailedServerIsSkippedDuringBackoff(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(1)
 	list := slices.Collect(fleet.All())
-	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: now}
+	q := Query{Servers: fleet, OneWayLatency: latencyFrom("y"), Now: now}
 	list[1].RecordFailure(now)
 	g.Expect(Choose(q).Domain).NotTo(Equal("y"))
 	q.Now = now.Add(time.Second)
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
 	q.Exclude = func(s *directory.Server) bool { return s.ID != "y-0" }
 	list[1].RecordFailure(q.Now)
-	g.Expect(Choose(q).ID).To(Equal("y-0"), "there is no other")
+	g.Expect(Choose(q).ID).To(Equal("y-0"), "no other server")
 	q.Exclude = func(*directory.Server) bool { return true }
 	g.Expect(Choose(q)).To(BeNil())
 }
 
-// Hosts in all regions get requests that share a long part of their prompts.
-// All send them to the same server, until that is much fuller than others.
-func TestSharedPromptsMeetAtOneServer(t *testing.T) {
+// Hosts in all regions get requests with the same long prefix. Guards against different
+// home servers per host: all select the same server, until it is much more heavily loaded
+// than others.
+func TestSharedPrefixesGoToOneServer(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(4)
 	list := slices.Collect(fleet.All())
 	homes := map[string]bool{}
 	for _, home := range []string{"x", "y", "z"} {
-		s := Choose(Query{Servers: fleet, OneWayLatency: from(home), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now})
+		s := Choose(Query{Servers: fleet, OneWayLatency: latencyFrom(home), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: prefillTimePerToken, Now: now})
 		homes[s.ID] = true
 	}
 	g.Expect(homes).To(HaveLen(1))
@@ -86,20 +93,20 @@
 			s.InFlight.Store(100)
 		}
 	}
-	s := Choose(Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now})
+	s := Choose(Query{Servers: fleet, OneWayLatency: latencyFrom("x"), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: prefillTimePerToken, Now: now})
 	g.Expect(homes).NotTo(HaveKey(s.ID))
 	g.Expect(s.Domain).To(Equal("x"))
 }
 
-// Chat requests share 200 tokens of their prompts, drafts 5,000. Reading 200 takes
-// less than the way to another region: those requests stay where their client is,
-// and where their inputs lie; the drafts meet at one server.
-func TestShortSharedPartsStayInTheRegion(t *testing.T) {
+// Chat requests share 200 prompt tokens, drafts 5,000. Processing 200 tokens takes less
+// than a round trip to another region: those requests stay in the region of their client
+// and inputs, while drafts with the same prefix go to one server in any region.
+func TestShortSharedPrefixesStayInRegion(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(4)
 	away := 0
 	for i := range 60 {
-		q := Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 200, PrefillTimePerToken: tokenTime, Now: now}
+		q := Query{Servers: fleet, OneWayLatency: latencyFrom("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 200, PrefillTimePerToken: prefillTimePerToken, Now: now}
 		g.Expect(Choose(q).Domain).To(Equal("x"))
 		q.PrefixTokens = 5000
 		if Choose(q).Domain != "x" {
@@ -109,12 +116,12 @@
 	g.Expect(away).To(BeNumerically("~", 40, 10))
 }
 
-// Stage work waits in the client's own region, as where its clients send twice
-// their usual. Requests that share little go to the next region; those that share
-// much stay with their server, whose memory saves more than the wait costs.
-func TestBusyRegionIsLeftByWhatIsFreeToGo(t *testing.T) {
+// Stage work is queued in the client's own region, as when clients send twice their usual
+// load. Requests with a short shared prefix go to the next region; those with a long one
+// stay at their home server, whose cache saves more than the queueing costs.
+func TestOverloadedRegionLosesOnlyRequestsWithShortPrefixes(t *testing.T) {
 	g := NewWithT(t)
-	q := Query{Servers: servers(4), OneWayLatency: from("x"), AffinityKey: "part", PrefixTokens: 200, PrefillTimePerToken: tokenTime, Now: now}
+	q := Query{Servers: servers(4), OneWayLatency: latencyFrom("x"), AffinityKey: "part", PrefixTokens: 200, PrefillTimePerToken: prefillTimePerToken, Now: now}
 	q.QueueingCost = func(domain string) time.Duration {
 		if domain == "x" {
 			return 60 * time.Millisecond
@@ -135,12 +142,13 @@
 	}
 }
 
-func TestAffinitiesSpreadOverServers(t *testing.T) {
+// Guards against home servers that concentrate on a few of the servers.
+func TestAffinityKeysSpreadOverServers(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(4)
 	byServer := map[string]int{}
 	for i := range 600 {
-		byServer[Choose(Query{Servers: fleet, OneWayLatency: from("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now}).ID]++
+		byServer[Choose(Query{Servers: fleet, OneWayLatency: latencyFrom("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 5000, PrefillTimePerToken: prefillTimePerToken, Now: now}).ID]++
 	}
 	g.Expect(byServer).To(HaveLen(12))
 	for id, n := range byServer {
@@ -148,18 +156,21 @@
 	}
 }
 
-func TestLargeInputsDrawTheRequest(t *testing.T) {
+// Guards against moving large inputs to another region: 2 MB of inputs attract the request
+// to their failure domain, 10 kB do not.
+func TestLargeInputsKeepRequestInTheirDomain(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(1)
-	q := Query{Servers: fleet, OneWayLatency: from("x"), InputDomain: "z", InputBytes: 2_000_000, Now: now}
+	q := Query{Servers: fleet, OneWayLatency: latencyFrom("x"), InputDomain: "z", InputBytes: 2_000_000, Now: now}
 	g.Expect(Choose(q).Domain).To(Equal("z"))
 	q.InputBytes = 10_000
 	g.Expect(Choose(q).Domain).To(Equal("x"))
 }
 
-// The nearest server fails almost half of its answers, the others one in ten, as
-// on a day with a grey server. Requests go to another region until it is better.
-func TestServerThatFailsManyAnswersIsPassedOver(t *testing.T) {
+// The nearest server fails almost half of its responses, the others one in ten, as with a
+// partially failed server. Requests go to another region until its failure rate has
+// decayed.
+func TestServerWithHighFailureRateIsSkipped(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(1)
 	list := slices.Collect(fleet.All())
@@ -170,25 +181,25 @@
 		}
 		at = at.Add(10 * time.Millisecond)
 	}
-	q := Query{Servers: fleet, OneWayLatency: from("y"), Now: at}
+	q := Query{Servers: fleet, OneWayLatency: latencyFrom("y"), Now: at}
 	g.Expect(Choose(q).Domain).NotTo(Equal("y"))
 	q.Now = at.Add(6 * time.Second)
 	g.Expect(Choose(q).ID).To(Equal("y-0"))
 }
 
-// The servers to choose from hold the first two of the shared part, wherever they
-// are, so that all hosts name the same ones, and near servers for the rest.
-func TestRankNamesTheHomesOfThePartAndNearServers(t *testing.T) {
+// Guards against different home servers per host: the ranking includes the first two
+// servers for the prefix, wherever they are, and fills up with local servers.
+func TestRankReturnsHomeAndLocalServers(t *testing.T) {
 	g := NewWithT(t)
 	homes := map[string]bool{}
 	for _, region := range []string{"x", "y", "z"} {
-		list := Rank(Query{Servers: servers(4), OneWayLatency: from(region), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: tokenTime, Now: now}, 4)
+		list := Rank(Query{Servers: servers(4), OneWayLatency: latencyFrom(region), AffinityKey: "part", PrefixTokens: 5000, PrefillTimePerToken: prefillTimePerToken, Now: now}, 4)
 		g.Expect(list).To(HaveLen(4))
-		g.Expect(list[0].Home != list[1].Home).To(BeTrue(), "one of the two is the first")
+		g.Expect(list[0].Home != list[1].Home).To(BeTrue(), "exactly one of the two is the home server")
 		homes[list[0].Server.ID], homes[list[1].Server.ID] = true, true
 		g.Expect(list[2].Server.Domain).To(Equal(region))
 		g.Expect(list[3].Server.Domain).To(Equal(region))
 	}
 	g.Expect(homes).To(HaveLen(2))
-	g.Expect(Rank(Query{Servers: servers(1), OneWayLatency: from("x"), Now: now}, 4)).To(HaveLen(3))
+	g.Expect(Rank(Query{Servers: servers(1), OneWayLatency: latencyFrom("x"), Now: now}, 4)).To(HaveLen(3))
 }
--- a/process/balance/bench_test.go
+++ b/process/balance/bench_test.go
@@ -9,8 +9,8 @@
 	"bilberrydale/process/residency"
 )
 
-// BenchmarkChoose is what each attempt pays to find its server, with and without
-// a shared prompt part.
+// BenchmarkChoose measures the server selection of one attempt, with and without a shared
+// prompt prefix.
 func BenchmarkChoose(b *testing.B) {
 	for _, affinity := range []string{"", "part-5c"} {
 		for _, n := range []int{8, 110} {
--- a/process/coldstart/coldstart.go
+++ b/process/coldstart/coldstart.go
@@ -1,7 +1,7 @@
-// Package coldstart bounds what cold backend servers get: a server that has just
-// started crashes if more requests a second reach it than it bears, from all hosts
-// together. Each host keeps to a share of its own that needs no word from another, so
-// the bound holds also for hosts that are cut off from each other.
+// Package coldstart limits the request rate to cold backend servers: a server that has
+// just started crashes if it gets more requests per second, from all hosts together, than
+// it can take. Each host computes its own quota without messages to other hosts, so that
+// the limit also holds for hosts that are disconnected from each other.
 package coldstart
 
 import (
@@ -15,158 +15,168 @@
 	"bilberrydale/process/directory"
 )
 
-// window is the time in which a host uses each of its parts of a rate once: a second,
-// and what two sends that leave a second apart may come closer on the way.
-const window = 1200 * time.Millisecond
+// rateWindow is the sliding window in which a host uses each of its rate units once: one
+// second, plus the amount by which the delay of two requests sent a second apart may
+// differ.
+const rateWindow = 1200 * time.Millisecond
 
-// Limit is what cold servers of a service bear.
+// Limit is the request rate that cold servers of a service can take.
 type Limit struct {
-	RequestsPerSecond float64       // requests, of all hosts together; 0: not bounded
+	RequestsPerSecond float64       // from all hosts together; 0: unlimited
 	ColdDuration      time.Duration // how long a server stays cold after its start
 }
 
-// parts is the number of requests a second that hosts may send.
-func (l Limit) parts() int { return max(int(math.Floor(l.RequestsPerSecond)), 1) }
+// rateUnits returns the whole number of requests per second that all hosts together may
+// send, at least 1.
+func (l Limit) rateUnits() int { return max(int(math.Floor(l.RequestsPerSecond)), 1) }
 
-// Hosts returns the names of all entry hosts that are known, this one included; none as
-// long as the others are not known.
+// Hosts returns the names of all known entry hosts, including this one. It returns none
+// until the other hosts are known.
 type Hosts func() []string
 
-// Gate tells whether this host may send a request to a cold server. It is safe for
+// Limiter decides whether this host may send a request to a cold server. It is safe for
 // concurrent use.
 //
-// The rate is dealt in parts of one request a second. Each part belongs to the host
-// whose name, hashed with the server's and the part's number, comes first. While two
-// hosts know different lists, a part may count for both; the bound of the platform is
-// over twice the rate that is dealt.
+// The rate is divided into units of one request per second. Each unit is assigned to a
+// host by rendezvous hashing of the host's name, the server's id and the unit's number.
+// While two hosts have different host lists, both may own the same unit; the platform's
+// limit is over twice the rate that is assigned.
 type Limiter struct {
 	self  string
 	hosts Hosts
 
 	mu     sync.Mutex
-	shares map[string]*share // by server id
+	quotas map[string]*quota // by server id
 }
 
-// share is what this host may send to one server.
-type share struct {
-	parts int
-	dealt time.Time
-	used  []time.Time // of the sends within the window
+// quota is this host's share of the rate of one server.
+type quota struct {
+	units      int
+	assignedAt time.Time
+	sentAt     []time.Time // requests within the window, oldest first
 }
 
-// New returns a gate for the host of a name.
+// New returns a limiter for the host with the given name.
 func New(self string, hosts Hosts) *Limiter {
-	return &Limiter{self: self, hosts: hosts, shares: map[string]*share{}}
+	return &Limiter{self: self, hosts: hosts, quotas: map[string]*quota{}}
 }
 
-// May reports whether a request may be sent to a server now.
-func (g *Limiter) WouldAllow(s *directory.Server, l Limit, now time.Time) bool {
-	if !g.applies(s, l, now) {
+// WouldAllow reports whether a request may be sent to the server now, without counting
+// one.
+func (limiter *Limiter) WouldAllow(s *directory.Server, l Limit, now time.Time) bool {
+	if !limiter.applies(s, l, now) {
 		return true
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.share(s.ID, l, now).free()
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	return limiter.quotaFor(s.ID, l, now).available()
 }
 
-// Take reports whether a request may be sent to a server now, and counts it.
-func (g *Limiter) Allow(s *directory.Server, l Limit, now time.Time) bool {
-	if !g.applies(s, l, now) {
+// Allow reports whether a request may be sent to the server now. If so, it is counted.
+func (limiter *Limiter) Allow(s *directory.Server, l Limit, now time.Time) bool {
+	if !limiter.applies(s, l, now) {
 		return true
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	share := g.share(s.ID, l, now)
-	if !share.free() {
+	limiter.mu.Lock()
+	defer limiter.mu.Unlock()
+	quota := limiter.quotaFor(s.ID, l, now)
+	if !quota.available() {
 		return false
 	}
-	share.used = append(share.used, now)
+	quota.sentAt = append(quota.sentAt, now)
 	return true
 }
 
-func (g *Limiter) applies(s *directory.Server, l Limit, now time.Time) bool {
+// applies reports whether the limit applies to the server now: its service has one and the
+// server may be cold.
+func (limiter *Limiter) applies(s *directory.Server, l Limit, now time.Time) bool {
 	return l.RequestsPerSecond > 0 && s.MayBeCold(now, l.ColdDuration)
 }
 
 const (
-	// dealEvery is how often shares follow the list of hosts.
-	dealEvery = time.Second
-	// maxShares are kept before those that are not used are dropped.
-	maxShares = 512
+	// reassignInterval is how often quotas are recomputed from the list of hosts.
+	reassignInterval = time.Second
+	// maxQuotas is the number of quotas from which unused ones are removed.
+	maxQuotas = 512
 )
 
-// share returns this host's share of a server. It is called with g.mu held.
-func (g *Limiter) share(id string, l Limit, now time.Time) *share {
-	s := g.shares[id]
-	if s == nil {
-		g.drop(now)
-		s = &share{}
-		g.shares[id] = s
+// quotaFor returns this host's quota for a server, with up-to-date units. It has to be
+// called with limiter.mu held.
+func (limiter *Limiter) quotaFor(id string, l Limit, now time.Time) *quota {
+	q := limiter.quotas[id]
+	if q == nil {
+		limiter.dropUnused(now)
+		q = &quota{}
+		limiter.quotas[id] = q
 	}
-	if s.dealt.IsZero() || now.Sub(s.dealt) >= dealEvery {
-		s.parts, s.dealt = deal(id, g.self, g.hosts(), l.parts()), now
+	if q.assignedAt.IsZero() || now.Sub(q.assignedAt) >= reassignInterval {
+		q.units, q.assignedAt = assignedUnits(id, limiter.self, limiter.hosts(), l.rateUnits()), now
 	}
-	s.expire(now)
-	return s
+	q.expire(now)
+	return q
 }
 
-// drop forgets shares that were not used within the window. It is called with g.mu held.
-func (g *Limiter) drop(now time.Time) {
-	if len(g.shares) < maxShares {
+// dropUnused removes quotas that have not been used within the window, if there are
+// maxQuotas. It has to be called with limiter.mu held.
+func (limiter *Limiter) dropUnused(now time.Time) {
+	if len(limiter.quotas) < maxQuotas {
 		return
 	}
-	for id, s := range g.shares {
-		if s.expire(now); len(s.used) == 0 {
-			delete(g.shares, id)
+	for id, q := range limiter.quotas {
+		if q.expire(now); len(q.sentAt) == 0 {
+			delete(limiter.quotas, id)
 		}
 	}
 }
 
-func (s *share) free() bool { return len(s.used) < s.parts }
+// available reports whether a unit is left in the current window.
+func (q *quota) available() bool { return len(q.sentAt) < q.units }
 
-func (s *share) expire(now time.Time) {
+// expire forgets requests that were sent before the current window.
+func (q *quota) expire(now time.Time) {
 	n := 0
-	for n < len(s.used) && now.Sub(s.used[n]) >= window {
+	for n < len(q.sentAt) && now.Sub(q.sentAt[n]) >= rateWindow {
 		n++
 	}
-	s.used = s.used[n:]
+	q.sentAt = q.sentAt[n:]
 }
 
-// deal returns how many of the parts of a server's rate belong to a host.
-func deal(server, self string, hosts []string, parts int) int {
+// assignedUnits returns how many units of a server's rate are assigned to the host self; 0
+// if it is not among the hosts.
+func assignedUnits(server, self string, hosts []string, units int) int {
 	hashes := make([]uint64, len(hosts))
-	mine := -1
+	selfIndex := -1
 	for i, host := range hosts {
 		hashes[i] = xxhash.Sum64String(host)
 		if host == self {
-			mine = i
+			selfIndex = i
 		}
 	}
-	if mine < 0 {
+	if selfIndex < 0 {
 		return 0
 	}
-	own, seed := 0, xxhash.Sum64String(server)
-	for part := range parts {
-		if owner(hashes, both(seed, uint64(part))) == mine {
-			own++
+	owned, seed := 0, xxhash.Sum64String(server)
+	for unit := range units {
+		if owner(hashes, hashPair(seed, uint64(unit))) == selfIndex {
+			owned++
 		}
 	}
-	return own
+	return owned
 }
 
-// owner returns the index of the host that a part belongs to.
-func owner(hosts []uint64, part uint64) int {
-	best, most := 0, uint64(0)
+// owner returns the index of the host that owns a unit.
+func owner(hosts []uint64, unit uint64) int {
+	best, highest := 0, uint64(0)
 	for i, host := range hosts {
-		if h := both(host, part); h > most {
-			best, most = i, h
+		if h := hashPair(host, unit); h > highest {
+			best, highest = i, h
 		}
 	}
 	return best
 }
 
-// both hashes two numbers into one.
-func both(a, b uint64) uint64 {
+// hashPair hashes two numbers into one.
+func hashPair(a, b uint64) uint64 {
 	var bytes [16]byte
 	binary.LittleEndian.PutUint64(bytes[:8], a)
 	binary.LittleEndian.PutUint64(bytes[8:], b)
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -1,6 +1,6 @@
-// Package directory holds the backend servers that the platform lists, with
-// what this host has learned of each. Readers load an immutable view; only the
-// follower of the list replaces it.
+// Package directory holds the backend servers that the platform lists, together with what
+// this host has observed of each. Readers load an immutable view without locking; only the
+// follower of the platform's lists publishes new ones.
 package directory
 
 import (
@@ -14,165 +14,173 @@
 	"bilberrydale/process/residency"
 )
 
-// Entry is one backend server as the platform lists it.
+// Entry describes a backend server as the platform lists it.
 type Entry struct {
-	ID            string // of this incarnation; other processes at the address have another
+	ID            string // other processes at the same address have other ids
 	Service       string
 	Address       string // host:port
 	Domain        string // failure domain
 	Region        string // of the failure domain
-	Version       string // of its software
+	Version       string // software version
 	Slots         int
 	Draining      bool
-	ColdRemaining time.Duration // how much longer it is slow after its start
-	StartedUnixMS int64         // Unix milliseconds of its start, by its own clock
+	ColdRemaining time.Duration // time for which it is still slow after its start
+	StartedUnixMS int64         // start time by the server's own clock, in Unix milliseconds
 }
 
-// Server is a listed backend server and what this host knows of it. The entry
-// does not change; a changed entry makes a new Server that shares State.
+// Server is a listed backend server with this host's observations of it. It is immutable
+// except for the LocalState; a changed entry makes a new Server that shares the
+// LocalState.
 type Server struct {
 	Entry
 	*LocalState
-	// Evacuated tells that the operators want no work sent to its failure domain.
+	// Evacuated reports that the operators have evacuated the server's failure domain: it
+	// gets no new work.
 	Evacuated bool
-	// OpenSince is when the last evacuation of its failure domain was taken back;
-	// zero: none was.
+	// EvacuationEndedAt is the time at which the last evacuation of the failure domain
+	// ended; zero: it has not been evacuated.
 	EvacuationEndedAt time.Time
 }
 
-// Takes reports whether the server may get new work.
+// AcceptsWork reports whether the server may get new work.
 func (s *Server) AcceptsWork() bool { return !s.Draining && !s.Evacuated }
 
-// State is what this host has seen of a backend server.
+// LocalState is what this host has observed of a backend server. It is safe for concurrent
+// use.
 type LocalState struct {
-	InFlight atomic.Int64 // requests of this host at the server
-	// running, waiting: as the server last said
-	running, waiting atomic.Int64
-	loadAt           atomic.Int64 // nanoseconds of the clock passed in; 0: never
-	avoidUntil       atomic.Int64
-	failedAt         atomic.Int64 // nanoseconds; 0: never
-	coldUntil        atomic.Int64 // nanoseconds, as the list told; 0: it is not cold
-	failures         atomic.Int64 // in a row
-	gone             atomic.Bool
-
-	mu       sync.Mutex
-	errors   float64   // share of late answers that were failures
-	errorsAt time.Time // of its last change
+	InFlight atomic.Int64 // requests of this host in flight at the server
+	// running and waiting are the requests in the server's last load report.
+	running, waiting    atomic.Int64
+	reportedAt          atomic.Int64 // Unix nanoseconds of the caller's clock; 0: never
+	backoffUntil        atomic.Int64
+	lastFailureAt       atomic.Int64 // Unix nanoseconds; 0: never
+	coldUntil           atomic.Int64 // Unix nanoseconds, from the list; 0: not cold
+	consecutiveFailures atomic.Int64 // since the last success
+	delisted            atomic.Bool
+
+	mu            sync.Mutex
+	failureRate   float64   // at failureRateAt, 0 to 1
+	failureRateAt time.Time // last update of failureRate
 }
 
-// Bounds of the time for which a failing server is avoided: the first is the
-// time of a restart or of one lost packet's repeat, the last that of a few
-// heartbeats, after which the list itself drops a dead server.
+// Bounds of the backoff after failures. The minimum is the time of a server restart or of
+// the retransmission of one lost packet; the maximum is that of a few heartbeats, after
+// which the platform itself removes a dead server from the list.
 const (
-	minAvoid = 300 * time.Millisecond
-	maxAvoid = 2 * time.Second
+	minBackoff = 300 * time.Millisecond
+	maxBackoff = 2 * time.Second
 )
 
-// Failed notes a failure to reach the server or to get its answer.
+// RecordFailure records that the server could not be reached or did not respond, and
+// starts or extends its backoff.
 func (s *LocalState) RecordFailure(now time.Time) {
-	n := min(s.failures.Add(1), 8)
-	d := min(minAvoid<<(n-1), maxAvoid)
-	s.avoidUntil.Store(now.Add(d).UnixNano())
-	s.failedAt.Store(now.UnixNano())
+	n := min(s.consecutiveFailures.Add(1), 8)
+	d := min(minBackoff<<(n-1), maxBackoff)
+	s.backoffUntil.Store(now.Add(d).UnixNano())
+	s.lastFailureAt.Store(now.UnixNano())
 }
 
-// Succeeded notes an answer.
+// RecordSuccess records a response and ends the backoff.
 func (s *LocalState) RecordSuccess() {
-	s.failures.Store(0)
-	s.avoidUntil.Store(0)
+	s.consecutiveFailures.Store(0)
+	s.backoffUntil.Store(0)
 }
 
 const (
-	// newestShare is the weight of the newest answer in the share of failures:
-	// a dozen answers tell a server that fails half of its requests from one
-	// with the few failures that all have.
-	newestShare = 0.08
-	// errorsHalfLife lets the share fade, so that a server that gets no requests
-	// for its failures is tried again after some seconds.
-	errorsHalfLife = 3 * time.Second
+	// newestResponseWeight is the weight of the latest response in the failure rate. With
+	// it a dozen responses distinguish a server that fails half of its requests from one
+	// with the few failures that all servers have.
+	newestResponseWeight = 0.08
+	// failureRateHalfLife is the half-life of the failure rate, so that a server that gets
+	// no requests because of its failures is tried again after some seconds.
+	failureRateHalfLife = 3 * time.Second
 )
 
-// Answered notes whether an answer was a failure of the server.
+// RecordResponse updates the failure rate with one response. failed reports whether the
+// response was a failure of the server.
 func (s *LocalState) RecordResponse(failed bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := s.faded(now)
+	rate := s.decayedFailureRate(now)
 	if failed {
-		share += newestShare * (1 - share)
+		rate += newestResponseWeight * (1 - rate)
 	} else {
-		share -= newestShare * share
+		rate -= newestResponseWeight * rate
 	}
-	s.errors, s.errorsAt = share, now
+	s.failureRate, s.failureRateAt = rate, now
 }
 
-// Errors returns the share of late answers that were failures, 0 to 1.
+// FailureRate returns the weighted share of recent responses that were failures, 0 to 1.
 func (s *LocalState) FailureRate(now time.Time) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.faded(now)
+	return s.decayedFailureRate(now)
 }
 
-// faded is called with s.mu held.
-func (s *LocalState) faded(now time.Time) float64 {
-	if s.errors == 0 {
+// decayedFailureRate has to be called with s.mu held.
+func (s *LocalState) decayedFailureRate(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.errors * math.Exp2(-now.Sub(s.errorsAt).Seconds()/errorsHalfLife.Seconds())
+	return s.failureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureRateHalfLife.Seconds())
 }
 
-// Avoided reports whether the server failed a short time ago.
-func (s *LocalState) InBackoff(now time.Time) bool { return s.avoidUntil.Load() > now.UnixNano() }
+// InBackoff reports whether the server failed so recently that requests should avoid it.
+func (s *LocalState) InBackoff(now time.Time) bool { return s.backoffUntil.Load() > now.UnixNano() }
 
-// Cold reports whether a server that stays cold for a time after its start may be so
-// now: the list says so, or it failed a moment ago and may have started again, or its
-// failure domain was evacuated until a moment ago. The list tells of a start only with
-// the server's next heartbeat.
-func (s *Server) MayBeCold(now time.Time, after time.Duration) bool {
-	recent := func(at int64) bool { return at > 0 && now.UnixNano()-at < int64(after) }
-	return s.coldUntil.Load() > now.UnixNano() || recent(s.failedAt.Load()) ||
+// MayBeCold reports whether a server that is slow for coldDuration after its start may be
+// so now: because the list says so, because it failed within that time and may have
+// restarted, or because an evacuation of its failure domain ended within that time. A
+// restart is listed only with the server's next heartbeat.
+func (s *Server) MayBeCold(now time.Time, coldDuration time.Duration) bool {
+	recent := func(at int64) bool { return at > 0 && now.UnixNano()-at < int64(coldDuration) }
+	return s.coldUntil.Load() > now.UnixNano() || recent(s.lastFailureAt.Load()) ||
 		!s.EvacuationEndedAt.IsZero() && recent(s.EvacuationEndedAt.UnixNano())
 }
 
-// Load notes the server's own report of its running and waiting requests.
+// RecordLoad records the server's own report of its running and waiting requests.
 func (s *LocalState) RecordLoad(running, waiting int, now time.Time) {
 	s.running.Store(int64(running))
 	s.waiting.Store(int64(waiting))
-	s.loadAt.Store(now.UnixNano())
+	s.reportedAt.Store(now.UnixNano())
 }
 
-// Reported returns the last report and its age; a large age if there is none.
+// ReportedLoad returns the last load report and its age. Without a report the age is very
+// large.
 func (s *LocalState) ReportedLoad(now time.Time) (running, waiting int, age time.Duration) {
-	return int(s.running.Load()), int(s.waiting.Load()), time.Duration(now.UnixNano() - s.loadAt.Load())
+	return int(s.running.Load()), int(s.waiting.Load()), time.Duration(now.UnixNano() - s.reportedAt.Load())
 }
 
-// Gone reports whether the platform no longer lists the server.
-func (s *LocalState) Delisted() bool { return s.gone.Load() }
+// Delisted reports whether the platform no longer lists the server, or lists a restarted
+// one under its id.
+func (s *LocalState) Delisted() bool { return s.delisted.Load() }
 
-// View is an immutable state of the list.
+// View is an immutable snapshot of the directory.
 type View struct {
-	services  map[string][]*Server
+	byService map[string][]*Server
 	byID      map[string]*Server
 	evacuated map[string]bool
 }
 
-// Servers returns the servers of a service that take work, in order of their ids. The
-// caller must not change the slice. One request's server is chosen from Candidates.
-func (v *View) Servers(service string) []*Server { return v.services[service] }
+// Servers returns the servers of a service that accept work, ordered by id. The caller
+// must not modify the slice. The server of a single request is selected from Candidates
+// instead.
+func (v *View) Servers(service string) []*Server { return v.byService[service] }
 
-// Candidates are the servers of a service on which one request may run.
+// Candidates is the set of servers of a service on which one request may run.
 type Candidates struct {
 	servers []*Server
 	allowed residency.Set
 }
 
-// Candidates returns the servers of a service that take work and lie in regions that a
-// request allows. Only a View makes them: no choice of a server can leave out what
-// binds the request.
+// Candidates returns the servers of a service that accept work and are in regions that the
+// request allows. Only a View creates them, so that no server selection can bypass the
+// residency rules of a request.
 func (v *View) Candidates(service string, allowed residency.Set) Candidates {
-	return Candidates{v.services[service], allowed}
+	return Candidates{v.byService[service], allowed}
 }
 
-// All returns the servers in order of their ids.
+// All iterates over the servers, ordered by id.
 func (c Candidates) All() iter.Seq[*Server] {
 	return func(yield func(*Server) bool) {
 		for _, s := range c.servers {
@@ -183,10 +191,10 @@
 	}
 }
 
-// Empty reports whether there are none.
+// Empty reports whether there is no server.
 func (c Candidates) Empty() bool { return !c.Any(func(*Server) bool { return true }) }
 
-// Any reports whether one of the servers satisfies f.
+// Any reports whether at least one server satisfies f.
 func (c Candidates) Any(f func(*Server) bool) bool {
 	for s := range c.All() {
 		if f(s) {
@@ -196,10 +204,11 @@
 	return false
 }
 
-// Server returns a listed server by id, also one that takes no work, or nil.
+// Server returns the listed server with the id, even if it accepts no work; nil: it is not
+// listed.
 func (v *View) Server(id string) *Server { return v.byID[id] }
 
-// All returns every listed server in no order.
+// All returns every listed server by id. The caller must not modify the map.
 func (v *View) All() map[string]*Server { return v.byID }
 
 // Count returns the number of listed servers.
@@ -208,26 +217,27 @@
 // Evacuated reports whether a failure domain is evacuated.
 func (v *View) Evacuated(domain string) bool { return v.evacuated[domain] }
 
-// Directory is the list in force.
+// Directory holds the current view. It is safe for concurrent use.
 type Directory struct {
-	view   atomic.Pointer[View]
-	mu     sync.Mutex // held by writers
-	states map[string]*LocalState
-	opened map[string]time.Time // when evacuations were taken back, by failure domain
+	view           atomic.Pointer[View]
+	mu             sync.Mutex // held by writers
+	states         map[string]*LocalState
+	evacuationEnds map[string]time.Time // end of the last evacuation, by failure domain
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	d := &Directory{states: map[string]*LocalState{}, opened: map[string]time.Time{}}
+	d := &Directory{states: map[string]*LocalState{}, evacuationEnds: map[string]time.Time{}}
 	d.view.Store(&View{})
 	return d
 }
 
-// View returns the list in force.
+// View returns the current view.
 func (d *Directory) View() *View { return d.view.Load() }
 
-// Replace puts entries in force that were learned of at now. A server that starts again
-// under its old id gets a new State: nothing of before holds for it.
+// Replace publishes a new list of entries that was received at now. A server that
+// restarted under its id, or moved to another address, gets a new LocalState: earlier
+// observations do not apply to it.
 func (d *Directory) Replace(entries []Entry, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -240,20 +250,21 @@
 			state, before = &LocalState{}, nil
 		}
 		if before == nil || before.ColdRemaining != e.ColdRemaining {
-			state.setCold(e.ColdRemaining, now)
+			state.setColdRemaining(e.ColdRemaining, now)
 		}
 		states[e.ID] = state
 	}
 	for id, s := range d.states {
 		if states[id] != s {
-			s.gone.Store(true)
+			s.delisted.Store(true)
 		}
 	}
 	d.states = states
-	d.show(entries, old.evacuated)
+	d.publish(entries, old.evacuated)
 }
 
-func (s *LocalState) setCold(left time.Duration, now time.Time) {
+// setColdRemaining records the cold time that the list reports as left at now.
+func (s *LocalState) setColdRemaining(left time.Duration, now time.Time) {
 	until := int64(0)
 	if left > 0 {
 		until = now.Add(left).UnixNano()
@@ -261,7 +272,8 @@
 	s.coldUntil.Store(until)
 }
 
-// Evacuate puts the failure domains in force, from now on, that are to get no work.
+// SetEvacuated replaces the list of evacuated failure domains at now. Their servers get no
+// new work.
 func (d *Directory) SetEvacuated(domains []string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -272,27 +284,27 @@
 	}
 	for domain := range old.evacuated {
 		if !evacuated[domain] {
-			d.opened[domain] = now
+			d.evacuationEnds[domain] = now
 		}
 	}
 	entries := make([]Entry, 0, len(old.byID))
 	for _, s := range old.byID {
 		entries = append(entries, s.Entry)
 	}
-	d.show(entries, evacuated)
+	d.publish(entries, evacuated)
 }
 
-// show puts a new view in force. It is called with d.mu held.
-func (d *Directory) show(entries []Entry, evacuated map[string]bool) {
-	v := &View{services: map[string][]*Server{}, byID: make(map[string]*Server, len(entries)), evacuated: evacuated}
+// publish builds and stores a new view. It has to be called with d.mu held.
+func (d *Directory) publish(entries []Entry, evacuated map[string]bool) {
+	v := &View{byService: map[string][]*Server{}, byID: make(map[string]*Server, len(entries)), evacuated: evacuated}
 	for _, e := range entries {
-		s := &Server{Entry: e, LocalState: d.states[e.ID], Evacuated: evacuated[e.Domain], EvacuationEndedAt: d.opened[e.Domain]}
+		s := &Server{Entry: e, LocalState: d.states[e.ID], Evacuated: evacuated[e.Domain], EvacuationEndedAt: d.evacuationEnds[e.Domain]}
 		v.byID[e.ID] = s
 		if s.AcceptsWork() {
-			v.services[e.Service] = append(v.services[e.Service], s)
+			v.byService[e.Service] = append(v.byService[e.Service], s)
 		}
 	}
-	for _, list := range v.services {
+	for _, list := range v.byService {
 		sort.Slice(list, func(i, j int) bool { return list[i].ID < list[j].ID })
 	}
 	d.view.Store(v)
--- a/process/directory/directory_test.go
+++ b/process/directory/directory_test.go
@@ -7,9 +7,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// A server starts again under the id that it had. What was known of its earlier
-// life, such as a failure or its load, does not count for the new one.
-func TestServerThatStartsAgainIsNotTheSame(t *testing.T) {
+// Guards against observations, such as failures or load, that outlive the process that
+// caused them: a server restarts under its id and gets a fresh state.
+func TestRestartedServerHasFreshState(t *testing.T) {
 	g := NewWithT(t)
 	d := New()
 	now := time.Unix(1000, 0)
@@ -20,29 +20,31 @@
 	again := d.View().Server("i")
 	g.Expect(again.InBackoff(now)).To(BeFalse())
 	g.Expect(first.Delisted()).To(BeTrue())
-	g.Expect(d.View().Servers("s")).To(HaveLen(1), "one leaves")
+	g.Expect(d.View().Servers("s")).To(HaveLen(1), "the draining server accepts no work")
 	g.Expect(d.View().Server("k").Delisted()).To(BeFalse())
 }
 
-func TestAvoidanceGrowsAndEnds(t *testing.T) {
+// Guards against a backoff that does not grow with failures, exceeds its maximum, or
+// outlasts a success.
+func TestBackoffGrowsAndEnds(t *testing.T) {
 	g := NewWithT(t)
 	var s LocalState
 	now := time.Unix(1000, 0)
 	s.RecordFailure(now)
-	g.Expect(s.InBackoff(now.Add(minAvoid - 1))).To(BeTrue())
-	g.Expect(s.InBackoff(now.Add(minAvoid))).To(BeFalse())
+	g.Expect(s.InBackoff(now.Add(minBackoff - 1))).To(BeTrue())
+	g.Expect(s.InBackoff(now.Add(minBackoff))).To(BeFalse())
 	for range 20 {
 		s.RecordFailure(now)
 	}
-	g.Expect(s.InBackoff(now.Add(maxAvoid - 1))).To(BeTrue())
-	g.Expect(s.InBackoff(now.Add(maxAvoid))).To(BeFalse())
+	g.Expect(s.InBackoff(now.Add(maxBackoff - 1))).To(BeTrue())
+	g.Expect(s.InBackoff(now.Add(maxBackoff))).To(BeFalse())
 	s.RecordSuccess()
 	g.Expect(s.InBackoff(now)).To(BeFalse())
 }
 
-// A server fails half of its answers while its health is good. That shows after
-// a dozen answers, and fades when it gets no more requests.
-func TestShareOfFailuresShowsAndFades(t *testing.T) {
+// A server fails half of its responses while its health check passes. That shows after a
+// dozen responses, and decays when the server gets no more requests.
+func TestFailureRateRisesAndDecays(t *testing.T) {
 	g := NewWithT(t)
 	var s LocalState
 	now := time.Unix(1000, 0)
@@ -51,7 +53,7 @@
 		now = now.Add(20 * time.Millisecond)
 	}
 	g.Expect(s.FailureRate(now)).To(BeNumerically(">", 0.3))
-	g.Expect(s.FailureRate(now.Add(4 * errorsHalfLife))).To(BeNumerically("<", 0.05))
+	g.Expect(s.FailureRate(now.Add(4 * failureRateHalfLife))).To(BeNumerically("<", 0.05))
 	for range 40 {
 		s.RecordResponse(false, now)
 	}
--- a/process/residency/residency.go
+++ b/process/residency/residency.go
@@ -1,15 +1,15 @@
-// Package residency says in which regions a request may be served. What it allows
-// binds all that comes of the request: the backend servers that run it and its stages,
-// the hosts that collect its stage work, and the results that are kept for it.
+// Package residency determines the regions in which a request may be served. The
+// restriction applies to everything that the request causes: the backend servers that run
+// it and its stages, the hosts that collect its stage work, and its stored results.
 package residency
 
 import "slices"
 
-// Set is the regions that may serve a request. The zero Set allows every region.
-// The lists belong to the configuration; nobody changes them.
+// Set is the set of regions that may serve a request. The zero Set allows every region.
+// The slices belong to the configuration and must not be modified.
 type Set struct {
-	// Route and Account are the regions that the request's route and its client
-	// account allow; empty: every one. A region has to be in both.
+	// RouteRegions and AccountRegions are the regions that the request's route and client
+	// account allow; empty: all regions. A region has to be allowed by both.
 	RouteRegions, AccountRegions []string
 }
 
@@ -19,13 +19,13 @@
 		(len(s.AccountRegions) == 0 || slices.Contains(s.AccountRegions, region))
 }
 
-// Bounded reports whether some regions are left out.
+// Restricted reports whether route or client account restrict the regions.
 func (s Set) Restricted() bool { return len(s.RouteRegions) > 0 || len(s.AccountRegions) > 0 }
 
-// Nowhere reports whether route and account allow no region in common.
+// Empty reports whether route and client account have no allowed region in common.
 func (s Set) Empty() bool {
 	return len(s.RouteRegions) > 0 && len(s.AccountRegions) > 0 && !slices.ContainsFunc(s.RouteRegions, s.Allows)
 }
 
-// AllowsAny reports whether one of the regions may serve the request.
+// AllowsAny reports whether the request may be served in at least one of the regions.
 func (s Set) AllowsAny(regions []string) bool { return slices.ContainsFunc(regions, s.Allows) }
--- a/process/residency/residency_test.go
+++ b/process/residency/residency_test.go
@@ -15,25 +15,26 @@
 	g.Expect(Set{}.Empty()).To(BeFalse())
 }
 
-// Guards against a request that is served where its route or its account forbids it.
-func TestRouteAndAccountBothBind(t *testing.T) {
+// Guards against serving a request in a region that its route or its client account does
+// not allow.
+func TestRouteAndAccountBothApply(t *testing.T) {
 	names := rapid.SliceOfNDistinct(rapid.SampledFrom([]string{"a", "b", "c"}), 0, 3, rapid.ID)
 	rapid.Check(t, func(t *rapid.T) {
 		s := Set{RouteRegions: names.Draw(t, "route"), AccountRegions: names.Draw(t, "account")}
-		left := 0
+		allowed := 0
 		for _, region := range []string{"a", "b", "c"} {
 			if !s.Allows(region) {
 				continue
 			}
-			left++
+			allowed++
 			for _, list := range [][]string{s.RouteRegions, s.AccountRegions} {
 				if len(list) > 0 && !slices.Contains(list, region) {
 					t.Fatalf("%+v allows %s", s, region)
 				}
 			}
 		}
-		if s.Empty() != (left == 0) {
-			t.Fatalf("%+v: nowhere is %t, but %d regions are allowed", s, s.Empty(), left)
+		if s.Empty() != (allowed == 0) {
+			t.Fatalf("%+v: Empty is %t, but %d regions are allowed", s, s.Empty(), allowed)
 		}
 	})
 }
