--- a/process/follow/compress.go
+++ b/process/follow/compress.go
@@ -14,34 +14,34 @@
 // packed is a list as it is sent to other hosts, made once for all that ask while nothing
 // changes. Where a region's hosts begin at once, a hundred of them ask one for thousands
 // of entries: sent as they are, they fill its link for seconds.
-type packed struct {
-	mu    sync.Mutex
-	of    uint64 // history.changes of the list
-	bytes []byte
+type compressedList struct {
+	mu      sync.Mutex
+	version uint64 // history.changes of the list
+	bytes   []byte
 }
 
 // pack returns the list packed; ok is false before the first list.
-func (h *history[T]) pack() (list []byte, from Revision, proved time.Time, ok bool, err error) {
-	h.packed.mu.Lock()
-	defer h.packed.mu.Unlock()
+func (h *history[T]) compressedList() (list []byte, from Revision, proved time.Time, ok bool, err error) {
+	h.compressed.mu.Lock()
+	defer h.compressed.mu.Unlock()
 	h.mu.Lock()
-	from, proved, ok = h.from, h.proved, h.objects != nil
-	fresh, of := h.packed.of == h.changes, h.changes
+	from, proved, ok = h.revision, h.confirmedAt, h.objects != nil
+	fresh, of := h.compressed.version == h.version, h.version
 	var objects []Object[T]
 	if !fresh {
-		objects = h.all()
+		objects = h.snapshot()
 	}
 	h.mu.Unlock()
 	if !fresh {
-		if h.packed.bytes, err = pack(encode(objects)); err != nil {
+		if h.compressed.bytes, err = compress(encode(objects)); err != nil {
 			return nil, from, proved, false, err
 		}
-		h.packed.of = of
+		h.compressed.version = of
 	}
-	return h.packed.bytes, from, proved, ok, nil
+	return h.compressed.bytes, from, proved, ok, nil
 }
 
-func pack[T any](objects []relayObject[T]) ([]byte, error) {
+func compress[T any](objects []peerObject[T]) ([]byte, error) {
 	payload, err := peer.Marshal(objects)
 	if err != nil {
 		return nil, err
@@ -61,10 +61,10 @@
 }
 
 // maxUnpacked bounds what a list may grow to, in bytes: some hundred thousand entries.
-const maxUnpacked = 64 << 20
+const maxDecompressedBytes = 64 << 20
 
-func unpack[T any](list []byte) (objects []relayObject[T], err error) {
-	payload, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(list)), maxUnpacked))
+func decompress[T any](list []byte) (objects []peerObject[T], err error) {
+	payload, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(list)), maxDecompressedBytes))
 	if err != nil {
 		return nil, fmt.Errorf("follow: unpack a list: %w", err)
 	}
--- a/process/follow/follow.go
+++ b/process/follow/follow.go
@@ -54,7 +54,7 @@
 // its rate. Use errors.Is.
 var ErrRefused = errors.New("follow: refused")
 
-var errOlder = errors.New("follow: the list is older than what is known")
+var errOlderList = errors.New("follow: the list is older than what is known")
 
 // Options of a Follower.
 type Options[T any] struct {
@@ -81,13 +81,13 @@
 
 // Follower keeps the copy. Run is called once.
 type Follower[T any] struct {
-	opts    Options[T]
-	objects map[string]Object[T]
-	from    Revision
-	listed  bool
-	failing time.Time // since; zero: not
-	tries   int
-	history history[T]
+	opts         Options[T]
+	objects      map[string]Object[T]
+	revision     Revision
+	listed       bool
+	failingSince time.Time // since; zero: not
+	failures     int
+	history      history[T]
 }
 
 // New returns a follower with an empty copy.
@@ -101,8 +101,8 @@
 // lost answer costs little; the last keeps a fleet that waits for a store from
 // spending the store's rate when it returns.
 const (
-	minPause = 50 * time.Millisecond
-	maxPause = 400 * time.Millisecond
+	minBackoff = 50 * time.Millisecond
+	maxBackoff = 400 * time.Millisecond
 )
 
 // Run follows until ctx ends.
@@ -110,8 +110,8 @@
 	for ctx.Err() == nil {
 		began := f.opts.Clock.Now()
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
-			f.failed(err)
-			f.pause(ctx, began)
+			f.recordFailure(err)
+			f.backOff(ctx, began)
 		}
 	}
 	return nil
@@ -124,7 +124,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, f.opts.WatchWait+f.opts.ResponseTimeout)
 	defer cancel()
-	a, err := f.opts.Source.Watch(bounded, f.from, f.opts.WatchWait)
+	a, err := f.opts.Source.Watch(bounded, f.revision, f.opts.WatchWait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.listed = false
 		return nil
@@ -134,38 +134,38 @@
 	}
 	proved := sent.Add(-a.Age)
 	if len(a.Objects) > 0 {
-		f.change(a, proved)
+		f.applyChanges(a, proved)
 	}
-	f.answered(proved)
+	f.recordSuccess(proved)
 	if len(a.Objects) > 0 && f.opts.CoalesceDelay > 0 {
-		f.wait(ctx, f.opts.CoalesceDelay)
+		f.sleep(ctx, f.opts.CoalesceDelay)
 	}
 	return nil
 }
 
 // change takes the changes that a watch brought.
-func (f *Follower[T]) change(a Response[T], proved time.Time) {
+func (f *Follower[T]) applyChanges(a Response[T], proved time.Time) {
 	// The watch goes on from the last answer that held changes, never from the
 	// state that an empty answer names: a watch to which a disturbed store
 	// delivered nothing would otherwise skip the changes made meanwhile for good.
 	for _, c := range a.Objects {
-		f.apply(c)
+		f.applyChange(c)
 	}
-	f.from = max(f.from, a.AsOf)
-	f.history.add(a.Objects, f.from, proved)
+	f.revision = max(f.revision, a.AsOf)
+	f.history.add(a.Objects, f.revision, proved)
 	f.opts.OnChange(f.objects, "watch")
 }
 
 // pages reads a list to its end. A page that was refused is asked for again:
 // beginning anew would cost all pages before it once more. AsOf is that of the
 // oldest page: changes between the pages come again with the watch.
-func (f *Follower[T]) pages(ctx context.Context) (all Response[T], err error) {
+func (f *Follower[T]) listAllPages(ctx context.Context) (all Response[T], err error) {
 	after, refused := "", 0
 	for first := true; ; first = false {
-		page, err := f.page(ctx, after)
-		if errors.Is(err, ErrRefused) && !first && refused < pageRefusals {
+		page, err := f.listPage(ctx, after)
+		if errors.Is(err, ErrRefused) && !first && refused < maxPageRetries {
 			refused++
-			f.wait(ctx, pagePause)
+			f.sleep(ctx, pageRetryDelay)
 			continue
 		}
 		if err != nil {
@@ -182,8 +182,8 @@
 	}
 }
 
-func (f *Follower[T]) page(ctx context.Context, after string) (Response[T], error) {
-	ctx, cancel := context.WithTimeout(ctx, pageBound)
+func (f *Follower[T]) listPage(ctx context.Context, after string) (Response[T], error) {
+	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
 	return f.opts.Source.List(ctx, after)
 }
@@ -191,48 +191,48 @@
 const (
 	// pageBound is the time for one page, of up to 1 MB, or for a list by way of
 	// another host, which many may ask at once.
-	pageBound    = 2500 * time.Millisecond
-	pagePause    = 150 * time.Millisecond
-	pageRefusals = 8
+	pageTimeout    = 2500 * time.Millisecond
+	pageRetryDelay = 150 * time.Millisecond
+	maxPageRetries = 8
 )
 
 // listBound is the time for a whole list, of many pages where a fleet starts at
 // once and the store spreads its answers.
-const listBound = 8 * time.Second
+const listTimeout = 8 * time.Second
 
 func (f *Follower[T]) list(ctx context.Context, sent time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, listBound)
+	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	a, err := f.pages(ctx)
+	a, err := f.listAllPages(ctx)
 	if err != nil {
 		return err
 	}
-	if a.AsOf < f.from {
+	if a.AsOf < f.revision {
 		// By way of another host; taking it would bring back what has gone. The copy here
 		// is newer and stays: that host may list no more for as long as nothing changes.
 		f.listed = true
-		return errOlder
+		return errOlderList
 	}
-	before, again, proved := f.objects, f.from > 0, sent.Add(-a.Age)
+	before, again, proved := f.objects, f.revision > 0, sent.Add(-a.Age)
 	f.objects = make(map[string]Object[T], len(a.Objects))
 	for _, o := range a.Objects {
 		f.objects[o.Name] = o
 	}
-	f.from = a.AsOf
+	f.revision = a.AsOf
 	f.listed = true
 	if again {
-		f.history.add(changes(before, f.objects, f.from), f.from, proved)
+		f.history.add(diff(before, f.objects, f.revision), f.revision, proved)
 	} else {
-		f.history.reset(a.Objects, f.from, proved)
+		f.history.reset(a.Objects, f.revision, proved)
 	}
 	f.opts.OnChange(f.objects, "list")
-	f.answered(proved)
+	f.recordSuccess(proved)
 	return nil
 }
 
 // changes are what made one copy into a later one of a revision. Hosts that ask this one
 // get these after lost history, and not the whole list again.
-func changes[T any](before, after map[string]Object[T], at Revision) []Object[T] {
+func diff[T any](before, after map[string]Object[T], at Revision) []Object[T] {
 	var out []Object[T]
 	for name, o := range after {
 		if had, ok := before[name]; !ok || had.Revision != o.Revision {
@@ -247,9 +247,9 @@
 	return out
 }
 
-func (f *Follower[T]) apply(c Object[T]) {
-	if c.Revision > f.from {
-		f.from = c.Revision
+func (f *Follower[T]) applyChange(c Object[T]) {
+	if c.Revision > f.revision {
+		f.revision = c.Revision
 	}
 	if have, ok := f.objects[c.Name]; ok && have.Revision > c.Revision {
 		return
@@ -261,34 +261,34 @@
 	f.objects[c.Name] = c
 }
 
-func (f *Follower[T]) answered(proved time.Time) {
-	f.tries = 0
-	if !f.failing.IsZero() {
-		f.opts.OnRegained(f.opts.Clock.Now().Sub(f.failing))
-		f.failing = time.Time{}
+func (f *Follower[T]) recordSuccess(proved time.Time) {
+	f.failures = 0
+	if !f.failingSince.IsZero() {
+		f.opts.OnRegained(f.opts.Clock.Now().Sub(f.failingSince))
+		f.failingSince = time.Time{}
 	}
-	f.history.prove(proved)
+	f.history.confirm(proved)
 	f.opts.OnConfirmed(proved)
 }
 
-func (f *Follower[T]) failed(err error) {
-	f.tries++
-	if f.failing.IsZero() {
-		f.failing = f.opts.Clock.Now()
+func (f *Follower[T]) recordFailure(err error) {
+	f.failures++
+	if f.failingSince.IsZero() {
+		f.failingSince = f.opts.Clock.Now()
 		f.opts.OnLost(err)
 	}
 }
 
 // pause keeps failed steps apart. A step that waited for its failure has been kept
 // apart by that: whoever it waited for tells as soon as there is news.
-func (f *Follower[T]) pause(ctx context.Context, began time.Time) {
-	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minPause<<min(f.tries, 5), maxPause)))
+func (f *Follower[T]) backOff(ctx context.Context, began time.Time) {
+	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minBackoff<<min(f.failures, 5), maxBackoff)))
 	if left := d - f.opts.Clock.Now().Sub(began); left > 0 {
-		f.wait(ctx, left)
+		f.sleep(ctx, left)
 	}
 }
 
-func (f *Follower[T]) wait(ctx context.Context, d time.Duration) {
+func (f *Follower[T]) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-f.opts.Clock.After(d):
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -14,9 +14,9 @@
 // script is a Source that gives prepared answers in turn and then ends the
 // test's context.
 type script struct {
-	steps []step
-	asked []string
-	end   context.CancelFunc
+	steps  []step
+	calls  []string
+	cancel context.CancelFunc
 }
 
 type step struct {
@@ -26,9 +26,9 @@
 	next    string
 }
 
-func (s *script) next() step {
+func (s *script) nextStep() step {
 	if len(s.steps) == 0 {
-		s.end()
+		s.cancel()
 		return step{err: context.Canceled}
 	}
 	first := s.steps[0]
@@ -37,22 +37,22 @@
 }
 
 func (s *script) List(_ context.Context, after string) (Response[string], error) {
-	s.asked = append(s.asked, "list"+after)
-	x := s.next()
+	s.calls = append(s.calls, "list"+after)
+	x := s.nextStep()
 	return Response[string]{Objects: x.objects, AsOf: x.asOf, ContinueAfter: x.next}, x.err
 }
 
 func (s *script) Watch(_ context.Context, from Revision, _ time.Duration) (Response[string], error) {
-	s.asked = append(s.asked, "watch")
+	s.calls = append(s.calls, "watch")
 	if len(s.steps) > 0 && s.steps[0].asOf < 0 && from != -s.steps[0].asOf {
 		return Response[string]{}, errors.New("watched from another revision")
 	}
-	x := s.next()
+	x := s.nextStep()
 	return Response[string]{Objects: x.objects, AsOf: max(x.asOf, 0)}, x.err
 }
 
 // wanted is the revision from which the next watch has to go on.
-func wanted(from Revision) step { return step{asOf: -from} }
+func expectWatchFrom(from Revision) step { return step{asOf: -from} }
 
 func object(name string, rev Revision, value string) Object[string] {
 	return Object[string]{Name: name, Revision: rev, Value: value}
@@ -61,7 +61,7 @@
 func follow(t *testing.T, steps ...step) (s *script, copies []map[string]string, proved int, lost []error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
-	s = &script{steps: steps, end: cancel}
+	s = &script{steps: steps, cancel: cancel}
 	f := New(Options[string]{
 		Source: s, Clock: clock.System{}, Rand: clock.NewSeeded(1), WatchWait: time.Second, ResponseTimeout: time.Second,
 		OnChange: func(objects map[string]Object[string], _ string) {
@@ -78,12 +78,12 @@
 	return s, copies, proved, lost
 }
 
-func TestChangesAreTakenInOrder(t *testing.T) {
+func TestChangesAreAppliedInOrder(t *testing.T) {
 	g := NewWithT(t)
 	_, copies, proved, _ := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1"), object("b", 4, "1")}, asOf: 10},
 		step{objects: []Object[string]{object("a", 11, "2"), {Name: "b", Revision: 4, Deleted: true}}, asOf: 12},
-		wanted(12),
+		expectWatchFrom(12),
 	)
 	g.Expect(copies).To(Equal([]map[string]string{{"a": "1", "b": "1"}, {"a": "2"}}))
 	g.Expect(proved).To(Equal(3))
@@ -92,12 +92,12 @@
 // A watch that the store kept from delivering ends without changes and names a newer
 // state. The next one has to go on from the last change that was seen, or what
 // changed meanwhile would be missed for good.
-func TestSilentWatchSkipsNothing(t *testing.T) {
+func TestEmptyWatchDoesNotAdvanceRevision(t *testing.T) {
 	g := NewWithT(t)
 	_, copies, _, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10},
 		step{asOf: 20},
-		wanted(10),
+		expectWatchFrom(10),
 		step{objects: []Object[string]{object("a", 15, "2")}, asOf: 21},
 	)
 	g.Expect(lost).To(BeEmpty())
@@ -106,21 +106,21 @@
 
 // The history is gone: everything is listed again, and what was deleted
 // meanwhile goes.
-func TestHistoryGoneListsAgain(t *testing.T) {
+func TestHistoryGoneCausesRelist(t *testing.T) {
 	g := NewWithT(t)
 	s, copies, _, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1"), object("b", 3, "1")}, asOf: 10},
 		step{err: ErrHistoryGone},
 		step{objects: []Object[string]{object("a", 13, "2")}, asOf: 14},
 	)
-	g.Expect(s.asked[:3]).To(Equal([]string{"list", "watch", "list"}))
+	g.Expect(s.calls[:3]).To(Equal([]string{"list", "watch", "list"}))
 	g.Expect(copies[1]).To(Equal(map[string]string{"a": "2"}))
 	g.Expect(lost).To(BeEmpty())
 }
 
 // The source fails and comes back. The copy stays meanwhile, nothing counts as
 // proved, and the loss is told once.
-func TestLostSourceKeepsTheCopy(t *testing.T) {
+func TestCopyIsKeptWhileSourceFails(t *testing.T) {
 	g := NewWithT(t)
 	down := errors.New("down")
 	_, copies, proved, lost := follow(t,
@@ -146,15 +146,15 @@
 // The list has several pages and the store refuses the second for its rate, as
 // when a whole fleet lists. That page is asked for again, not the whole list; a
 // change between the pages comes with the watch.
-func TestRefusedPageIsAskedForAgain(t *testing.T) {
+func TestRefusedPageIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	s, copies, _, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10, next: "a"},
 		step{err: ErrRefused}, step{err: ErrRefused},
 		step{objects: []Object[string]{object("b", 4, "1")}, asOf: 12},
-		wanted(10),
+		expectWatchFrom(10),
 	)
-	g.Expect(s.asked[:4]).To(Equal([]string{"list", "lista", "lista", "lista"}))
+	g.Expect(s.calls[:4]).To(Equal([]string{"list", "lista", "lista", "lista"}))
 	g.Expect(copies[0]).To(Equal(map[string]string{"a": "1", "b": "1"}))
 	g.Expect(lost).To(BeEmpty())
 }
@@ -162,16 +162,16 @@
 // The pattern: a whole region starts again, and a host that listed at one reader finds
 // another in its place that listed a moment before. Guards against asking that one for
 // lists for as long as nothing changes, with keys that cannot be confirmed meanwhile.
-func TestCopyThatIsNewerThanAListStays(t *testing.T) {
+func TestNewerCopyIsKeptOverOlderList(t *testing.T) {
 	g := NewWithT(t)
 	s, copies, proved, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10},
 		step{err: ErrHistoryGone},
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 8},
-		wanted(10),
+		expectWatchFrom(10),
 	)
-	g.Expect(s.asked[:4]).To(Equal([]string{"list", "watch", "list", "watch"}))
+	g.Expect(s.calls[:4]).To(Equal([]string{"list", "watch", "list", "watch"}))
 	g.Expect(copies).To(HaveLen(1))
-	g.Expect(lost).To(Equal([]error{errOlder}))
+	g.Expect(lost).To(Equal([]error{errOlderList}))
 	g.Expect(proved).To(Equal(2))
 }
--- a/process/follow/initiallist.go
+++ b/process/follow/initiallist.go
@@ -10,27 +10,27 @@
 // another. A process that has just begun can do with a list that is cheap and some
 // seconds old, as it watches for changes from there.
 func WithInitialList[T any](first, then Source[T]) Source[T] {
-	return &begin[T]{first: first, then: then}
+	return &initialList[T]{initial: first, next: then}
 }
 
-type begin[T any] struct {
-	first, then Source[T]
-	begun       atomic.Bool
+type initialList[T any] struct {
+	initial, next Source[T]
+	listed        atomic.Bool
 }
 
 // List implements Source.
-func (b *begin[T]) List(ctx context.Context, after string) (Response[T], error) {
-	if b.begun.Load() {
-		return b.then.List(ctx, after)
+func (b *initialList[T]) List(ctx context.Context, after string) (Response[T], error) {
+	if b.listed.Load() {
+		return b.next.List(ctx, after)
 	}
-	a, err := b.first.List(ctx, after)
+	a, err := b.initial.List(ctx, after)
 	if err == nil && a.ContinueAfter == "" {
-		b.begun.Store(true)
+		b.listed.Store(true)
 	}
 	return a, err
 }
 
 // Watch implements Source.
-func (b *begin[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
-	return b.then.Watch(ctx, from, wait)
+func (b *initialList[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
+	return b.next.Watch(ctx, from, wait)
 }
--- a/process/follow/initiallist_test.go
+++ b/process/follow/initiallist_test.go
@@ -13,12 +13,12 @@
 // Guards against a fleet that starts together and has each host list thousands of
 // servers at the platform, beyond its rate: they wait at their reader, which is about to
 // list them.
-func TestFleetThatBeginsListsOnce(t *testing.T) {
+func TestStartingFleetListsOnce(t *testing.T) {
 	const hosts = 100
-	r := newRelayed(t)
+	r := newPeerFixture(t)
 	answers := make(chan Response[string], hosts)
 	for range hosts {
-		relay := *r.relay
+		relay := *r.source
 		go func() {
 			a, err := relay.List(context.Background(), "")
 			if err != nil {
@@ -36,11 +36,11 @@
 
 // Guards against hosts that hold a list or a change for too old and ask the platform
 // themselves, as they were told of it before they were told how new it is.
-func TestNewsComesWithItsProof(t *testing.T) {
-	r := newRelayed(t)
+func TestChangesArriveWithConfirmationTime(t *testing.T) {
+	r := newPeerFixture(t)
 	asked, seen := 0, []string{}
 	r.reader.opts.OnChange = func(map[string]Object[string], string) {
-		a, err := r.relay.List(t.Context(), "")
+		a, err := r.source.List(t.Context(), "")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(a.Age).To(BeZero())
 		asked, seen = r.api.count(), append(seen, a.Objects[0].Value)
@@ -56,7 +56,7 @@
 
 // Guards against a process that begins at the full price of a list, and against taking
 // later lists, which have to be exact, from some seconds ago.
-func TestOnlyTheFirstListMayBeOld(t *testing.T) {
+func TestOnlyInitialListMayBeStale(t *testing.T) {
 	g := NewWithT(t)
 	old, exact := &api{value: "old", rev: 3}, &api{value: "new", rev: 9}
 	source := WithInitialList[string](old, exact)
@@ -80,14 +80,14 @@
 	_, _, _, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10, next: "a"},
 		step{objects: []Object[string]{object("b", 4, "1")}, asOf: 8},
-		wanted(8),
+		expectWatchFrom(8),
 	)
 	g.Expect(lost).To(BeEmpty())
 }
 
 // Guards against an answer of the platform for each of dozens of servers that are
 // replaced one after the other.
-func TestChangesThatComeTogetherAreOneAnswer(t *testing.T) {
+func TestChangesWithinCoalesceDelayShareOneResponse(t *testing.T) {
 	g := NewWithT(t)
 	now := clock.NewManual(time.Unix(1000, 0))
 	source := &api{value: "1", rev: 5}
--- a/process/follow/monitored_test.go
+++ b/process/follow/monitored_test.go
@@ -14,9 +14,9 @@
 
 // deaf is a source that answers lists and leaves watches unanswered, as a store does that
 // loses its history.
-type deaf struct{ api }
+type noWatchSource struct{ api }
 
-func (d *deaf) Watch(ctx context.Context, _ Revision, _ time.Duration) (Response[string], error) {
+func (d *noWatchSource) Watch(ctx context.Context, _ Revision, _ time.Duration) (Response[string], error) {
 	<-ctx.Done()
 	return Response[string]{}, ctx.Err()
 }
@@ -24,7 +24,7 @@
 // Guards against knowledge that grows too old while a store answers all but watches: the
 // reader of a region asked for watches that were not answered, and all its hosts refused
 // their keys.
-func TestUnansweredWatchIsFollowedByAList(t *testing.T) {
+func TestUnansweredWatchIsFollowedByList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
 		r := reach.New(reach.Options{
@@ -33,7 +33,7 @@
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		go func() { _ = r.Run(ctx) }()
-		source := &deaf{api: api{value: "1", rev: 5}}
+		source := &noWatchSource{api: api{value: "1", rev: 5}}
 		f := newFollower(Monitored[string](r, source), clock.System{})
 		g.Expect(f.step(ctx)).To(Succeed())
 		began := time.Now()
--- a/process/reach/reach.go
+++ b/process/reach/reach.go
@@ -34,47 +34,47 @@
 // Reach tells whether the API answers. Run is called once; the other methods are
 // safe for concurrent use.
 type Monitor struct {
-	opts     Options
-	suspects chan struct{}
+	opts    Options
+	outages chan struct{}
 
-	mu      sync.Mutex
-	silence *silence // nil while the API answers
+	mu     sync.Mutex
+	outage *outage // nil while the API answers
 }
 
 // silence lasts from a question that got no answer to the next answer.
-type silence struct {
+type outage struct {
 	since time.Time
 	// proved is set once a probe has got no answer either: until then it may be
 	// that just the one question takes its time, or was lost with its connection.
-	proved bool
-	over   chan struct{} // closed at the end
+	confirmed bool
+	ended     chan struct{} // closed at the end
 }
 
 // New returns a Reach that takes the API for answering.
 func New(opts Options) *Monitor {
-	return &Monitor{opts: opts, suspects: make(chan struct{}, 1)}
+	return &Monitor{opts: opts, outages: make(chan struct{}, 1)}
 }
 
 const (
 	// patience is how long an answer may be overdue before the API is probed. A
 	// slow API answers within some 200 ms.
-	patience = 400 * time.Millisecond
+	overdueGrace = 400 * time.Millisecond
 	// probeEvery is the pause between probes, and so how late the end of a silence
 	// is noticed. A probe is sent whether the one before was answered or not: that
 	// one was lost if it was sent into the silence.
-	probeEvery = 250 * time.Millisecond
+	probeInterval = 250 * time.Millisecond
 	// probeSeldom is the pause where another process tells: hundreds that probe would
 	// be the larger part of what the API is asked.
-	probeSeldom = 2 * time.Second
+	slowProbeInterval = 2 * time.Second
 	// probeBound is the time for one probe's answer; a slow API takes part of it.
-	probeBound = time.Second
+	probeTimeout = time.Second
 )
 
 // Silent reports whether the API is known to be silent.
 func (r *Monitor) Unresponsive() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silence != nil && r.silence.proved
+	return r.outage != nil && r.outage.confirmed
 }
 
 // Run probes the API whenever a question goes unanswered, until ctx ends.
@@ -83,64 +83,64 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.suspects:
+		case <-r.outages:
 		}
-		r.probe(ctx)
+		r.probeUntilAnswered(ctx)
 	}
 }
 
 // probe asks until something is answered.
-func (r *Monitor) probe(ctx context.Context) {
+func (r *Monitor) probeUntilAnswered(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	for {
-		s := r.present()
+		s := r.currentOutage()
 		if s == nil {
 			return
 		}
-		go r.ask(ctx, s)
-		if !r.pause(ctx, s, probeEvery) {
+		go r.sendProbe(ctx, s)
+		if !r.sleep(ctx, s, probeInterval) {
 			return
 		}
-		r.prove(s)
-		if !r.opts.FullProbeRate() && !r.pause(ctx, s, probeSeldom-probeEvery) {
+		r.confirmOutage(s)
+		if !r.opts.FullProbeRate() && !r.sleep(ctx, s, slowProbeInterval-probeInterval) {
 			return
 		}
 	}
 }
 
 // pause waits for about d; false: the silence is over.
-func (r *Monitor) pause(ctx context.Context, s *silence, d time.Duration) bool {
+func (r *Monitor) sleep(ctx context.Context, s *outage, d time.Duration) bool {
 	d = time.Duration((0.8 + 0.4*r.opts.Rand.Float64()) * float64(d))
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.over:
+	case <-s.ended:
 		return false
 	case <-r.opts.Clock.After(d):
 		return true
 	}
 }
 
-func (r *Monitor) ask(ctx context.Context, s *silence) {
-	ctx, cancel := context.WithTimeout(ctx, probeBound)
+func (r *Monitor) sendProbe(ctx context.Context, s *outage) {
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if err := r.opts.Probe(ctx); ctx.Err() == nil && !down(err) {
-		r.end(s)
+	if err := r.opts.Probe(ctx); ctx.Err() == nil && !isUnavailable(err) {
+		r.endOutage(s)
 	}
 }
 
-func (r *Monitor) present() *silence {
+func (r *Monitor) currentOutage() *outage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.silence
+	return r.outage
 }
 
 // prove notes that a probe has got no answer.
-func (r *Monitor) prove(s *silence) {
+func (r *Monitor) confirmOutage(s *outage) {
 	r.mu.Lock()
-	first := r.silence == s && !s.proved
-	s.proved = s.proved || first
+	first := r.outage == s && !s.confirmed
+	s.confirmed = s.confirmed || first
 	r.mu.Unlock()
 	if first {
 		r.opts.OnChange(true, r.opts.Clock.Now().Sub(s.since))
@@ -148,43 +148,43 @@
 }
 
 // end notes an answer: silence s is over; nil: whichever there is.
-func (r *Monitor) end(s *silence) {
+func (r *Monitor) endOutage(s *outage) {
 	r.mu.Lock()
-	if r.silence == nil || s != nil && r.silence != s {
+	if r.outage == nil || s != nil && r.outage != s {
 		r.mu.Unlock()
 		return
 	}
-	ended := r.silence
-	r.silence = nil
-	close(ended.over)
+	ended := r.outage
+	r.outage = nil
+	close(ended.ended)
 	r.mu.Unlock()
-	if ended.proved {
+	if ended.confirmed {
 		r.opts.OnChange(false, r.opts.Clock.Now().Sub(ended.since))
 	}
 }
 
 // suspect has the API probed and returns the silence.
-func (r *Monitor) suspect() *silence {
+func (r *Monitor) suspectOutage() *outage {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.silence == nil {
-		r.silence = &silence{since: r.opts.Clock.Now(), over: make(chan struct{})}
+	if r.outage == nil {
+		r.outage = &outage{since: r.opts.Clock.Now(), ended: make(chan struct{})}
 		select {
-		case r.suspects <- struct{}{}:
+		case r.outages <- struct{}{}:
 		default: // Run has not looked at the one before yet
 		}
 	}
-	return r.silence
+	return r.outage
 }
 
 // await blocks while the API is known to be silent, and tells whether it was.
-func (r *Monitor) await(ctx context.Context) (late bool, err error) {
-	s := r.present()
+func (r *Monitor) awaitRecovery(ctx context.Context) (late bool, err error) {
+	s := r.currentOutage()
 	if s == nil || !r.Unresponsive() {
 		return false, nil
 	}
 	select {
-	case <-s.over:
+	case <-s.ended:
 		return true, nil
 	case <-ctx.Done():
 		return true, errors.Join(objectapi.ErrUnavailable, objectapi.ErrNoAnswer, ctx.Err())
@@ -193,21 +193,21 @@
 
 // down tells whether a question's end says that the API serves nothing now. A refusal of
 // the question itself, for its rate or its content, is an answer.
-func down(err error) bool {
+func isUnavailable(err error) bool {
 	return errors.Is(err, objectapi.ErrNoAnswer) || errors.Is(err, objectapi.ErrUnavailable)
 }
 
 // note takes what a question's end tells of the API: any answer ends a silence.
-func (r *Monitor) note(err error) {
-	if !down(err) && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-		r.end(nil)
+func (r *Monitor) recordResult(err error) {
+	if !isUnavailable(err) && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
+		r.endOutage(nil)
 	}
 }
 
 // outcome is what became of one question.
-type outcome[T any] struct {
-	answer T
-	err    error
+type result[T any] struct {
+	value T
+	err   error
 }
 
 // Question asks the API something that may be asked more than once. late tells that
@@ -218,23 +218,23 @@
 // API is silent. A question that is overdue when the API is found to answer was sent
 // into a silence, most likely: it is asked once more, and the first answer counts.
 func Call[T any](ctx context.Context, r *Monitor, wait time.Duration, question RequestFunc[T]) (T, error) {
-	late, err := r.await(ctx)
+	late, err := r.awaitRecovery(ctx)
 	if err != nil {
 		var none T
 		return none, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan outcome[T], 2)
+	answers := make(chan result[T], 2)
 	send(ctx, question, late, answers)
-	o, ok := receive(answers, r.opts.Clock.After(wait+patience))
-	if ok && down(o.err) {
+	o, ok := receive(answers, r.opts.Clock.After(wait+overdueGrace))
+	if ok && isUnavailable(o.err) {
 		// Its connection was reset, or it was told that the API is not available: what
 		// others ask would fare no better.
-		r.suspect()
+		r.suspectOutage()
 	}
 	if !ok {
-		o, ok = receive(answers, r.suspect().over)
+		o, ok = receive(answers, r.suspectOutage().ended)
 	}
 	if !ok {
 		send(ctx, question, true, answers)
@@ -243,23 +243,23 @@
 			o = <-answers
 		}
 	}
-	r.note(o.err)
-	return o.answer, o.err
+	r.recordResult(o.err)
+	return o.value, o.err
 }
 
-func send[T any](ctx context.Context, question RequestFunc[T], late bool, to chan<- outcome[T]) {
+func send[T any](ctx context.Context, question RequestFunc[T], late bool, to chan<- result[T]) {
 	go func() {
 		answer, err := question(ctx, late)
-		to <- outcome[T]{answer, err}
+		to <- result[T]{answer, err}
 	}()
 }
 
 // receive waits for an outcome; false: until came first.
-func receive[T, S any](answers <-chan outcome[T], until <-chan S) (outcome[T], bool) {
+func receive[T, S any](answers <-chan result[T], until <-chan S) (result[T], bool) {
 	select {
 	case o := <-answers:
 		return o, true
 	case <-until:
-		return outcome[T]{}, false
+		return result[T]{}, false
 	}
 }
