--- a/Makefile
+++ b/Makefile
@@ -42,8 +42,10 @@
 
 # Real daemons as processes on this machine under random faults from outside; RUNS
 # runs of N requests, each with the next seed after SEED. KEEP is a folder for the
-# logs of runs that broke a promise.
+# logs of runs that broke a promise; OTHER is a bilberryedge of another build, of which
+# hosts run beside this one's.
 KEEP ?=
+OTHER ?=
 soak:
 	go test -count=1 -timeout 4h -run 'TestSoak$$' -v ./internal/soak \
-		-soak.seed=$(SEED) -soak.runs=$(RUNS) -soak.requests=$(N) -soak.keep=$(KEEP)
+		-soak.seed=$(SEED) -soak.runs=$(RUNS) -soak.requests=$(N) -soak.keep=$(KEEP) -soak.other=$(OTHER)
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -44,9 +44,15 @@
 // start runs a program and waits for the line that tells its addresses.
 func start(t *testing.T, name string, args ...string) (p *process, addresses map[string]string) {
 	t.Helper()
-	g := NewWithT(t)
 	dir, err := programs()
-	g.Expect(err).NotTo(HaveOccurred(), dir)
+	NewWithT(t).Expect(err).NotTo(HaveOccurred(), dir)
+	return startFrom(t, dir, name, args...)
+}
+
+// startFrom is start for a program in a given folder.
+func startFrom(t *testing.T, dir, name string, args ...string) (p *process, addresses map[string]string) {
+	t.Helper()
+	g := NewWithT(t)
 	p = &process{t: t, cmd: exec.Command(filepath.Join(dir, name), args...), done: make(chan error, 1)}
 	out, err := p.cmd.StderrPipe()
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -47,6 +47,7 @@
 
 // host is one daemon.
 type host struct {
+	number   int
 	name, ip string
 	settings string
 	relay    *relay.Relay // to the store
@@ -262,7 +263,7 @@
 	r, err := relay.New(strings.TrimPrefix(p.web.URL, "http://"))
 	p.must(err)
 	p.t.Cleanup(r.Close)
-	h := &host{name: fmt.Sprintf("front-%d", i), ip: ip, relay: r, settings: filepath.Join(p.dir, fmt.Sprintf("host-%d.json", i))}
+	h := &host{number: i, name: fmt.Sprintf("front-%d", i), ip: ip, relay: r, settings: filepath.Join(p.dir, fmt.Sprintf("host-%d.json", i))}
 	data, err := platformtest.HostSettings{
 		Name: h.name, IP: ip, Domain: nearDomain, Region: nearRegion, Elsewhere: map[string]string{farDomain: farRegion}, Callers: ip + ":8625", Ready: ip + ":8621",
 		FirstPort: 7740, LastPort: 7755, StoreAddress: r.Address(), StopBound: stopBound, RevokeBound: revokeBound, EvacuateBound: 5 * time.Second,
@@ -296,7 +297,7 @@
 
 // launch starts a process; it is called with h.mu held.
 func (h *host) launch(binary string) error {
-	cmd := exec.Command(binary, "--settings", h.settings)
+	cmd := exec.Command(h.build(binary), "--settings", h.settings)
 	cmd.Stdout, cmd.Stderr = h.log, h.log
 	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
 	if err := cmd.Start(); err != nil {
@@ -316,6 +317,29 @@
 	return nil
 }
 
+// build returns the program of the host's next process: with -soak.other, the builds take
+// turns over the hosts and over the starts of each. It is called with h.mu held.
+func (h *host) build(binary string) string {
+	if *otherFlag != "" && (h.number+len(h.started))%2 == 1 {
+		return *otherFlag
+	}
+	return binary
+}
+
+// decodingFaults reports lines of the daemons' logs that tell of messages or entries which
+// one build wrote and the other could not read.
+func (p *place) decodingFaults() {
+	for _, h := range p.hosts {
+		data, err := os.ReadFile(h.log.Name())
+		p.must(err)
+		for line := range strings.Lines(string(data)) {
+			if strings.Contains(line, "msgpack") {
+				p.t.Errorf("%s: %s", h.name, line)
+			}
+		}
+	}
+}
+
 // endedBy reports whether a signal ended the process. SIGHUP does so in the first
 // moments of a process, before it can say that it takes it; the platform starts
 // it again, and so does the run.
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -29,6 +29,7 @@
 	sizeFlag  = flag.Int("soak.requests", 500, "requests of a run while faults come")
 	hostsFlag = flag.Int("soak.hosts", 3, "daemons of a run")
 	keepFlag  = flag.String("soak.keep", "", "folder that keeps the logs of a failed run")
+	otherFlag = flag.String("soak.other", "", "bilberryedge of another build: hosts of both run side by side, and each start of a host takes the other build")
 )
 
 // failedOnce are seeds that failed, each with its cause. They stay.
@@ -91,6 +92,7 @@
 	p.recovered()
 	p.evacuated()
 	p.judge(log.all())
+	p.decodingFaults()
 }
 
 // disturb lets faults come, up to three at a time, and waits for their ends.
