--- a/process/background/background.go
+++ b/process/background/background.go
@@ -1,20 +1,20 @@
-// Package background runs work beside an actor's loop until the loop ends.
+// Package background runs goroutines that must end with the component that starts them.
 package background
 
 import "sync"
 
-// Group runs functions in goroutines of their own. Unlike a sync.WaitGroup it
-// may be asked to begin work while it is being closed: handlers and hints come
-// from other goroutines until the end, and work that begins beside the wait
-// would outlive the actor it belongs to. The zero value is ready for use.
+// Group runs functions in goroutines. Unlike with a sync.WaitGroup, Go may be called during
+// Close: handlers and notifications call it from other goroutines until the end, and
+// goroutines started concurrently with the wait could outlive the component they belong to.
+// The zero value is ready for use.
 type Group struct {
 	mu      sync.Mutex
 	closed  bool
 	running sync.WaitGroup
 }
 
-// Go begins f, unless the group is closed; it tells whether f was begun. It may
-// be called from any goroutine.
+// Go runs f in a goroutine and returns true, or returns false if the group is closed. It is
+// safe for concurrent use.
 func (g *Group) Go(f func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,7 +25,7 @@
 	return true
 }
 
-// Close lets nothing more begin and waits for what has begun.
+// Close prevents further goroutines and waits for the running ones.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
--- a/process/background/background_test.go
+++ b/process/background/background_test.go
@@ -10,14 +10,14 @@
 	"bilberrydale/process/background"
 )
 
-// Work that handlers begin while the group closes neither races with the wait
-// nor runs after it.
-func TestWorkThatBeginsWhileTheGroupCloses(t *testing.T) {
+// Handlers call Go while the group closes. Their functions must neither race with the wait
+// in Close nor run after it.
+func TestGoDuringCloseDoesNotOutliveGroup(t *testing.T) {
 	g := NewWithT(t)
 	for range 200 {
 		var group background.Group
 		var closed atomic.Bool
-		var late, begun, ran atomic.Int64
+		var late, started, ran atomic.Int64
 		var handlers sync.WaitGroup
 		for range 4 {
 			handlers.Go(func() {
@@ -28,7 +28,7 @@
 							late.Add(1)
 						}
 					}) {
-						begun.Add(1)
+						started.Add(1)
 					}
 				}
 			})
@@ -37,13 +37,13 @@
 		closed.Store(true)
 		handlers.Wait()
 		g.Expect(late.Load()).To(BeZero())
-		g.Expect(ran.Load()).To(Equal(begun.Load()))
+		g.Expect(ran.Load()).To(Equal(started.Load()))
 	}
 }
 
-func TestNothingBeginsOnceTheGroupIsClosed(t *testing.T) {
+func TestGoAfterCloseStartsNothing(t *testing.T) {
 	g := NewWithT(t)
 	var group background.Group
 	group.Close()
-	g.Expect(group.Go(func() { t.Error("was begun") })).To(BeFalse())
+	g.Expect(group.Go(func() { t.Error("function was run") })).To(BeFalse())
 }
--- a/process/budget/budget.go
+++ b/process/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget bounds the sends beyond the first of each request. The bound
-// holds for a service over all hosts together; without a coordinator each host
-// keeps to a part of it that cannot add up to more.
+// Package budget bounds the retries of requests to backend servers. The bound applies to a
+// service across all entry hosts. Instead of coordinating, each host uses a share such that
+// the shares together cannot exceed the bound.
 package budget
 
 import (
@@ -10,77 +10,81 @@
 	"bilberrydale/process/clock"
 )
 
-// Options configure a Shared budget.
+// Options configure a RetryLimiter.
 type Options struct {
-	Ratio  float64       // sends beyond the first for each request
-	Window time.Duration // over which the bound is taken
-	Slack  float64       // sends in a window whatever the requests
-	Hosts  func() int    // that share the slack, this one included
+	Ratio  float64       // permitted retries per request
+	Window time.Duration // sliding time window to which the bound applies
+	Slack  float64       // permitted retries per window in addition to the ratio, for all hosts together
+	Hosts  func() int    // returns the number of hosts that share Slack, including this one
 	Clock  clock.Clock
 }
 
-// Shared is this host's part of the budgets of all services.
+// RetryLimiter is this entry host's share of the retry budgets of all services. It is safe
+// for concurrent use.
 type RetryLimiter struct {
-	opts Options
-	mu   sync.Mutex
-	by   map[string]*window
+	opts      Options
+	mu        sync.Mutex
+	byService map[string]*slidingWindow
 }
 
-// New returns a budget without history.
-func New(opts Options) *RetryLimiter { return &RetryLimiter{opts: opts, by: map[string]*window{}} }
+// New returns a limiter without recorded requests.
+func New(opts Options) *RetryLimiter {
+	return &RetryLimiter{opts: opts, byService: map[string]*slidingWindow{}}
+}
 
-// slots is the number of parts of a window. The bound holds for any window that
-// slides; counting one part more than a window holds keeps it.
-const slots = 10
+// windowSlots is the number of slots of a window. Counts cover one more slot, so that the
+// bound holds for every position of the sliding window.
+const windowSlots = 10
 
-type window struct {
-	at       int64 // number of the newest part
-	requests [slots + 1]float64
-	repeats  [slots + 1]float64
+// slidingWindow counts requests and retries by slot.
+type slidingWindow struct {
+	current  int64 // number of the newest slot
+	requests [windowSlots + 1]float64
+	retries  [windowSlots + 1]float64
 }
 
-// use is the part of the budget that is spent. The rest covers that requests
-// are counted at hosts and judged at servers, at other moments.
-const use = 0.7
+// usableShare is the fraction of the budget that is used. The remainder allows for the time
+// between the count of a request at its host and its arrival at the backend server.
+const usableShare = 0.7
 
-// Request counts a request for a service.
+// RecordRequest records a request to a service, not counting retries.
 func (s *RetryLimiter) RecordRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.window(service)
-	w.requests[w.at%(slots+1)]++
+	w := s.windowOf(service)
+	w.requests[w.current%(windowSlots+1)]++
 }
 
-// Repeat takes one send beyond the first; false: there is none left.
+// AllowRetry takes one retry from the service's budget. It returns false if none is left.
 func (s *RetryLimiter) AllowRetry(service string) bool {
 	hosts := max(s.opts.Hosts(), 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := s.window(service)
-	var requests, repeats float64
+	w := s.windowOf(service)
+	var requests, retries float64
 	for i := range w.requests {
 		requests += w.requests[i]
-		repeats += w.repeats[i]
+		retries += w.retries[i]
 	}
-	if repeats+1 > use*(s.opts.Ratio*requests+s.opts.Slack/float64(hosts)) {
+	if retries+1 > usableShare*(s.opts.Ratio*requests+s.opts.Slack/float64(hosts)) {
 		return false
 	}
-	w.repeats[w.at%(slots+1)]++
+	w.retries[w.current%(windowSlots+1)]++
 	return true
 }
 
-// window returns the service's counts, moved on to now.
-func (s *RetryLimiter) window(service string) *window {
-	now := s.opts.Clock.Now().UnixNano() / int64(s.opts.Window/slots)
-	w := s.by[service]
+// windowOf returns the window of a service, advanced to the current time. s.mu must be held.
+func (s *RetryLimiter) windowOf(service string) *slidingWindow {
+	now := s.opts.Clock.Now().UnixNano() / int64(s.opts.Window/windowSlots)
+	w := s.byService[service]
 	if w == nil {
-		w = &window{at: now}
-		s.by[service] = w
+		w = &slidingWindow{current: now}
+		s.byService[service] = w
 	}
-	for n := 0; w.at < now && n <= slots; n++ {
-		w.at++
-		w.requests[w.at%(slots+1)], w.repeats[w.at%(slots+1)] = 0, 0
+	for n := 0; w.current < now && n <= windowSlots; n++ {
+		w.current++
+		w.requests[w.current%(windowSlots+1)], w.retries[w.current%(windowSlots+1)] = 0, 0
 	}
-	w.at = max(w.at, now)
+	w.current = max(w.current, now)
 	return w
 }
--- a/process/budget/budget_test.go
+++ b/process/budget/budget_test.go
@@ -9,52 +9,51 @@
 	"bilberrydale/process/clock"
 )
 
-// Nine hosts see a service fail and all repeat what they can. Over any ten
-// seconds they stay within the bound for all of them together, though none
-// knows of the others' sends.
-func TestAllHostsTogetherKeepTheBound(t *testing.T) {
+// Nine hosts retry as much as they can while a service fails. In every ten seconds they must
+// together stay within the bound, although none has the other hosts' counts.
+func TestHostsTogetherStayWithinBudget(t *testing.T) {
 	g := NewWithT(t)
 	const hosts, ratio, slack = 9, 0.2, 52.0
 	now := clock.NewManual(time.Unix(1000, 0))
-	var parts []*RetryLimiter
+	var limiters []*RetryLimiter
 	for range hosts {
-		parts = append(parts, New(Options{Ratio: ratio, Window: 10 * time.Second, Slack: slack, Hosts: func() int { return hosts }, Clock: now}))
+		limiters = append(limiters, New(Options{Ratio: ratio, Window: 10 * time.Second, Slack: slack, Hosts: func() int { return hosts }, Clock: now}))
 	}
 	type sent struct {
-		at               time.Duration
-		requests, repeat int
+		at                time.Duration
+		requests, retries int
 	}
 	var log []sent
 	for i := range 600 { // a minute
 		s := sent{at: time.Duration(i) * 100 * time.Millisecond}
-		for _, p := range parts {
+		for _, p := range limiters {
 			if i%3 == 0 {
 				p.RecordRequest("s")
 				s.requests++
 			}
 			for p.AllowRetry("s") {
-				s.repeat++
+				s.retries++
 			}
 		}
 		log = append(log, s)
 		now.Advance(100 * time.Millisecond)
 	}
 	for start := 0; start+100 <= len(log); start++ {
-		var requests, repeats int
+		var requests, retries int
 		for _, s := range log[start : start+100] {
 			requests += s.requests
-			repeats += s.repeat
+			retries += s.retries
 		}
-		g.Expect(float64(repeats)).To(BeNumerically("<=", ratio*float64(requests)+slack), "from %s", log[start].at)
+		g.Expect(float64(retries)).To(BeNumerically("<=", ratio*float64(requests)+slack), "from %s", log[start].at)
 	}
 	total := 0
 	for _, s := range log {
-		total += s.repeat
+		total += s.retries
 	}
-	g.Expect(total).To(BeNumerically(">", 100), "and makes use of it")
+	g.Expect(total).To(BeNumerically(">", 100), "the budget must be used")
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestServicesHaveSeparateBudgets(t *testing.T) {
 	g := NewWithT(t)
 	p := New(Options{Window: 10 * time.Second, Slack: 2, Hosts: func() int { return 1 }, Clock: clock.NewManual(time.Unix(1, 0))})
 	g.Expect(p.AllowRetry("a")).To(BeTrue())
--- a/process/estimate/estimate.go
+++ b/process/estimate/estimate.go
@@ -1,6 +1,6 @@
-// Package estimate keeps running estimates that many goroutines read and write
-// without a lock: plain atomics of fixed size. An update that loses a race is
-// dropped; the estimates are statistics and the next sample makes up for it.
+// Package estimate provides running estimates of fixed size that are read and written
+// concurrently without locks. A race between updates may lose one, which the following
+// samples make up for.
 package estimate
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// Float is an atomic float64.
+// AtomicFloat64 is a float64 with atomic operations. The zero value is 0.
 type AtomicFloat64 struct{ bits atomic.Uint64 }
 
 // Load returns the value.
@@ -18,7 +18,7 @@
 // Store sets the value.
 func (f *AtomicFloat64) Store(v float64) { f.bits.Store(math.Float64bits(v)) }
 
-// Add adds v.
+// Add adds v to the value.
 func (f *AtomicFloat64) Add(v float64) {
 	for {
 		old := f.bits.Load()
@@ -38,44 +38,44 @@
 	}
 }
 
-// Latency estimates the mean and the mean deviation of durations, as round-trip
-// times are estimated: exponentially weighted, recent samples first.
+// Latency estimates the mean and mean deviation of durations by exponentially weighted
+// moving averages, as TCP does for round-trip times. It is safe for concurrent use.
 type Latency struct {
-	mean    AtomicFloat64 // seconds
-	dev     AtomicFloat64 // seconds
-	samples atomic.Int64
-	last    atomic.Int64 // unix nanoseconds of the last sample
+	mean       AtomicFloat64 // seconds
+	deviation  AtomicFloat64 // seconds
+	samples    atomic.Int64
+	lastSample atomic.Int64 // Unix time in nanoseconds
 }
 
-// Weights of a new sample once the first ones have been averaged.
+// Weights of a new sample. The first samples have larger weights, so that they are averaged.
 const (
-	meanWeight = 1. / 16
-	devWeight  = 1. / 16
+	meanWeight      = 1. / 16
+	deviationWeight = 1. / 16
 )
 
-// Observe adds a sample.
+// Observe records a duration that was measured at the given time.
 func (l *Latency) Observe(now time.Time, d time.Duration) {
 	n := l.samples.Add(1)
-	l.last.Store(now.UnixNano())
+	l.lastSample.Store(now.UnixNano())
 	s := d.Seconds()
 	if n == 1 {
 		l.mean.Store(s)
-		l.dev.Store(s / 2)
+		l.deviation.Store(s / 2)
 		return
 	}
 	mean := l.mean.Load()
-	l.dev.Add(max(devWeight, 1/float64(n)) * (math.Abs(s-mean) - l.dev.Load()))
+	l.deviation.Add(max(deviationWeight, 1/float64(n)) * (math.Abs(s-mean) - l.deviation.Load()))
 	l.mean.Add(max(meanWeight, 1/float64(n)) * (s - mean))
 }
 
-// Mean returns the mean in seconds; 0 before the first sample.
+// Mean returns the mean in seconds, or 0 before the first sample.
 func (l *Latency) Mean() float64 { return l.mean.Load() }
 
-// Deviation returns the mean deviation in seconds.
-func (l *Latency) Deviation() float64 { return l.dev.Load() }
+// Deviation returns the mean deviation in seconds, or 0 before the first sample.
+func (l *Latency) Deviation() float64 { return l.deviation.Load() }
 
-// Samples returns how many samples were seen.
+// Samples returns the number of recorded samples.
 func (l *Latency) Samples() int64 { return l.samples.Load() }
 
-// Last returns the time of the last sample.
-func (l *Latency) LastSampleTime() time.Time { return time.Unix(0, l.last.Load()) }
+// LastSampleTime returns the time of the last sample, or the Unix epoch if there is none.
+func (l *Latency) LastSampleTime() time.Time { return time.Unix(0, l.lastSample.Load()) }
--- a/process/limit/budget_test.go
+++ b/process/limit/retry_test.go
@@ -6,8 +6,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// Without a budget a pool that fails every attempt gets three times the load
-// just when it can bear the least.
+// Without a budget, a pool that fails every attempt gets three times the load when it can
+// handle it least.
 func TestRetriesAreBoundedByFirstAttempts(t *testing.T) {
 	g := NewWithT(t)
 	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
@@ -25,7 +25,7 @@
 	g.Expect(b.Denied()).To(Equal(int64(2000 - allowed)))
 }
 
-func TestSavingsAreBounded(t *testing.T) {
+func TestUnusedRetriesAreBoundedByBurst(t *testing.T) {
 	g := NewWithT(t)
 	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
 	for range 10_000 {
--- a/process/meter/meter.go
+++ b/process/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter holds a process's counters and latency histograms and writes
-// them as text, one "name value" a line.
+// Package meter holds the metrics of a process, which are counters, gauges and latency
+// histograms, and writes them as text in lines of the form "name value".
 package meter
 
 import (
@@ -14,21 +14,21 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Range and precision of the histograms: 10 µs to 60 s, two digits.
+// Range (in nanoseconds) and precision of the histograms: 10 µs to 60 s with two significant digits.
 const (
-	lowest  = int64(10 * time.Microsecond)
-	highest = int64(time.Minute)
-	digits  = 2
+	minDuration       = int64(10 * time.Microsecond)
+	maxDuration       = int64(time.Minute)
+	significantDigits = 2
 )
 
-// maxHistograms bounds the memory, at about 20 kB each: names of routes come and
-// go with the configuration. What is over it is taken together.
+// maxHistograms bounds the memory of the histograms, of about 20 kB each, because route
+// names change with the configuration. Further names share the histogram overflowName.
 const (
 	maxHistograms = 256
-	overflow      = "others"
+	overflowName  = "others"
 )
 
-// Meter is safe for concurrent use.
+// Meter holds the metrics of a process. It is safe for concurrent use.
 type Meter struct {
 	counters expvar.Map
 	gauges   sync.Map // name -> func() float64
@@ -37,13 +37,13 @@
 	histograms map[string]*hdrhistogram.Histogram
 }
 
-// New returns an empty meter.
+// New returns a Meter without metrics.
 func New() *Meter { return &Meter{histograms: map[string]*hdrhistogram.Histogram{}} }
 
-// Add adds n to a counter.
+// Add adds n to the named counter, which starts at 0.
 func (m *Meter) Add(name string, n int64) { m.counters.Add(name, n) }
 
-// Counter returns a counter's value.
+// Counter returns the value of the named counter, or 0 if it does not exist.
 func (m *Meter) Counter(name string) int64 {
 	if v, ok := m.counters.Get(name).(*expvar.Int); ok {
 		return v.Value()
@@ -51,35 +51,37 @@
 	return 0
 }
 
-// Gauge registers a value that is read when asked for.
+// Gauge registers a function that returns the current value of the named gauge. It is called
+// on each WriteText, possibly concurrently.
 func (m *Meter) Gauge(name string, f func() float64) { m.gauges.Store(name, f) }
 
-// Observe adds a duration to a histogram.
+// Observe records a duration in the named histogram.
 func (m *Meter) Observe(name string, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.histograms[name] == nil && len(m.histograms) >= maxHistograms {
-		name = overflow
+		name = overflowName
 	}
 	h := m.histograms[name]
 	if h == nil {
-		h = hdrhistogram.New(lowest, highest, digits)
+		h = hdrhistogram.New(minDuration, maxDuration, significantDigits)
 		m.histograms[name] = h
 	}
-	// The value is cut to the range, so that it is always recorded.
-	_ = h.RecordValue(min(max(int64(d), lowest), highest))
+	// The value is clamped to the range, so RecordValue cannot fail.
+	_ = h.RecordValue(min(max(int64(d), minDuration), maxDuration))
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP implements http.Handler. It responds with the output of WriteText.
 func (m *Meter) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	m.WriteText(w)
 }
 
-var quantiles = []float64{50, 90, 99, 100}
+// percentiles of each histogram in the output; 100 is the maximum.
+var percentiles = []float64{50, 90, 99, 100}
 
-// WriteText writes all values in order of their names. A writer that fails gets
-// no more; the next question gets all again.
+// WriteText writes all metrics, sorted by line, durations in milliseconds. It stops at the
+// first write error; the next call writes everything again.
 func (m *Meter) WriteText(w io.Writer) {
 	var lines []string
 	m.counters.Do(func(kv expvar.KeyValue) { lines = append(lines, kv.Key+" "+kv.Value.String()) })
@@ -90,9 +92,9 @@
 	m.mu.Lock()
 	for name, h := range m.histograms {
 		lines = append(lines, fmt.Sprintf("%s_count %d", name, h.TotalCount()))
-		for _, q := range quantiles {
-			v := time.Duration(h.ValueAtPercentile(q))
-			lines = append(lines, fmt.Sprintf("%s_p%g_ms %.3f", name, q, float64(v)/float64(time.Millisecond)))
+		for _, p := range percentiles {
+			v := time.Duration(h.ValueAtPercentile(p))
+			lines = append(lines, fmt.Sprintf("%s_p%g_ms %.3f", name, p, float64(v)/float64(time.Millisecond)))
 		}
 	}
 	m.mu.Unlock()
--- a/process/meter/meter_test.go
+++ b/process/meter/meter_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestValuesAreWrittenInOrder(t *testing.T) {
+func TestWriteTextSortsByName(t *testing.T) {
 	g := NewWithT(t)
 	m := New()
 	m.Add("b", 2)
@@ -33,7 +33,7 @@
 	g.Expect(m.Counter("none")).To(BeZero())
 }
 
-// Routes come and go for years. The histograms of their names stay bounded.
+// Route names come and go over years. The number of histograms must stay bounded.
 func TestHistogramsAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	m := New()
@@ -41,5 +41,5 @@
 		m.Observe(fmt.Sprint(i), time.Millisecond)
 	}
 	g.Expect(len(m.histograms)).To(Equal(maxHistograms + 1))
-	g.Expect(m.histograms[overflow].TotalCount()).To(BeEquivalentTo(2 * maxHistograms))
+	g.Expect(m.histograms[overflowName].TotalCount()).To(BeEquivalentTo(2 * maxHistograms))
 }
--- a/process/record/record.go
+++ b/process/record/record.go
@@ -1,6 +1,6 @@
-// Package record writes the process's structured log to an output that may be
-// slow: lines wait in a bounded queue, and what does not fit is counted and
-// left out, so that no request ever waits for the log.
+// Package record provides structured logging to an output that may be slow. Lines are
+// buffered in a bounded queue; lines that do not fit are counted and dropped, so that
+// logging never blocks a request.
 package record
 
 import (
@@ -12,22 +12,22 @@
 	"github.com/charmbracelet/log"
 )
 
-// queued lines are kept for a slow output: about two seconds of a busy host.
-const queued = 1024
+// queueLength is the capacity of the queue in lines, about two seconds of a busy host.
+const queueLength = 1024
 
-// Writer is an io.Writer that never blocks.
+// AsyncWriter is an io.Writer that never blocks. It is safe for concurrent use.
 type AsyncWriter struct {
 	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 }
 
-// NewWriter returns a writer; Run has to be called.
+// NewAsyncWriter returns a writer to out. It writes nothing until Run is called.
 func NewAsyncWriter(out io.Writer) *AsyncWriter {
-	return &AsyncWriter{out: out, lines: make(chan []byte, queued)}
+	return &AsyncWriter{out: out, lines: make(chan []byte, queueLength)}
 }
 
-// Write implements io.Writer for one line.
+// Write implements io.Writer. It expects one line and never returns an error.
 func (w *AsyncWriter) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -37,36 +37,37 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that were left out.
+// Dropped returns the number of lines that did not fit into the queue, and of failed writes.
 func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
-// Run writes lines until ctx ends, then those that wait.
+// Run writes lines until ctx is cancelled, then the queued ones. It returns nil.
 func (w *AsyncWriter) Run(ctx context.Context) error {
 	for {
 		select {
 		case line := <-w.lines:
-			w.write(line)
+			w.writeBatch(line)
 		case <-ctx.Done():
-			w.rest()
+			w.drain()
 			return nil
 		}
 	}
 }
 
-func (w *AsyncWriter) rest() {
+// drain writes the queued lines.
+func (w *AsyncWriter) drain() {
 	for {
 		select {
 		case line := <-w.lines:
-			w.write(line)
+			w.writeBatch(line)
 		default:
 			return
 		}
 	}
 }
 
-// write joins waiting lines: each write is a system call.
-func (w *AsyncWriter) write(line []byte) {
-	for len(line) < joined {
+// writeBatch writes a line together with queued ones, to reduce the number of system calls.
+func (w *AsyncWriter) writeBatch(line []byte) {
+	for len(line) < maxWriteBytes {
 		select {
 		case more := <-w.lines:
 			line = append(line, more...)
@@ -76,13 +77,14 @@
 		break
 	}
 	if _, err := w.out.Write(line); err != nil {
-		w.dropped.Add(1) // there is no other place to tell it
+		w.dropped.Add(1) // the error cannot be logged
 	}
 }
 
-const joined = 16 << 10 // bytes
+// maxWriteBytes is the size from which no further lines are appended to a write.
+const maxWriteBytes = 16 << 10
 
-// New returns a logger of JSON lines to w.
+// NewLogger returns a logger that writes JSON lines with the entry host's name to w.
 func NewLogger(w io.Writer, host string) *log.Logger {
 	l := log.NewWithOptions(w, log.Options{
 		Level: log.InfoLevel, ReportTimestamp: true, TimeFormat: time.RFC3339Nano, Formatter: log.JSONFormatter,
@@ -90,27 +92,27 @@
 	return l.With("host", host)
 }
 
-// Limiter bounds the ordinary lines of one sort to some each second, and counts
-// what it left out. Lines about failures do not pass through it.
+// Limiter limits the log lines of one kind per second and counts the suppressed ones.
+// Ordinary lines and failures have separate limiters, so that neither suppresses the other.
 type Limiter struct {
-	PerSecond int64
-	second    atomic.Int64
-	used      atomic.Int64
-	left      atomic.Int64
+	PerSecond  int64 // number of lines allowed per second
+	second     atomic.Int64
+	count      atomic.Int64
+	suppressed atomic.Int64
 }
 
-// Allow reports whether a line may be written at now.
+// Allow reports whether a line may be logged at the given time.
 func (l *Limiter) Allow(now time.Time) bool {
 	s := now.Unix()
 	if old := l.second.Load(); old != s && l.second.CompareAndSwap(old, s) {
-		l.used.Store(0)
+		l.count.Store(0)
 	}
-	if l.used.Add(1) <= l.PerSecond {
+	if l.count.Add(1) <= l.PerSecond {
 		return true
 	}
-	l.left.Add(1)
+	l.suppressed.Add(1)
 	return false
 }
 
-// Left returns the number of lines that were not allowed.
-func (l *Limiter) Suppressed() int64 { return l.left.Load() }
+// Suppressed returns the number of lines that were not allowed.
+func (l *Limiter) Suppressed() int64 { return l.suppressed.Load() }
--- a/process/record/record_test.go
+++ b/process/record/record_test.go
@@ -11,25 +11,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// stuck is an output that takes nothing until it is released.
-type stuck struct {
+// blockedOutput blocks writes until release is closed.
+type blockedOutput struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
+func (s *blockedOutput) Write(b []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
-// Nobody reads the output. Requests go on and the lines that do not fit are
-// counted; what waited is written when the output takes it again.
-func TestSlowOutputBlocksNobody(t *testing.T) {
+// The output is blocked. Logging must not block; lines that do not fit are counted, and the
+// queued ones are written once the output accepts writes again.
+func TestBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	g := NewWithT(t)
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedOutput{release: make(chan struct{})}
 	w := NewAsyncWriter(out)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -38,15 +38,15 @@
 		_ = w.Run(ctx)
 	}()
 	l := NewLogger(w, "front-1")
-	for i := range 3 * queued {
+	for i := range 3 * queueLength {
 		l.Info("request", "n", i)
 	}
-	g.Expect(w.Dropped()).To(BeNumerically(">", queued))
+	g.Expect(w.Dropped()).To(BeNumerically(">", queueLength))
 	close(out.release)
 	cancel()
 	g.Eventually(done, "10s").Should(BeClosed())
-	lines := bytes.Split(bytes.TrimSpace(out.got.Bytes()), []byte("\n"))
-	g.Expect(len(lines)).To(BeNumerically(">", queued/2))
+	lines := bytes.Split(bytes.TrimSpace(out.written.Bytes()), []byte("\n"))
+	g.Expect(len(lines)).To(BeNumerically(">", queueLength/2))
 	for _, line := range lines {
 		var fields map[string]any
 		g.Expect(json.Unmarshal(line, &fields)).To(Succeed(), string(line))
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestLimiterCountsWhatItLeavesOut(t *testing.T) {
+func TestLimiterCountsSuppressedLines(t *testing.T) {
 	g := NewWithT(t)
 	l := &Limiter{PerSecond: 3}
 	now := time.Unix(1000, 0)
