--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -7,52 +7,52 @@
 	"bilberrydale/process/batcher"
 )
 
-// Admission decides which requests are begun, and when. It is pure and not
-// safe for concurrent use; Coordinator guards it.
+// Admission decides which requests start, and when. It does no I/O and reads no clock. It is
+// not safe for concurrent use; Coordinator guards it.
 //
-// Items under way are bounded for each service by what its servers finish in
-// the time that an item is under way (Little's law). Up to this bound calls are
-// full; above it requests only wait inside, holding results and room, and those
-// that will miss their aim can no longer be told from those that need not.
+// Items in flight are limited for each service to what its servers complete in the time that
+// an item is in flight (Little's law). Up to this limit calls are full. Above it, requests
+// would only wait after their start, occupying results and memory, and requests that will
+// miss their target latency could no longer be separated from those that need not.
 type Admission struct {
 	lookupService func(name string) (Service, bool)
-	// known are the services as they were when the present decision began. Asking
-	// for them anew for each waiting request takes the whole processor of an
-	// overloaded host.
+	// serviceCache holds the services as of the start of the current decision. Looking
+	// them up for each waiting request would use the whole processor of an overloaded
+	// host.
 	serviceCache map[string]Service
-	inFlight     map[string]workAmount // begun and not finished, by service
-	// lateUnderWay is that of requests that were late when they began.
+	inFlight     map[string]workAmount // admitted and not finished, by service
+	// lateInFlight is the part of inFlight that was late at its start.
 	lateInFlight map[string]workAmount
-	onTime       []*Ticket
-	late         []*Ticket
+	onTime       []*Ticket // waiting, by worth per second of server time, highest first
+	late         []*Ticket // waiting, by deadline, earliest first
 }
 
-// Ticket is a request that waits to be begun, or is under way.
+// Ticket is a request that waits for admission or is in flight.
 type Ticket struct {
 	Request *Request
-	Start   func()                 // called once, when it is begun
+	Start   func()                 // called once, on admission
 	Reject  func(r batcher.Reason) // called once instead
 
-	// HeldBy is the service that last kept it from being begun, and whether that
-	// lacked room for results.
+	// BlockedBy is the service that last kept the request from starting;
+	// BlockedByMemory reports whether that service lacked result memory.
 	BlockedBy       string
 	BlockedByMemory bool
-	StageTimes      []time.Duration // by each stage, once the work is done
-	TargetID        string          // server chosen to run on, once the work is done
-	TargetWait      time.Duration   // for other prompts there
-	FetchFrom       string          // server from which that one gets a part of the prompt
+	StageTimes      []time.Duration // by stage, once the work is done
+	TargetID        string          // server chosen to run the request, once the work is done
+	TargetWait      time.Duration   // for other prompts pending at that server
+	FetchFrom       string          // server from which that server transfers a prompt prefix
 
 	late          bool
-	serverSeconds float64       // seconds of all servers of its services
-	criticalPath  time.Duration // that its stages take once it is begun, as last looked at
+	serverSeconds float64       // time that its items occupy all servers of a service, summed over services
+	criticalPath  time.Duration // duration of its stages once started, as last computed
 }
 
-// NewAdmission returns an admission; services tells what is known of a service.
+// NewAdmission returns an empty admission; services looks up a service by name.
 func NewAdmission(services func(name string) (Service, bool)) *Admission {
 	return &Admission{lookupService: services, serviceCache: map[string]Service{}, inFlight: map[string]workAmount{}, lateInFlight: map[string]workAmount{}}
 }
 
-// service returns what is known of a service; false: there is none of that name.
+// service returns a service from the cache or the lookup; false: there is none of that name.
 func (a *Admission) service(name string) (Service, bool) {
 	if s, ok := a.serviceCache[name]; ok {
 		return s, true
@@ -64,13 +64,14 @@
 	return s, ok
 }
 
-// Offer adds a request that wants to be begun.
+// Enqueue adds a request to those that wait for admission.
 func (a *Admission) Enqueue(t *Ticket) {
 	clear(a.serviceCache)
 	t.serverSeconds = a.serverSeconds(t.Request)
 	a.onTime = insertSorted(a.onTime, t, func(x, y *Ticket) bool { return x.worthPerSecond() > y.worthPerSecond() })
 }
 
+// insertSorted inserts a ticket behind all that it is not ordered before.
 func insertSorted(list []*Ticket, t *Ticket, before func(a, b *Ticket) bool) []*Ticket {
 	i := sort.Search(len(list), func(i int) bool { return before(t, list[i]) })
 	list = append(list, nil)
@@ -79,17 +80,20 @@
 	return list
 }
 
-// Late reports whether the request could not be on time any more when it was
-// begun or rejected.
+// Late reports whether the request could no longer meet its target latency when it was
+// admitted or rejected.
 func (t *Ticket) Late() bool { return t.late }
 
-// density is worth for the servers' time: what a scarce second earns.
+// worthPerSecond returns the worth that a request earns per second of server time.
 func (t *Ticket) worthPerSecond() float64 {
 	return t.Request.Worth / max(t.serverSeconds, minServerSeconds)
 }
 
-const minServerSeconds = 1e-3 // seconds
+// minServerSeconds avoids a division by zero for requests without stage work.
+const minServerSeconds = 1e-3
 
+// serverSeconds returns the time that the items of a request occupy all servers of a service,
+// in seconds, summed over its stages.
 func (a *Admission) serverSeconds(r *Request) float64 {
 	var sum float64
 	for _, s := range r.Stages {
@@ -100,7 +104,7 @@
 	return sum
 }
 
-// Withdraw removes a request that is not yet begun; false: it is not waiting.
+// Remove removes a waiting request and reports whether it was waiting.
 func (a *Admission) Remove(t *Ticket) bool {
 	for _, list := range []*[]*Ticket{&a.onTime, &a.late} {
 		for i, other := range *list {
@@ -113,7 +117,7 @@
 	return false
 }
 
-// RejectAll rejects every request that waits.
+// RejectAll rejects all waiting requests.
 func (a *Admission) RejectAll(r batcher.Reason) {
 	for _, list := range [][]*Ticket{a.onTime, a.late} {
 		for _, t := range list {
@@ -123,7 +127,7 @@
 	a.onTime, a.late = nil, nil
 }
 
-// Finished notes that a stage's items are no longer under way.
+// StageFinished removes the items of a stage from the work in flight.
 func (a *Admission) StageFinished(s Stage, late bool) {
 	a.inFlight[s.Service] = a.inFlight[s.Service].minus(s)
 	if late {
@@ -131,21 +135,22 @@
 	}
 }
 
-// Waiting returns the number of requests that wait to be begun.
+// Waiting returns the number of waiting requests: those that can still meet their target
+// latency, and late ones.
 func (a *Admission) Waiting() (onTime, late int) { return len(a.onTime), len(a.late) }
 
-// Next begins and rejects requests as it is right at now.
+// Schedule admits and rejects waiting requests according to the state at now.
 func (a *Admission) Schedule(now time.Time) {
 	clear(a.serviceCache)
 	a.classify(now)
-	b := &reservations{services: map[string]bool{}, resultBytes: map[string]int64{}}
+	reserved := &reservations{services: map[string]bool{}, resultBytes: map[string]int64{}}
 	a.late = a.startFitting(a.late, func(t *Ticket) bool { return a.nearLatestStart(t, now) && a.fitsLateReserve(t.Request) })
-	a.onTime = a.startFitting(a.onTime, func(t *Ticket) bool { return a.fits(t, b) })
-	a.late = a.startFitting(a.late, func(t *Ticket) bool { return a.fits(t, b) })
+	a.onTime = a.startFitting(a.onTime, func(t *Ticket) bool { return a.fits(t, reserved) })
+	a.late = a.startFitting(a.late, func(t *Ticket) bool { return a.fits(t, reserved) })
 }
 
-// sort moves requests that can no longer be on time behind the others and
-// rejects those that can no longer be of use.
+// classify moves requests that can no longer be on time to the late list and rejects those
+// that can no longer finish before their deadline.
 func (a *Admission) classify(now time.Time) {
 	a.onTime = a.filterViable(a.onTime, now, func(t *Ticket) bool {
 		if !now.Add(t.criticalPath).After(t.Request.TargetTime) {
@@ -158,7 +163,8 @@
 	a.late = a.filterViable(a.late, now, func(*Ticket) bool { return true })
 }
 
-// keep rejects the hopeless of a list and drops those that stay is false for.
+// filterViable rejects requests of a list that cannot be served, and returns those of the rest
+// for which stay is true.
 func (a *Admission) filterViable(list []*Ticket, now time.Time, stay func(*Ticket) bool) []*Ticket {
 	kept := list[:0]
 	for _, t := range list {
@@ -183,8 +189,8 @@
 	return kept
 }
 
-// unserved tells whether a stage has no server that may do its work. Such requests are
-// refused at once: waiting would only take the time in which another try may succeed.
+// lacksServer reports whether a stage has no server that may run it. Such requests are
+// rejected at once: waiting would only use up the time in which a retry may succeed.
 func (a *Admission) lacksServer(r *Request) bool {
 	for _, s := range r.Stages {
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 && (svc.ListedServers == 0 || r.AllowedRegions.Restricted() && !r.AllowedRegions.AllowsAny(svc.Regions)) {
@@ -194,13 +200,13 @@
 	return false
 }
 
-// path is how long the stages of a request take once it is begun.
+// criticalPath returns the expected duration of a request's stages once they start.
 func (a *Admission) criticalPath(r *Request) time.Duration {
 	ends := make([]time.Duration, len(r.Stages))
 	var longest time.Duration
 	for i, s := range r.Stages {
-		for _, after := range s.DependsOn {
-			ends[i] = max(ends[i], ends[after])
+		for _, dependency := range s.DependsOn {
+			ends[i] = max(ends[i], ends[dependency])
 		}
 		if svc, ok := a.service(s.Service); ok && s.Items > 0 {
 			ends[i] += svc.fullCallTime() + callOverhead
@@ -210,7 +216,7 @@
 	return longest
 }
 
-// begin starts what fits, in order.
+// startFitting starts the requests that fit, in order, and returns the others.
 func (a *Admission) startFitting(list []*Ticket, fits func(*Ticket) bool) []*Ticket {
 	kept := list[:0]
 	for _, t := range list {
@@ -224,16 +230,16 @@
 	return kept
 }
 
-// blocked are services for which a request of more worth waits.
+// reservations are the services for which a request of more worth waits.
 type reservations struct {
-	services    map[string]bool
-	resultBytes map[string]int64 // bytes that it needs
+	services    map[string]bool  // services at their limit in flight
+	resultBytes map[string]int64 // result memory that such a request needs, by service
 }
 
-// fits tells whether all services of a request have room for it. A request that
-// does not fit keeps the services that it lacks for itself: others behind it
-// would take each bit of room before it.
-func (a *Admission) fits(t *Ticket, b *reservations) bool {
+// fits reports whether all services of a request have capacity for it. A request that does not
+// fit reserves the services that lack capacity: otherwise requests behind it would take each
+// bit of capacity before it.
+func (a *Admission) fits(t *Ticket, reserved *reservations) bool {
 	fits := true
 	r := t.Request
 	for i, s := range r.Stages {
@@ -242,30 +248,30 @@
 		}
 		svc, ok := a.service(s.Service)
 		if !ok {
-			continue // the batcher tells what is wrong with it
+			continue // the batcher reports the error
 		}
 		at, used := r.position(i), a.inFlight[s.Service]
-		if b.services[s.Service] || used.items > 0 && used.plus(s).exceeds(svc.inFlightLimit(at), 1) {
+		if reserved.services[s.Service] || used.items > 0 && used.plus(s).exceeds(svc.inFlightLimit(at), 1) {
 			fits = false
 			t.BlockedBy, t.BlockedByMemory = s.Service, false
-			b.services[s.Service] = true
+			reserved.services[s.Service] = true
 		}
 		need := int64(s.Items) * s.ResultBytes
-		if at.depth == 0 && (need*smallNeedDivisor > b.resultBytes[s.Service] && b.resultBytes[s.Service] > 0 || svc.resultMemoryFull(need)) {
+		if at.depth == 0 && (need*smallNeedDivisor > reserved.resultBytes[s.Service] && reserved.resultBytes[s.Service] > 0 || svc.resultMemoryFull(need)) {
 			fits = false
 			t.BlockedBy, t.BlockedByMemory = s.Service, true
-			b.resultBytes[s.Service] = max(b.resultBytes[s.Service], need)
+			reserved.resultBytes[s.Service] = max(reserved.resultBytes[s.Service], need)
 		}
 	}
 	return fits
 }
 
-// smallNeed: a request that needs less than this part of the room that another
-// waits for does not keep the other from it.
+// smallNeedDivisor: a request that needs less than this fraction of the memory that another
+// request waits for does not delay the other.
 const smallNeedDivisor = 20
 
-// BeginAgain counts the work of a request once more that has to be repeated;
-// false: it can be of no use any more.
+// Restart counts the work of a request as in flight again for a repetition. It reports false
+// if the request can no longer finish before its deadline.
 func (a *Admission) Restart(t *Ticket, now time.Time) bool {
 	clear(a.serviceCache)
 	t.criticalPath = a.criticalPath(t.Request)
@@ -277,11 +283,13 @@
 	return true
 }
 
+// start admits a request.
 func (a *Admission) start(t *Ticket) {
 	a.addInFlight(t)
 	t.Start()
 }
 
+// addInFlight counts the stages of a request as in flight.
 func (a *Admission) addInFlight(t *Ticket) {
 	for _, s := range t.Request.Stages {
 		a.inFlight[s.Service] = a.inFlight[s.Service].plus(s)
--- a/process/stages/announce.go
+++ b/process/stages/announce.go
@@ -9,12 +9,13 @@
 	"bilberrydale/process/peer"
 )
 
-// meetBound is how long requests wait for the other hosts to be known after a
-// start. Without it all hosts of a fleet that starts at once do the stage work
-// themselves, and their servers refuse most of the calls.
+// peerDiscoveryTimeout bounds how long requests wait after a start until the other hosts are
+// known. Without the wait, all hosts of a fleet that starts at once would run stage work
+// themselves and their servers would refuse most calls.
 const peerDiscoveryTimeout = 1500 * time.Millisecond
 
-// Met tells that the other hosts are known. It may be called more than once.
+// MarkPeersKnown records that the other hosts are known, which lets waiting requests proceed.
+// It may be called more than once.
 func (p *Pool) MarkPeersKnown() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -25,6 +26,7 @@
 	}
 }
 
+// waitForPeers waits until the other hosts are known, at most for peerDiscoveryTimeout.
 func (p *Pool) waitForPeers(ctx context.Context) error {
 	select {
 	case <-p.peersKnown:
@@ -34,25 +36,25 @@
 	select {
 	case <-p.peersKnown:
 	case <-p.clock.After(peerDiscoveryTimeout):
-		p.MarkPeersKnown() // the platform's list cannot be had
+		p.MarkPeersKnown() // the platform's list of hosts is unavailable
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	return nil
 }
 
-// Ask tells whether a host answers.
+// Ping returns an error if the host does not respond.
 func (p *Pool) Ping(ctx context.Context, host string) error {
 	return p.link.Call(ctx, host, methodHello, nil, nil)
 }
 
-// helloHosts of those that may do the work of others hear of a new host at once;
-// the rest find it in the platform's list. All of them would be a handshake
-// between each two hosts when a fleet starts, which takes weak hosts seconds.
+// maxAnnouncedHosts is the number of potential owners that are notified of a new host
+// directly; the others find it in the platform's list. Notifying all of them would need a
+// handshake between every two hosts when a fleet starts, which takes weak hosts seconds.
 const maxAnnouncedHosts = 4
 
-// Hello makes this host known to those that may do the work of others. The call
-// itself proves who calls.
+// Announce makes this host known to the hosts that come first as owners. The call itself
+// authenticates the caller.
 func (p *Pool) Announce() {
 	list := slices.Clone(p.link.Peers())
 	sort.Slice(list, func(i, j int) bool { return peer.Before(list[i], list[j]) })
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -11,19 +11,22 @@
 	"bilberrydale/process/clock"
 )
 
-// Batchers returns the batcher of a service, or nil.
+// BatcherLookup returns the batcher of a service, or nil if there is none.
 type BatcherLookup func(service string) *batcher.Batcher
 
-// Servers returns a backend server as a target of a request; false: it is of no use now,
-// or not allowed.
+// TargetLookup returns a backend server as a target of a request. It reports false if the
+// server is unusable now or lies in a region that the request does not allow.
 type TargetLookup func(id string, r *Request) (Target, bool)
 
-// Log receives what a Coordinator decides.
+// Log receives the outcome of each request's stage work.
 type Log interface {
+	// StageWorkEnded is called once per request. waited is the time until admission or
+	// refusal and took the total time. onTime and lateWaiting are the numbers of requests
+	// that still wait: those that can meet their target latency and those that can't.
 	StageWorkEnded(t *Ticket, waited, took time.Duration, err error, onTime, lateWaiting int)
 }
 
-// Coordinator runs stage work on this host, its own and that of others.
+// Coordinator runs stage work on this host, for its own requests and those of other hosts.
 type Coordinator struct {
 	lookupBatcher BatcherLookup
 	lookupTarget  TargetLookup
@@ -31,14 +34,14 @@
 	log           Log
 
 	prompts promptTracker
-	// tell passes on that a server has read a shared part which others would not expect
-	// there.
+	// announcePrefix passes on that a server has cached a shared prefix which other
+	// regions would not expect there.
 	announcePrefix func(cachedPrefix)
 
 	mu           sync.Mutex
 	admission    *Admission
-	timerPending bool          // a call to pump is due
-	meanWait     time.Duration // mean wait of the last requests to be begun
+	timerPending bool          // a call of schedule is scheduled
+	meanWait     time.Duration // moving mean of the waits for admission
 }
 
 // NewCoordinator returns a coordinator without work.
@@ -48,6 +51,7 @@
 	return k
 }
 
+// service returns the options and current capacity of a service.
 func (k *Coordinator) service(name string) (Service, bool) {
 	b := k.lookupBatcher(name)
 	if b == nil {
@@ -56,20 +60,20 @@
 	return Service{b.Options(), b.Capacity()}, true
 }
 
-// Run has the results of a request made and chooses where it runs. The error is an
-// *Error or ctx's.
+// Run runs the stages of a request and chooses the server that the request runs on. The
+// error is an *Error or ctx's.
 func (k *Coordinator) Run(ctx context.Context, r *Request) (Results, error) {
-	offered := k.clock.Now()
+	queuedAt := k.clock.Now()
 	t, err := k.waitForAdmission(ctx, r)
-	began := k.clock.Now()
-	k.recordWait(began.Sub(offered))
+	admittedAt := k.clock.Now()
+	k.recordWait(admittedAt.Sub(queuedAt))
 	var inputs []Input
 	if err == nil {
 		inputs, err = k.execute(ctx, t, false)
 	}
 	if isInputGone(err) && k.restart(t) {
-		// The server that held a result was lost. The client has waited for
-		// most of its answer already: its request does not wait again.
+		// The server that stored a result was lost. The client has already waited for
+		// most of its response, so its request skips the queue.
 		inputs, err = k.execute(ctx, t, true)
 	}
 	onTime, lateWaiting := k.Waiting()
@@ -77,14 +81,14 @@
 	if err == nil {
 		k.chooseTarget(t, now, inputs)
 	}
-	k.log.StageWorkEnded(t, began.Sub(offered), now.Sub(offered), err, onTime, lateWaiting)
+	k.log.StageWorkEnded(t, admittedAt.Sub(queuedAt), now.Sub(queuedAt), err, onTime, lateWaiting)
 	if err != nil {
 		return Results{}, err
 	}
 	return Results{Inputs: inputs, TargetID: t.TargetID, FetchFrom: t.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
 }
 
-// choose sets the server on which a request runs.
+// chooseTarget sets the server on which a request runs.
 func (k *Coordinator) chooseTarget(t *Ticket, now time.Time, inputs []Input) {
 	r := t.Request
 	targets := k.withCachingServers(now, r)
@@ -95,9 +99,10 @@
 	}
 }
 
-// withHolders returns the targets of a request and the servers that are known to have read
-// its shared part. Its own host named the part's home and servers near itself; without
-// these, a part that a busy home did not read was read once more by each failure domain.
+// withCachingServers returns the targets of a request and the other servers that are known to
+// have cached its shared prefix. The request's own host listed the home server of the prefix
+// and servers near itself; without the others, a prefix that a busy home server did not
+// prefill was prefilled once more by each failure domain.
 func (k *Coordinator) withCachingServers(now time.Time, r *Request) []Target {
 	out := r.Targets
 	for _, id := range k.prompts.holderIDs(now, r.Prompt.LongPrefix) {
@@ -111,18 +116,18 @@
 	return out
 }
 
-// waitShare is the weight of the newest request in the mean wait: the last ten or
-// twenty count, a fraction of a second under load.
+// meanWaitWeight is the weight of the newest request in the moving mean of the waits: the mean
+// covers the last ten or twenty requests, a fraction of a second under load.
 const meanWaitWeight = 0.08
 
+// recordWait adds the wait of one request to the moving mean.
 func (k *Coordinator) recordWait(d time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.meanWait += time.Duration(meanWaitWeight * float64(d-k.meanWait))
 }
 
-// Wait returns the mean time that the last requests waited to be begun, those
-// that were refused included.
+// MeanWait returns the moving mean of the waits for admission, refused requests included.
 func (k *Coordinator) MeanWait() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -134,36 +139,37 @@
 	return errors.As(err, &failed) && failed.Reason == batcher.InputLost
 }
 
-// begin lets a request's work begin once more, if there is time for it.
+// restart admits a request's work once more, if there is time for it.
 func (k *Coordinator) restart(t *Ticket) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.admission.Restart(t, k.clock.Now())
 }
 
-// Waiting returns the number of requests that wait to be begun.
+// Waiting returns the number of requests that wait for admission: those that can still
+// meet their target latency, and late ones.
 func (k *Coordinator) Waiting() (onTime, late int) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.admission.Waiting()
 }
 
-// moved is the reason for work that another host has to take.
+// reasonMoved rejects work that another host has to run.
 const reasonMoved batcher.Reason = "moved"
 
-// moveWaiting gives back what has not begun.
+// rejectWaiting rejects all requests that wait for admission, so that another host runs them.
 func (k *Coordinator) rejectWaiting() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.admission.RejectAll(reasonMoved)
 }
 
-// wait returns when the request is begun.
+// waitForAdmission queues a request and returns once it is admitted.
 func (k *Coordinator) waitForAdmission(ctx context.Context, r *Request) (*Ticket, error) {
-	begun, rejected := make(chan struct{}, 1), make(chan batcher.Reason, 1)
+	admitted, rejected := make(chan struct{}, 1), make(chan batcher.Reason, 1)
 	t := &Ticket{
 		Request: r,
-		Start:   func() { begun <- struct{}{} },
+		Start:   func() { admitted <- struct{}{} },
 		Reject:  func(reason batcher.Reason) { rejected <- reason },
 	}
 	k.mu.Lock()
@@ -171,7 +177,7 @@
 	k.mu.Unlock()
 	k.schedule()
 	select {
-	case <-begun:
+	case <-admitted:
 		return t, nil
 	case reason := <-rejected:
 		return t, &Error{Reason: reason}
@@ -179,7 +185,7 @@
 	}
 	k.mu.Lock()
 	waiting := k.admission.Remove(t)
-	if !waiting && len(begun) > 0 {
+	if !waiting && len(admitted) > 0 {
 		k.releaseStages(r.Stages, t.late)
 	}
 	k.mu.Unlock()
@@ -187,17 +193,18 @@
 	return t, ctx.Err()
 }
 
-// release is called with k.mu held.
+// releaseStages removes stages from the work in flight. The caller holds k.mu.
 func (k *Coordinator) releaseStages(list []Stage, late bool) {
 	for _, s := range list {
 		k.admission.StageFinished(s, late)
 	}
 }
 
-// pumpEvery is how often waiting requests are looked at while nothing else
-// makes room: their chances change with time alone.
+// scheduleInterval is how often waiting requests are reconsidered while no capacity is freed:
+// whether they can be on time changes with time alone.
 const scheduleInterval = 40 * time.Millisecond
 
+// schedule admits and rejects waiting requests, and schedules itself while any wait.
 func (k *Coordinator) schedule() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -214,16 +221,16 @@
 	}
 }
 
-// lateAllowance is the aim of a request that has lost its own: behind those
-// that can still be on time, before those that came much later.
+// lateAllowance sets the target time of a late request: after those of requests that can
+// still be on time, before those of much newer ones.
 const lateAllowance = 2 * time.Second
 
-// work runs the stages of a request that was begun; again tells that results of it were
-// gone before.
-func (k *Coordinator) execute(ctx context.Context, t *Ticket, again bool) ([]Input, error) {
+// execute runs the stages of an admitted request. retried is true if results of the first
+// execution were lost.
+func (k *Coordinator) execute(ctx context.Context, t *Ticket, retried bool) ([]Input, error) {
 	r, late := t.Request, t.late
 	w := &requestWork{
-		coordinator: k, request: r, late: late, retried: again, startedAt: k.clock.Now(), targetTime: r.TargetTime, results: make([][]batcher.Result, len(r.Stages)), remaining: make([]int, len(r.Stages)),
+		coordinator: k, request: r, late: late, retried: retried, startedAt: k.clock.Now(), targetTime: r.TargetTime, results: make([][]batcher.Result, len(r.Stages)), remaining: make([]int, len(r.Stages)),
 		stageStarts: make([]time.Time, len(r.Stages)), stageTimes: make([]time.Duration, len(r.Stages)),
 		finished: make(chan struct{}), inputsFetched: make([]bool, len(r.Stages)),
 	}
@@ -248,13 +255,13 @@
 	return w.inputs, w.err
 }
 
-// done gives up the results of a request, whose prompt was read or will not be.
+// releaseResults frees the results of a request whose prompt was prefilled or will not be.
 func (k *Coordinator) releaseResults(m Results) {
 	k.prompts.promptDone(m.TargetID, workKey{m.RequestID, m.Round})
 	k.freeInputs(m.Inputs...)
 }
 
-// free gives up results at their servers.
+// freeInputs frees results at the servers that store them.
 func (k *Coordinator) freeInputs(list ...Input) {
 	for _, in := range list {
 		if in.Handle == "" {
--- a/process/stages/expectedwait.go
+++ b/process/stages/expectedwait.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// waitNews is what a host's last answer told of the waits there.
+// reportedWait is the mean wait in a host's last response.
 type reportedWait struct {
 	wait time.Duration
 	at   time.Time
 }
 
+// recordWait records the mean wait of a region's owner.
 func (p *Pool) recordWait(region string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -20,17 +21,17 @@
 	p.reportedWaits.Store(&next)
 }
 
-// waitHalfLife lets old news of waits fade, so that a region that gets no work for
-// its waits is tried again.
+// waitHalfLife is the half-life of reported waits: they decay so that a region that gets no
+// work because of its waits is tried again.
 const waitHalfLife = time.Second
 
-// Wait returns how long stage work for a failure domain waits, as far as is known.
-// It takes no lock: each request asks it for several domains.
+// ExpectedWait returns the expected wait for admission of stage work for a failure domain; 0 if
+// nothing is known. It takes no lock because each request calls it for several domains.
 func (p *Pool) ExpectedWait(domain string) time.Duration {
-	news := (*p.reportedWaits.Load())[p.region(domain)]
-	if news.wait <= 0 {
+	reported := (*p.reportedWaits.Load())[p.region(domain)]
+	if reported.wait <= 0 {
 		return 0
 	}
-	age := p.clock.Now().Sub(news.at)
-	return time.Duration(float64(news.wait) * math.Exp2(-age.Seconds()/waitHalfLife.Seconds()))
+	age := p.clock.Now().Sub(reported.at)
+	return time.Duration(float64(reported.wait) * math.Exp2(-age.Seconds()/waitHalfLife.Seconds()))
 }
--- a/process/stages/inputs.go
+++ b/process/stages/inputs.go
@@ -7,13 +7,15 @@
 )
 
 const (
-	// scarceRoom is the share of a service's room below which what is left of it is scarce.
+	// scarceMemoryShare: below this free share of a service's result memory, the memory is scarce.
 	scarceMemoryShare = 0.5
-	// smallResult is the part of a server's room below which a result frees next to nothing.
+	// smallResultShare: freeing a result below this share of a server's result memory gains
+	// next to nothing.
 	smallResultShare = 0.005
 )
 
-// lacksRoom tells whether the servers of a stage have little room for its results left.
+// resultMemoryScarce reports whether the servers of a stage have little free memory for its
+// results.
 func (k *Coordinator) resultMemoryScarce(s Stage) bool {
 	svc, ok := k.service(s.Service)
 	if !ok || float64(s.ResultBytes) < smallResultShare*float64(svc.ResultMemoryBytes) {
@@ -22,11 +24,11 @@
 	return svc.TotalResultBytes > 0 && float64(svc.FreeResultBytes) < scarceMemoryShare*float64(svc.TotalResultBytes)
 }
 
-// fetched gives up the inputs of a stage whose servers have fetched them, if those that
-// made them lack room: kept to the end of the calls, the results of a stage fill its
-// servers, whose calls are then half empty while items wait. It has a price, so that
-// it is done under need only: an item that fails now finds its inputs gone, and the
-// request's work is done anew, for which there has to be time.
+// onInputsFetched frees the inputs of a stage whose servers have fetched them, if the servers
+// that made them are short of result memory. Kept until the calls end, results of a stage
+// fill its servers, whose calls are then half empty while items wait. Freeing early has a
+// price and is therefore limited to scarce memory: an item that fails afterwards finds its
+// inputs gone, and the request's work is repeated, for which there must be time.
 func (w *requestWork) onInputsFetched(stage int, job *batcher.Job) {
 	var scarce []int
 	for _, a := range w.request.Stages[stage].DependsOn {
@@ -49,19 +51,20 @@
 	w.coordinator.freeInputs(used...)
 }
 
-// repeatFactor: work takes longer when it is done anew, for the rest of the call in which
-// an item failed.
+// retryTimeFactor: repeated work takes longer by the rest of the call in which an item failed.
 const retryTimeFactor = 1.5
 
-// mayRepeat tells whether the work can be done once more if an item fails now: it was not
-// done before, and there is time for what it has taken so far and the rest.
+// canRetry reports whether the work can be repeated if an item fails now: it was not repeated
+// before, and the deadline leaves time to repeat what it has taken so far, with the remainder
+// of the current call.
 func (w *requestWork) canRetry() bool {
 	now := w.coordinator.clock.Now()
-	takes := time.Duration(retryTimeFactor * float64(now.Sub(w.startedAt)))
-	return !w.retried && now.Add(takes).Before(w.request.Deadline)
+	needed := time.Duration(retryTimeFactor * float64(now.Sub(w.startedAt)))
+	return !w.retried && now.Add(needed).Before(w.request.Deadline)
 }
 
-// freeUsed gives up the results of stages whose followers are all complete.
+// freeConsumedResults frees results whose dependent stages are all complete, after the
+// completion of a stage.
 func (w *requestWork) freeConsumedResults(stage int) {
 	w.mu.Lock()
 	var used []Input
@@ -75,8 +78,8 @@
 	w.coordinator.freeInputs(used...)
 }
 
-// followers tells whether something holds for all stages that follow a stage. It is called
-// with w.mu held.
+// allSuccessors reports whether holds is true of every stage that depends on a stage. The
+// caller holds w.mu.
 func (w *requestWork) allSuccessors(stage int, holds func(i int) bool) bool {
 	for i, s := range w.request.Stages {
 		for _, a := range s.DependsOn {
@@ -88,8 +91,8 @@
 	return true
 }
 
-// takeResults returns the results of a stage that are to be given up now. It is called
-// with w.mu held.
+// takeResults removes and returns the results of a stage, for the caller to free. The caller
+// holds w.mu.
 func (w *requestWork) takeResults(stage int) []Input {
 	var out []Input
 	for _, r := range w.results[stage] {
@@ -99,6 +102,7 @@
 	return out
 }
 
+// newInput returns the handle of a result as an Input.
 func (w *requestWork) newInput(stage int, r batcher.Result) Input {
 	s := &w.request.Stages[stage]
 	return Input{Handle: r.Handle, ServerID: r.ServerID, Service: s.Service, Bytes: s.ResultBytes, Domain: r.Domain}
--- a/process/stages/latereserve.go
+++ b/process/stages/latereserve.go
@@ -2,29 +2,30 @@
 
 import "time"
 
-// lastChanceShare of the bound on items under way is for late requests whose last
-// chance has come: an overload would otherwise turn requests of the least worth
-// away for as long as it lasts.
+// lateReserveShare of the in-flight limit is for late requests close to their latest start
+// time: a lasting overload would otherwise refuse all requests of the least worth.
 const lateReserveShare = 0.35
 
-// lastChanceTime before its latest begin, a late request takes what is kept
-// for such requests.
+// lateReserveLead is how long before its latest start time a late request may use the
+// reserve.
 const lateReserveLead = 700 * time.Millisecond
 
+// nearLatestStart reports whether a late request may use the reserve.
 func (a *Admission) nearLatestStart(t *Ticket, now time.Time) bool {
 	return now.Add(t.latePath() + lateReserveLead).After(t.Request.Deadline)
 }
 
-// lateFactor is how much longer the stages of a late request may take: it runs
-// behind those that can be on time, while there are most of them. Begun with less
-// time, many are not finished, and their work is lost.
+// latePathFactor is the factor by which the stages of a late request may take longer than
+// their critical path: late requests run after those that can be on time, when there are the
+// most of them. With less time, many would not finish and their work would be lost.
 const latePathFactor = 1.5
 
+// latePath returns the time to allow for the stages of a late request.
 func (t *Ticket) latePath() time.Duration {
 	return time.Duration(latePathFactor * float64(t.criticalPath))
 }
 
-// fitsLate tells whether the part that is kept for last chances has room.
+// fitsLateReserve reports whether the reserve for late requests has capacity for r.
 func (a *Admission) fitsLateReserve(r *Request) bool {
 	for i, s := range r.Stages {
 		svc, ok := a.service(s.Service)
--- a/process/stages/leave.go
+++ b/process/stages/leave.go
@@ -6,8 +6,8 @@
 	"bilberrydale/process/peer"
 )
 
-// Leave tells the other hosts that this one stops. What has begun here goes on;
-// what still waits goes to another host, and so does new work of this one.
+// Leave notifies the other hosts that this host is shutting down. Work in progress continues
+// here. Waiting work and new work of this host go to another host.
 func (p *Pool) Leave() {
 	p.mu.Lock()
 	p.leaving = true
@@ -25,13 +25,14 @@
 	return peer.Marshal(nil)
 }
 
-// Left tells whether a host has said that it stops.
+// HasLeft reports whether a host has announced its shutdown.
 func (p *Pool) HasLeft(id peer.Identity) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.leftIncarnations[id.Host] == id.Incarnation
 }
 
+// markLeft records that the current incarnation of a host is shutting down.
 func (p *Pool) markLeft(host string) {
 	for _, id := range p.link.Peers() {
 		if id.Host == host {
--- a/process/stages/messages.go
+++ b/process/stages/messages.go
@@ -6,7 +6,7 @@
 	"bilberrydale/process/residency"
 )
 
-// Methods between hosts.
+// Methods of the protocol between hosts.
 const (
 	methodRun            peer.Method = "stages.run"
 	methodCancel         peer.Method = "stages.cancel"
@@ -16,8 +16,9 @@
 	methodHello          peer.Method = "stages.hello"
 )
 
-// runRequest asks another host for stage work. Times are from now: the clocks
-// of two hosts do not agree.
+// runRequest asks another host to run stage work. Times are relative to now because the
+// clocks of two hosts differ. Structs are encoded as arrays, so the order of fields is
+// the format.
 type runRequest struct {
 	ID             string
 	Round          int
@@ -33,7 +34,7 @@
 	Prompt         Prompt
 }
 
-// runAnswer is the outcome; Reason is empty if there are Inputs.
+// runResponse is the outcome of a runRequest. Reason is empty on success.
 type runResponse struct {
 	Inputs       []Input
 	TargetID     string
@@ -41,7 +42,7 @@
 	Reason       batcher.Reason
 	Stage        int
 	RetryAfterMS int64
-	MeanWaitMS   int64 // mean wait of requests at the host that did the work
+	MeanWaitMS   int64 // mean wait for admission at the host that ran the work
 }
 
 type cancelRequest struct {
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -8,38 +8,38 @@
 	"bilberrydale/process/residency"
 )
 
-// maxOwners bounds the peers that are tried before this host does the work
-// itself: after a loss of power several that are down may stand before one that
-// is not.
+// maxOwnerAttempts bounds the hosts that are tried before this host runs the work itself:
+// after a power failure, several failed hosts may be ordered before a live one.
 const maxOwnerAttempts = 5
 
-// suspect is a peer that did not answer.
+// suspect is a host that did not respond.
 type suspect struct {
 	until    time.Time
 	failures int
 }
 
-// firstAnswer is how long a host's first answer is awaited: a few ways between
+// ownerConfirmTimeout bounds the wait for a host's first response: a few round trips between
 // regions, and a handshake on a busy host.
 const ownerConfirmTimeout = 400 * time.Millisecond
 
-// findOwner returns the host that does the stage work of a region (empty: of all) for a
-// request that is bound to some regions; empty: this one. A host is the owner only once it
-// has answered: after a loss of power the platform's list still tells of the processes
-// before it, and by these each host of a fleet would name another owner for seconds, which
-// fill the same servers. The answer's connection tells which process is there now.
+// findOwner returns the host that runs the stage work of a region (empty: of all regions) for
+// a request restricted to the allowed regions; empty: this host. A host is used only once it
+// has responded: after a power failure the platform's list still contains old incarnations,
+// by which each host of a fleet would choose a different owner for seconds, and these owners
+// would fill the same servers. The connection of the response identifies the incarnation
+// that is running now.
 func (p *Pool) findOwner(ctx context.Context, region string, allowed residency.Set) string {
 	for failed := 0; failed < maxOwnerAttempts; {
-		owner, known := p.owner(region, allowed)
+		owner, confirmed := p.owner(region, allowed)
 		if owner.Host == p.link.Self().Host {
 			return ""
 		}
-		if known {
+		if confirmed {
 			return owner.Host
 		}
 		err := p.confirmOwner(ctx, owner.Host)
 		if ctx.Err() != nil {
-			return owner.Host // the request is over; asking tells the caller
+			return owner.Host // the request has ended; the caller's call fails with ctx's error
 		}
 		if err != nil {
 			failed++
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// confirm asks a host whether it is there, and notes which process answered.
+// confirmOwner pings a host and records the incarnation that responded.
 func (p *Pool) confirmOwner(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, ownerConfirmTimeout)
 	defer cancel()
@@ -66,24 +66,24 @@
 	return nil
 }
 
-// owner returns the host that comes first for a region and a request, and whether it
-// has answered. Hosts of other regions follow those of the region itself.
-func (p *Pool) owner(region string, allowed residency.Set) (owner peer.Identity, known bool) {
+// owner returns the preferred owner for a region and a request, and whether it has responded.
+// Hosts of other regions are ordered after those of the region itself.
+func (p *Pool) owner(region string, allowed residency.Set) (owner peer.Identity, confirmed bool) {
 	peers := p.link.Peers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	owner = p.selectOwner(peers, region, allowed)
-	known = owner.Host == p.link.Self().Host || p.confirmedIncarnations[owner.Host] == owner.Incarnation
-	// Requests that are bound to regions may have an owner of their own; it is no change.
-	if known && !allowed.Restricted() && owner.Host != p.loggedOwners[region] {
+	confirmed = owner.Host == p.link.Self().Host || p.confirmedIncarnations[owner.Host] == owner.Incarnation
+	// Requests restricted to regions may have a different owner; that is not a change of owner.
+	if confirmed && !allowed.Restricted() && owner.Host != p.loggedOwners[region] {
 		p.loggedOwners[region] = owner.Host
 		p.log.OwnerChanged(region, owner.Host, owner.Incarnation)
 	}
-	return owner, known
+	return owner, confirmed
 }
 
-// first returns the first host that can do the work of a region and may see the
-// request; this one if there is no other. It is called with p.mu held.
+// selectOwner returns the first host that may run the work of a region and receive the
+// request, or this host if there is no other. The caller holds p.mu.
 func (p *Pool) selectOwner(peers []peer.Identity, region string, allowed residency.Set) peer.Identity {
 	self, now := p.link.Self(), p.clock.Now()
 	best, found := self, !p.leaving
@@ -98,27 +98,28 @@
 	return best
 }
 
-// before orders hosts as those that do the work of a region (empty: of all).
+// ownerBefore orders hosts by their preference as owner of a region (empty: of all regions).
 func ownerBefore(region string, a, b peer.Identity) bool {
-	if in, bn := a.Region == region, b.Region == region; region != "" && in != bn {
-		return in
+	if aInRegion, bInRegion := a.Region == region, b.Region == region; region != "" && aInRegion != bInRegion {
+		return aInRegion
 	}
 	return peer.Before(a, b)
 }
 
-// Bounds of the time for which a peer that did not answer is passed over. The
-// first is about a restart; the last bounds what it costs to try a dead one.
+// Bounds of the time for which an unresponsive host is skipped. The minimum is about the
+// duration of a restart; the maximum bounds the cost of trying a failed host.
 const (
 	minSuspectTime = 400 * time.Millisecond
 	maxSuspectTime = 3 * time.Second
 )
 
+// markSuspect skips an unresponsive host for a time that doubles with each failure.
 func (p *Pool) markSuspect(host string, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	s := p.suspects[host]
 	if p.clock.Now().Before(s.until) {
-		return // many calls fail with one connection
+		return // one broken connection fails many calls
 	}
 	s.failures = min(s.failures+1, 8)
 	d := min(minSuspectTime<<(s.failures-1), maxSuspectTime)
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -11,47 +11,47 @@
 	"bilberrydale/process/peer"
 )
 
-// Pool finds the host that does the stage work, and does that of other hosts.
-// It is the first by peer.Before: all see that without an election, and a host
-// that comes back does not take the work away from one like it. While hosts
-// disagree, several do it, which costs fuller calls and some refusals of busy
-// servers, but no wrong result.
+// Pool finds the owner, the host that runs stage work for a region, and serves other hosts
+// when this host is the owner. The owner is the first host by peer.Before: all hosts compute
+// it without an election, and a returning host does not take the work away from an equally
+// strong one. While hosts disagree, several of them run stage work. That causes less full
+// calls and some refusals by busy servers, but no wrong result.
 type Pool struct {
 	link        Link
 	clock       clock.Clock
 	coordinator *Coordinator
 	log         PoolLog
-	// region returns the region whose hosts do the work of requests that run in
-	// a failure domain; empty: any host may.
+	// region returns the region whose hosts run the stage work of requests in a
+	// failure domain; empty: any host may.
 	region func(domain string) string
 
 	reportedWaits atomic.Pointer[map[string]reportedWait] // by region; copied on change
 
 	mu                    sync.Mutex
 	suspects              map[string]suspect
-	confirmedIncarnations map[string]uint64       // incarnations of hosts that have answered
-	leftIncarnations      map[string]uint64       // incarnations of hosts that stop
+	confirmedIncarnations map[string]uint64       // by host; incarnations that have responded
+	leftIncarnations      map[string]uint64       // by host; incarnations that are shutting down
 	remoteWork            map[workKey]*remoteWork // work for other hosts
-	leaving               bool                    // this host stops
+	leaving               bool                    // this host is shutting down
 	peersKnown            chan struct{}           // closed once the other hosts are known
-	loggedOwners          map[string]string       // owner that was logged, by region
-	pendingNotices        []cachedPrefix          // not yet told to other regions
+	loggedOwners          map[string]string       // last logged owner by region
+	pendingNotices        []cachedPrefix          // not yet sent to other regions
 }
 
-// Link is what a Pool needs of the peers.
+// Link is the connection to the other hosts.
 type Link interface {
 	peer.Link
-	// Connected returns the peers to which there is a connection now.
+	// Connected returns the names of the hosts with an open connection.
 	Connected() []string
 }
 
-// PoolLog receives what a Pool believes.
+// PoolLog receives changes of owners.
 type PoolLog interface {
-	// OwnerChanged tells that another host does the stage work from now on;
-	// host is this one's own name if it does it itself.
+	// OwnerChanged reports a new owner of a region's stage work; host is this host's
+	// own name if it is the owner.
 	OwnerChanged(region, host string, incarnation uint64)
-	// OwnerFailed tells that the host did not answer and is passed over.
-	OwnerFailed(host string, until time.Duration, err error)
+	// OwnerFailed reports that a host did not respond and is skipped for the given time.
+	OwnerFailed(host string, skipped time.Duration, err error)
 }
 
 // NewPool returns a pool and registers its handlers with the link.
@@ -71,7 +71,8 @@
 	return p
 }
 
-// Run has the stage work of a request done. The error is an *Error or ctx's.
+// Run runs the stage work of a request on its owner, or on this host if no owner responds.
+// The error is an *Error or ctx's.
 func (p *Pool) Run(ctx context.Context, r *Request) (Results, error) {
 	if err := p.waitForPeers(ctx); err != nil {
 		return Results{}, err
@@ -82,7 +83,7 @@
 		if owner == "" {
 			break
 		}
-		a, err := p.runAtOwner(ctx, owner, r)
+		response, err := p.runAtOwner(ctx, owner, r)
 		if ctx.Err() != nil {
 			p.cancelAtOwner(owner, r)
 			return Results{}, ctx.Err()
@@ -92,80 +93,82 @@
 			continue
 		}
 		p.clearSuspect(owner)
-		p.recordWait(region, time.Duration(a.MeanWaitMS)*time.Millisecond)
-		switch a.Reason {
+		p.recordWait(region, time.Duration(response.MeanWaitMS)*time.Millisecond)
+		switch response.Reason {
 		case "":
-			return Results{Inputs: a.Inputs, Owner: owner, TargetID: a.TargetID, FetchFrom: a.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
+			return Results{Inputs: response.Inputs, Owner: owner, TargetID: response.TargetID, FetchFrom: response.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
 		case reasonMoved:
-			p.markLeft(owner) // its answer came before its notice
+			p.markLeft(owner) // the response arrived before the shutdown notice
 		default:
-			return Results{}, &Error{Stage: a.Stage, Reason: a.Reason, RetryAfter: time.Duration(a.RetryAfterMS) * time.Millisecond}
+			return Results{}, &Error{Stage: response.Stage, Reason: response.Reason, RetryAfter: time.Duration(response.RetryAfterMS) * time.Millisecond}
 		}
 	}
-	made, err := p.coordinator.Run(ctx, r)
+	results, err := p.coordinator.Run(ctx, r)
 	p.recordWait(region, p.coordinator.MeanWait())
-	return made, err
+	return results, err
 }
 
-// A connection that breaks says little of the host: it is asked again, on a new
-// one, for the time of a few resets. One that is gone refuses connections or
-// does not answer within that time.
+// A broken connection is weak evidence of a failed host: the call is retried on a new
+// connection for the time of a few resets. A failed host refuses connections or does not
+// respond within ownerRetryWindow.
 const (
 	ownerRetryWindow = 300 * time.Millisecond
 	ownerRetryPause  = 40 * time.Millisecond
 )
 
-// ask gives the work to a host.
-func (p *Pool) runAtOwner(ctx context.Context, owner string, r *Request) (a runResponse, err error) {
-	failing := time.Time{}
+// runAtOwner runs the work on another host and retries after connection errors.
+func (p *Pool) runAtOwner(ctx context.Context, owner string, r *Request) (response runResponse, err error) {
+	failingSince := time.Time{}
 	for {
-		a = runResponse{}
-		began := p.clock.Now()
-		err = p.link.Call(ctx, owner, methodRun, p.newRunRequest(r), &a)
+		response = runResponse{}
+		callStart := p.clock.Now()
+		err = p.link.Call(ctx, owner, methodRun, p.newRunRequest(r), &response)
 		if err == nil || ctx.Err() != nil || errors.Is(err, peer.ErrRefused) {
-			return a, err
+			return response, err
 		}
-		if failing.IsZero() {
-			failing = began
+		if failingSince.IsZero() {
+			failingSince = callStart
 			if errors.Is(err, peer.ErrNoAnswer) {
-				failing = p.clock.Now() // it was there until now
+				failingSince = p.clock.Now() // the host was reachable until now
 			}
 		}
-		if p.clock.Now().Sub(failing) >= ownerRetryWindow {
-			return a, err
+		if p.clock.Now().Sub(failingSince) >= ownerRetryWindow {
+			return response, err
 		}
 		select {
 		case <-p.clock.After(ownerRetryPause):
 		case <-ctx.Done():
-			return a, ctx.Err()
+			return response, ctx.Err()
 		}
 	}
 }
 
-// Waiting returns the number of requests that wait here for their stage work to
-// begin, and of those that are late already.
+// Waiting returns the number of requests that wait for admission here, and how many of them
+// can no longer meet their target latency (late).
 func (p *Pool) Waiting() (onTime, late int) { return p.coordinator.Waiting() }
 
-// tell sends something that may be lost: who misses it finds out by the
+// notify sends a message that may be lost: a host that misses it learns the same from the
 // platform's list.
 func (p *Pool) notify(host string, m peer.Method) { p.sendAsync(host, m, nil) }
 
-func (p *Pool) sendAsync(host string, m peer.Method, what any) {
+// sendAsync calls a method of another host in the background and ignores errors.
+func (p *Pool) sendAsync(host string, m peer.Method, payload any) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), notifyTimeout)
 		defer stop()
-		_ = p.link.Call(ctx, host, m, what, nil)
+		_ = p.link.Call(ctx, host, m, payload, nil)
 	}()
 }
 
-// tellBound is the time to tell another host something that may be lost.
+// notifyTimeout bounds the delivery of a message that may be lost.
 const notifyTimeout = time.Second
 
+// cancelAtOwner cancels the work of a request on its owner, in the background.
 func (p *Pool) cancelAtOwner(owner string, r *Request) {
 	go func() {
 		ctx, stop := context.WithTimeout(context.Background(), notifyTimeout)
 		defer stop()
-		// If it is lost, the items are made in vain and free themselves.
+		// If the message is lost, the items run unused and their results expire.
 		_ = p.link.Call(ctx, owner, methodCancel, cancelRequest{r.ID, r.Round}, nil)
 	}()
 }
@@ -184,8 +187,8 @@
 	return peer.Marshal(nil)
 }
 
-// Free gives up results that are no longer needed, once the request has read them or
-// has ended. It returns at once.
+// Free releases results once the request has read them or has ended. It returns
+// immediately.
 func (p *Pool) Free(m Results) {
 	if len(m.Inputs) == 0 && m.TargetID == "" {
 		return
--- a/process/stages/prefixes.go
+++ b/process/stages/prefixes.go
@@ -8,37 +8,37 @@
 	"bilberrydale/process/residency"
 )
 
-// heldPart is a shared part of prompts and a server that has read it.
+// cachedPrefix names a shared prompt prefix and a server that has it in its cache.
 type cachedPrefix struct {
 	Prefix   string
 	ServerID string
 }
 
 const (
-	// leastTold is the reading time of a part that is worth a word to other regions.
+	// minAnnouncedPrefill is the shortest prefill time of a prefix that is announced to other regions.
 	minAnnouncedPrefill = 2 * time.Millisecond
-	// tellHoldsEvery is how long news is gathered.
+	// prefixNoticeDelay is how long notices are collected before they are sent.
 	prefixNoticeDelay = 100 * time.Millisecond
-	// maxHolds bounds a message.
+	// maxPrefixNotices bounds the number of notices in a message.
 	maxPrefixNotices = 512
 )
 
-// tellHolder tells the hosts that do the stage work of other regions that a server has
-// read a part which they would not expect there. Each region sees only its own requests:
-// without this a part that a busy home did not read is read there once more for each
-// other region.
-func (p *Pool) queuePrefixNotice(h cachedPrefix) {
+// queuePrefixNotice schedules a notice to the owners of other regions that a server has
+// cached a prefix which they would not expect there. Each region's owner handles only its
+// own requests: without the notice, a prefix that a busy home server did not prefill would
+// be prefilled there once more for each other region.
+func (p *Pool) queuePrefixNotice(notice cachedPrefix) {
 	if p.region(p.link.Self().Domain) == "" {
-		return // all requests come by one host
+		return // a single host owns all requests
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if len(p.pendingNotices) == maxPrefixNotices {
-		return // they read it again
+		return // the other regions prefill the prefix again
 	}
-	p.pendingNotices = append(p.pendingNotices, h)
+	p.pendingNotices = append(p.pendingNotices, notice)
 	if len(p.pendingNotices) > 1 {
-		return // a message is due
+		return // a message is already scheduled
 	}
 	go func() {
 		<-p.clock.After(prefixNoticeDelay)
@@ -46,20 +46,21 @@
 	}()
 }
 
+// sendPrefixNotices sends the pending notices to the owners of the other regions.
 func (p *Pool) sendPrefixNotices() {
 	peers := p.link.Peers()
 	p.mu.Lock()
-	news := p.pendingNotices
+	notices := p.pendingNotices
 	p.pendingNotices = nil
 	owners := p.ownersOfOtherRegions(peers)
 	p.mu.Unlock()
 	for _, host := range owners {
-		p.sendAsync(host, methodCachedPrefixes, news)
+		p.sendAsync(host, methodCachedPrefixes, notices)
 	}
 }
 
-// otherOwners returns the hosts that come first for the other regions. It is called with
-// p.mu held.
+// ownersOfOtherRegions returns the hosts that come first as owners of the other regions. The
+// caller holds p.mu.
 func (p *Pool) ownersOfOtherRegions(peers []peer.Identity) []string {
 	self := p.link.Self()
 	seen := map[string]bool{self.Region: true}
@@ -77,13 +78,13 @@
 }
 
 func (p *Pool) serveCachedPrefixes(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
-	var news []cachedPrefix
-	if err := peer.Unmarshal(payload, &news); err != nil {
+	var notices []cachedPrefix
+	if err := peer.Unmarshal(payload, &notices); err != nil {
 		return nil, err
 	}
 	now := p.clock.Now()
-	for _, h := range news[:min(len(news), maxPrefixNotices)] {
-		p.coordinator.prompts.recordRemoteHolder(now, h)
+	for _, notice := range notices[:min(len(notices), maxPrefixNotices)] {
+		p.coordinator.prompts.recordRemoteHolder(now, notice)
 	}
 	return peer.Marshal(nil)
 }
--- a/process/stages/serve.go
+++ b/process/stages/serve.go
@@ -9,22 +9,22 @@
 	"bilberrydale/process/peer"
 )
 
-// workKey names the work of one request for another host.
+// workKey identifies the stage work of one round of a request.
 type workKey struct {
 	id    string
 	round int
 }
 
-// shared is work for another host. That host asks again when its connection
-// breaks; it then waits for the same work instead of having it done twice.
+// remoteWork is work for another host. If its connection breaks, that host retries and waits
+// for the same work instead of running it twice.
 type remoteWork struct {
 	done     chan struct{}
-	response runResponse // once done is closed
+	response runResponse // set before done is closed
 	cancel   context.CancelFunc
 }
 
-// keptAnswer is how long an answer is kept for a host that did not get it: a
-// silent connection is noticed and opened again within that time.
+// responseTTL is how long a response is kept for a host that did not receive it: the host
+// detects an unresponsive connection and reconnects within that time.
 const responseTTL = 3 * time.Second
 
 func (p *Pool) serveRun(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
@@ -47,8 +47,8 @@
 	}
 }
 
-// share returns the work for a request, which may be under way already; nil if
-// this host takes none any more.
+// joinOrStart returns the work for a request, which may already be running; nil if this host
+// is shutting down and accepts no new work.
 func (p *Pool) joinOrStart(q *runRequest) *remoteWork {
 	key := workKey{q.ID, q.Round}
 	p.mu.Lock()
@@ -59,8 +59,8 @@
 	if p.leaving {
 		return nil
 	}
-	die := time.Duration(q.DeadlineMS) * time.Millisecond
-	ctx, cancel := context.WithTimeout(context.Background(), max(die, 0))
+	timeout := time.Duration(q.DeadlineMS) * time.Millisecond
+	ctx, cancel := context.WithTimeout(context.Background(), max(timeout, 0))
 	work := &remoteWork{done: make(chan struct{}), cancel: cancel}
 	p.remoteWork[key] = work
 	go func() {
@@ -77,9 +77,10 @@
 	return work
 }
 
+// runLocally runs the work of another host's request on this host.
 func (p *Pool) runLocally(ctx context.Context, q *runRequest) runResponse {
 	now := p.clock.Now()
-	made, err := p.coordinator.Run(ctx, &Request{
+	results, err := p.coordinator.Run(ctx, &Request{
 		ID: q.ID, Round: q.Round, InputKey: q.InputKey, RunDomain: q.RunDomain, HostDomain: q.HostDomain, AllowedRegions: q.AllowedRegions, Stages: q.Stages, Worth: q.Worth, Targets: q.Targets, Prompt: q.Prompt,
 		TargetTime: now.Add(time.Duration(q.TargetMS) * time.Millisecond),
 		Deadline:   now.Add(time.Duration(q.DeadlineMS) * time.Millisecond),
@@ -87,16 +88,17 @@
 	var failed *Error
 	switch {
 	case err == nil:
-		return runResponse{Inputs: made.Inputs, TargetID: made.TargetID, FetchFrom: made.FetchFrom}
+		return runResponse{Inputs: results.Inputs, TargetID: results.TargetID, FetchFrom: results.FetchFrom}
 	case errors.As(err, &failed):
 		return runResponse{Reason: failed.Reason, Stage: failed.Stage, RetryAfterMS: failed.RetryAfter.Milliseconds()}
-	default: // of ctx: the time is over, or the request
+	default: // ctx's error: the deadline has passed, or the request was cancelled
 		return runResponse{Reason: batcher.TooLate}
 	}
 }
 
-var errStageOrder = errors.New("stages: a stage follows a later one")
+var errStageOrder = errors.New("stages: a stage depends on itself or on a later stage")
 
+// validateStages checks that stages depend on earlier stages only.
 func validateStages(list []Stage) error {
 	for i, s := range list {
 		for _, a := range s.DependsOn {
--- a/process/stages/stages.go
+++ b/process/stages/stages.go
@@ -1,9 +1,8 @@
-// Package stages has the results made that a request needs before it can run.
-// One host collects the stage work of all hosts: only there can items of many
-// requests share calls, and only there is it known what is already under way,
-// so that a request is begun when all its stages have room for it and not
-// before. Work that was begun and cannot be finished in time is the
-// most costly waste.
+// Package stages runs the preparatory stages of requests on backend servers. One host,
+// the owner, runs the stage work of all hosts of a region (or of all regions): only there
+// can items of many requests share calls, and only the owner has the full count of the work
+// in flight. It admits a request when every service of its stages has capacity for it, and
+// not before: work that was started and cannot finish in time is the most costly waste.
 package stages
 
 import (
@@ -18,33 +17,33 @@
 type Stage struct {
 	Service     string
 	DependsOn   []int // indexes of the stages whose results it needs
-	Items       int   // 0: the stage is left out
-	ResultBytes int64 // approximate size of one result
+	Items       int   // 0: the stage is skipped
+	ResultBytes int64 // approximate size of the result of one item
 }
 
-// Request is the stage work of one request.
+// Request describes the stage work of one request.
 type Request struct {
 	ID string
-	// Round counts how often the results were made for this request: results
-	// that were lost are made again, under the next number.
+	// Round numbers the executions of the request's stages: lost results are recomputed
+	// in the next round.
 	Round      int
-	InputKey   string // input of the stages that follow no other
-	RunDomain  string // failure domain where the results will be used
+	InputKey   string // input of the stages that depend on no other
+	RunDomain  string // failure domain where the request is expected to use the results
 	HostDomain string // failure domain of the host that runs the request
-	// Allowed are the regions in which the work may be done and collected.
+	// AllowedRegions restricts where the work may run and which hosts may own it.
 	AllowedRegions residency.Set
 	Stages         []Stage
-	// AimBy is when the results have to be there for the request to keep its
-	// target latency; DieBy is when they are of no use any more.
+	// TargetTime is when the results must be ready for the request to meet its target
+	// latency. Deadline is when they become useless.
 	TargetTime, Deadline time.Time
-	Worth                float64 // of the whole request, relative to others
-	// Targets are the servers on which the request may run, of which one is chosen
-	// when the results are there, and Prompt is what it will read.
+	Worth                float64 // weight of one completed request relative to others
+	// Targets are the candidate servers for the request itself. One is chosen when the
+	// results are ready. Prompt describes what that server will prefill.
 	Targets []Target
 	Prompt  Prompt
 }
 
-// last returns the indexes of the stages that no other stage follows.
+// finalStages returns the indexes of the stages that no other stage depends on.
 func (r *Request) finalStages() []int {
 	followed := make([]bool, len(r.Stages))
 	for _, s := range r.Stages {
@@ -61,7 +60,7 @@
 	return out
 }
 
-// position is where a stage stands in the request's work.
+// position returns the position of a stage in the request's dependency graph.
 func (r *Request) position(i int) stagePosition {
 	at := stagePosition{depth: r.depth(i)}
 	for _, s := range r.Stages {
@@ -70,7 +69,8 @@
 	return at
 }
 
-// depth is the number of stages before a stage, on the longest chain.
+// depth returns the number of stages on the longest dependency chain before stage i. Skipped
+// stages don't count.
 func (r *Request) depth(i int) int {
 	d := 0
 	for _, a := range r.Stages[i].DependsOn {
@@ -83,26 +83,27 @@
 	return d
 }
 
-// Input is one result that the request needs.
+// Input is the handle of one stage result that the request needs.
 type Input struct {
 	Handle   string
-	ServerID string // which holds it
+	ServerID string // server that stores the result
 	Service  string
 	Bytes    int64
-	Domain   string `msgpack:"-"` // of the server; known where the work was done
+	Domain   string `msgpack:"-"` // failure domain of the server; set only on the host that ran the work
 }
 
-// Made are the results that a request needs, and the host that knows of them.
+// Results lists the stage results of a request, the host that owns them, and the server
+// chosen to run the request.
 type Results struct {
 	Inputs    []Input
-	Owner     string // empty: this host
-	TargetID  string // id of the server to run on; empty: none was chosen
-	FetchFrom string // id of a server that has read a part of the prompt; empty: none
-	RequestID string // of the request
+	Owner     string // host that ran the work; empty: this host
+	TargetID  string // server to run on; empty: none was chosen
+	FetchFrom string // server that has cached a prefix of the prompt; empty: none
+	RequestID string
 	Round     int
 }
 
-// Handles returns the names of the results.
+// Handles returns the handles of the results.
 func (m Results) Handles() []string {
 	out := make([]string, len(m.Inputs))
 	for i, in := range m.Inputs {
@@ -111,11 +112,11 @@
 	return out
 }
 
-// Error tells why a request's stage work was not done.
+// Error reports why a request's stage work failed.
 type Error struct {
 	Stage  int
 	Reason batcher.Reason
-	// Ready is when there may be room again; 0: not known.
+	// RetryAfter is when capacity may be available again; 0: unknown.
 	RetryAfter time.Duration
 }
 
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -9,92 +9,92 @@
 	"bilberrydale/process/balance"
 )
 
-// Target is a backend server on which a request may run once its results are made.
+// Target is a backend server that a request may run on once its stage results are ready.
 type Target struct {
 	ID     string
 	Domain string        // failure domain
-	Cost   time.Duration // of running there, but for results, reading and what was read
-	// Home is the server that is likely to have read the shared part of the prompt
-	// if nothing is known of it.
+	Cost   time.Duration // cost of the request there, without transfer of results, prefill and cache hits
+	// Home reports that the server is likely to have cached the shared prompt prefix if
+	// no holder of the prefix is known.
 	Home bool
 }
 
-// near returns the targets with what it costs each that results lie in other failure
-// domains.
+// withTransferCost returns the targets with the cost of transferring results from other
+// failure domains added.
 func withTransferCost(list []Target, inputs []Input) []Target {
-	var all int64
-	at := map[string]int64{}
+	var total int64
+	byDomain := map[string]int64{}
 	for _, in := range inputs {
-		all += in.Bytes
-		at[in.Domain] += in.Bytes
+		total += in.Bytes
+		byDomain[in.Domain] += in.Bytes
 	}
 	out := slices.Clone(list)
 	for i := range out {
-		out[i].Cost += balance.RemoteInputCost(all - at[out[i].Domain])
+		out[i].Cost += balance.RemoteInputCost(total - byDomain[out[i].Domain])
 	}
 	return out
 }
 
-// Prompt is what a server reads of a request.
+// Prompt describes the prompt that a server has to prefill for a request.
 type Prompt struct {
-	LongPrefix    string        // the longest part that other requests share; empty: none
-	ShortPrefix   string        // the shared part before it, which more requests share; empty: none
-	CacheGain     time.Duration // that a server is worth that has read the part
-	SharedPrefill time.Duration // that the part takes to read
-	FetchTime     time.Duration // that the part takes to get from another server; 0: it cannot
-	OwnPrefill    time.Duration // that the rest takes
+	LongPrefix    string        // key of the longest prefix shared with other requests; empty: none
+	ShortPrefix   string        // key of a shorter prefix shared by more requests; empty: none
+	CacheGain     time.Duration // cost reduction at a server that has cached the long prefix
+	SharedPrefill time.Duration // prefill time of the long prefix
+	FetchTime     time.Duration // time to transfer the long prefix from another server; 0: not possible
+	OwnPrefill    time.Duration // prefill time of the rest of the prompt
 }
 
-// readings are the prompts that servers read and have read, of the requests whose
-// stage work was done here. All hosts' requests come by this one: each host by itself
-// sees too few of them to tell that a server has three long prompts to read, or where
-// else a part was read when its home was busy; and what servers report comes after
-// the fact.
+// promptTracker tracks the prompts that servers are prefilling and the prefixes in their
+// caches, for the requests whose stage work ran here. The owner handles the requests of all
+// hosts: each host alone sees too few of them to detect that a server has three long prompts
+// to prefill, or which other server cached a prefix while its home server was busy. Load
+// reports of servers arrive too late for this.
 type promptTracker struct {
 	mu              sync.Mutex
 	pendingByServer map[string][]pendingPrompt
 	holdersByPrefix map[string][]prefixHolder
-	announcedAt     map[string]time.Time // when other regions were last told of a part
+	announcedAt     map[string]time.Time // when other regions were last notified, by prefix
 }
 
-// reading is a prompt that was given to a server and whose answer has not begun.
+// pendingPrompt is a prompt that was assigned to a server and whose response has not started.
 type pendingPrompt struct {
 	request    workKey
-	duration   time.Duration
+	duration   time.Duration // estimated time to prefill it or to transfer its prefix
 	assignedAt time.Time
 }
 
-// holder is a server that has read a part.
+// prefixHolder is a server that has cached a prefix, or is prefilling it.
 type prefixHolder struct {
 	serverID string
-	domain   string    // failure domain; empty: not known
-	lastUsed time.Time // of the last request with the part
-	readyAt  time.Time // when it will have read the part
+	domain   string    // failure domain; empty: unknown
+	lastUsed time.Time // time of the last request with the prefix
+	readyAt  time.Time // when the server will have the prefix
 }
 
 const (
-	// lostReading is when a prompt no longer counts though nobody told that it was
-	// read: the host that would have told is gone, or its message is.
+	// pendingTimeout is when a prompt stops counting although no host reported its prefill:
+	// the host that should report it has failed, or its message was lost.
 	pendingTimeout = 3 * time.Second
-	// partKept is how long a server keeps what it has read: the memory of engines
-	// holds a minute's prompts, less under bursts.
+	// prefixTTL is how long a server is expected to keep a prefix: the caches of engines
+	// hold the prompts of a minute, and less during bursts.
 	prefixTTL = 20 * time.Second
-	// maxParts bounds the parts that are remembered.
+	// maxTrackedPrefixes bounds the number of prefixes in each map.
 	maxTrackedPrefixes = 8192
 )
 
 const (
-	// waitWeight is what a wait costs that does not make its request late: others
-	// wait behind it, and its results fill their servers' room meanwhile.
+	// waitWeight is the cost per unit of a wait that does not make its request late: other
+	// requests queue behind it, and its results occupy memory of their servers meanwhile.
 	waitWeight = 0.3
-	// slackShare of the time to a request's aim may be spent on waiting: what a
-	// server still has to read is only estimated.
+	// slackShare is the share of the time until a request's target time that it may spend
+	// waiting: the pending prefill time of a server is only an estimate.
 	slackShare = 0.5
 )
 
-// waitCost is what a wait costs a request that has some time left to its aim. The
-// whole wait counts only where it would make the request late: a part that is read
-// again elsewhere takes another server's time.
+// waitCost returns the cost of a wait for a request with some slack until its target time.
+// The part of the wait that would make the request late counts fully, the rest by waitWeight:
+// prefilling a prefix again elsewhere takes another server's time.
 func waitCost(wait, slack time.Duration) time.Duration {
 	cost := time.Duration(waitWeight * float64(wait))
 	if over := wait - time.Duration(slackShare*float64(slack)); slack > 0 && over > 0 {
@@ -103,21 +103,21 @@
 	return cost
 }
 
-// choice is the server on which a request runs; empty: there is none.
+// choice is the server chosen for a request; serverID is empty if there is none.
 type choice struct {
 	serverID  string
-	wait      time.Duration // for other prompts there
-	fetchFrom string        // server from which it gets the request's shared part; empty: none
-	// tell: other regions have to hear that it has the request's shared part.
+	wait      time.Duration // for other prompts pending there
+	fetchFrom string        // server to transfer the shared prefix from; empty: none
+	// announce: other regions must be notified that the server has the shared prefix.
 	announce bool
 }
 
-// choose returns the cheapest of the targets for a request with some time left to its
-// aim. Its prompt counts there from now on.
+// choose returns the cheapest target for a request with some slack until its target time, and
+// counts its prompt as pending there.
 func (r *promptTracker) choose(now time.Time, request workKey, slack time.Duration, p Prompt, list []Target) choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	holders, prefixed := r.currentHolders(now, p.LongPrefix), r.currentHolders(now, p.ShortPrefix)
+	holders, shortHolders := r.currentHolders(now, p.LongPrefix), r.currentHolders(now, p.ShortPrefix)
 	var best option
 	for _, t := range list {
 		if o := r.evaluate(now, slack, p, holders, t); best.ID == "" || o.totalCost < best.totalCost {
@@ -128,29 +128,29 @@
 		return choice{}
 	}
 	if best.fetchFrom == "" && p.FetchTime > 0 {
-		// Also where the server is believed to have the part: it may have dropped it, and
-		// transfers nothing if it has not.
-		best.fetchFrom = cmp.Or(fetchSource(now, holders, best.Target), fetchSource(now, prefixed, best.Target))
+		// This includes a server that is expected to have the prefix: it may have evicted it,
+		// and nothing is transferred if it has not.
+		best.fetchFrom = cmp.Or(fetchSource(now, holders, best.Target), fetchSource(now, shortHolders, best.Target))
 	}
 	r.setPending(best.ID, append(r.pendingByServer[best.ID], pendingPrompt{request, best.duration, now}))
-	one := prefixHolder{best.ID, best.Domain, now, now.Add(best.wait + best.duration)}
-	r.recordHolder(p.LongPrefix, holders, one)
-	r.recordHolder(p.ShortPrefix, prefixed, one)
+	assigned := prefixHolder{best.ID, best.Domain, now, now.Add(best.wait + best.duration)}
+	r.recordHolder(p.LongPrefix, holders, assigned)
+	r.recordHolder(p.ShortPrefix, shortHolders, assigned)
 	return choice{serverID: best.ID, wait: best.wait, fetchFrom: best.fetchFrom, announce: r.claimAnnouncement(now, p, best.unexpected)}
 }
 
-// option is what one target means to a request.
+// option is one target with its cost for a request.
 type option struct {
 	Target
 	totalCost  time.Duration
-	wait       time.Duration // for other prompts there
-	duration   time.Duration // to read the prompt, or to get it
-	cached     bool          // it has the shared part
-	fetchFrom  string        // server from which it gets the part; empty: it has it, or reads it
-	unexpected bool          // nobody else would know that it has the part
+	wait       time.Duration // for other prompts pending there
+	duration   time.Duration // to prefill the prompt, or to transfer its prefix
+	cached     bool          // the server has the shared prefix
+	fetchFrom  string        // server to transfer the prefix from; empty: it is cached or prefilled
+	unexpected bool          // no other region would expect the prefix there
 }
 
-// option is called with r.mu held.
+// evaluate returns a target with its cost for a request. The caller holds r.mu.
 func (r *promptTracker) evaluate(now time.Time, slack time.Duration, p Prompt, holders []prefixHolder, t Target) option {
 	o := option{Target: t, wait: r.pendingTime(now, t.ID), duration: p.OwnPrefill, cached: hasPrefix(holders, t)}
 	o.totalCost = t.Cost + waitCost(o.wait, slack)
@@ -170,36 +170,39 @@
 	return o
 }
 
-// tells reports whether other regions have to hear that a server has a part, and notes
-// that they do. It is called with r.mu held.
-func (r *promptTracker) claimAnnouncement(now time.Time, p Prompt, news bool) bool {
-	if p.LongPrefix == "" || p.SharedPrefill < minAnnouncedPrefill || !news && !r.announcementDue(now, p) {
+// claimAnnouncement reports whether other regions must be notified of the holder of a prefix,
+// and records that they are. unexpected is true if no other region would expect the prefix
+// there. The caller holds r.mu.
+func (r *promptTracker) claimAnnouncement(now time.Time, p Prompt, unexpected bool) bool {
+	if p.LongPrefix == "" || p.SharedPrefill < minAnnouncedPrefill || !unexpected && !r.announcementDue(now, p) {
 		return false
 	}
 	r.recordAnnouncement(now, p.LongPrefix)
 	return true
 }
 
-// tellAgain is how long after they were told of a part other regions can still take it
-// that some server has it.
+// announceInterval is the time after which a prefix in use is announced again, well before
+// other regions drop its holder.
 const announceInterval = prefixTTL / 4
 
-// due tells whether other regions have to hear of a part again: they would forget who
-// has it, though it is used here. It is called with r.mu held.
+// announcementDue reports whether other regions must be notified of a prefix again: they would
+// drop its holder from their records although the prefix is in use here. The caller holds
+// r.mu.
 func (r *promptTracker) announcementDue(now time.Time, p Prompt) bool {
 	return p.FetchTime > 0 && now.Sub(r.announcedAt[p.LongPrefix]) >= announceInterval
 }
 
-// noteTold is called with r.mu held.
-func (r *promptTracker) recordAnnouncement(now time.Time, part string) {
+// recordAnnouncement records a notification of other regions. The caller holds r.mu.
+func (r *promptTracker) recordAnnouncement(now time.Time, prefix string) {
 	if r.announcedAt == nil || len(r.announcedAt) >= maxTrackedPrefixes {
 		r.announcedAt = map[string]time.Time{}
 	}
-	r.announcedAt[part] = now
+	r.announcedAt[prefix] = now
 }
 
-// fetchSource returns the server from which a target gets a shared part: the one that used
-// it last, in the target's own failure domain if there is one; empty: none has read it yet.
+// fetchSource returns the server from which a target transfers a shared prefix: the most recent
+// user of the prefix, preferably in the target's own failure domain; empty: no other server
+// has the prefix yet.
 func fetchSource(now time.Time, holders []prefixHolder, to Target) string {
 	best, near := "", false
 	for _, h := range holders {
@@ -213,24 +216,26 @@
 	return best
 }
 
-// known returns the servers that have read a part, as far as is known here.
-func (r *promptTracker) holderIDs(now time.Time, part string) []string {
+// holderIDs returns the known servers that have cached a prefix.
+func (r *promptTracker) holderIDs(now time.Time, prefix string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []string
-	for _, h := range r.currentHolders(now, part) {
+	for _, h := range r.currentHolders(now, prefix) {
 		out = append(out, h.serverID)
 	}
 	return out
 }
 
-// heard notes what another region's host has told of a server.
+// recordRemoteHolder records a notice from another region's owner.
 func (r *promptTracker) recordRemoteHolder(now time.Time, h cachedPrefix) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordHolder(h.Prefix, r.currentHolders(now, h.Prefix), prefixHolder{serverID: h.ServerID, lastUsed: now, readyAt: now})
 }
 
+// hasPrefix reports whether a target has the prefix of holders. If no holder is known, the home
+// server counts as one.
 func hasPrefix(holders []prefixHolder, t Target) bool {
 	if len(holders) == 0 {
 		return t.Home
@@ -238,29 +243,31 @@
 	return slices.ContainsFunc(holders, func(h prefixHolder) bool { return h.serverID == t.ID })
 }
 
-// holders returns the servers that have read a part. It is called with r.mu held.
-func (r *promptTracker) currentHolders(now time.Time, part string) []prefixHolder {
-	return slices.DeleteFunc(r.holdersByPrefix[part], func(h prefixHolder) bool { return now.Sub(h.lastUsed) >= prefixTTL })
+// currentHolders returns the servers that have a prefix and used it within prefixTTL. The caller
+// holds r.mu.
+func (r *promptTracker) currentHolders(now time.Time, prefix string) []prefixHolder {
+	return slices.DeleteFunc(r.holdersByPrefix[prefix], func(h prefixHolder) bool { return now.Sub(h.lastUsed) >= prefixTTL })
 }
 
-// hold notes that a server reads a part. It is called with r.mu held.
-func (r *promptTracker) recordHolder(part string, holders []prefixHolder, one prefixHolder) {
-	if part == "" {
+// recordHolder records that a server has or prefills a prefix. The caller holds r.mu.
+func (r *promptTracker) recordHolder(prefix string, holders []prefixHolder, added prefixHolder) {
+	if prefix == "" {
 		return
 	}
 	if r.holdersByPrefix == nil || len(r.holdersByPrefix) >= maxTrackedPrefixes {
 		r.holdersByPrefix = map[string][]prefixHolder{}
 	}
 	holders = slices.DeleteFunc(holders, func(h prefixHolder) bool {
-		if h.serverID == one.serverID && h.readyAt.Before(one.readyAt) {
-			one.readyAt = h.readyAt
+		if h.serverID == added.serverID && h.readyAt.Before(added.readyAt) {
+			added.readyAt = h.readyAt
 		}
-		return h.serverID == one.serverID
+		return h.serverID == added.serverID
 	})
-	r.holdersByPrefix[part] = append(holders, one)
+	r.holdersByPrefix[prefix] = append(holders, added)
 }
 
-// wait is how long a server reads what it was given. It is called with r.mu held.
+// pendingTime returns the estimated time until a server has prefilled its pending prompts. The
+// caller holds r.mu.
 func (r *promptTracker) pendingTime(now time.Time, server string) time.Duration {
 	list := r.pendingByServer[server]
 	for len(list) > 0 && now.Sub(list[0].assignedAt) >= pendingTimeout {
@@ -268,21 +275,21 @@
 	}
 	r.setPending(server, list)
 	var sum time.Duration
-	for _, one := range list {
-		sum += one.duration
+	for _, prompt := range list {
+		sum += prompt.duration
 	}
 	return sum
 }
 
-// done notes that a prompt was read, or will not be.
+// promptDone records that a prompt was prefilled, or will not be.
 func (r *promptTracker) promptDone(server string, request workKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	list := slices.DeleteFunc(r.pendingByServer[server], func(one pendingPrompt) bool { return one.request == request })
+	list := slices.DeleteFunc(r.pendingByServer[server], func(prompt pendingPrompt) bool { return prompt.request == request })
 	r.setPending(server, list)
 }
 
-// set is called with r.mu held.
+// setPending replaces the list of a server's pending prompts. The caller holds r.mu.
 func (r *promptTracker) setPending(server string, list []pendingPrompt) {
 	switch {
 	case len(list) == 0:
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -7,24 +7,25 @@
 	"bilberrydale/process/batcher"
 )
 
-// work is the state of one request's stages.
+// requestWork is the state of one execution of a request's stages.
 type requestWork struct {
-	coordinator   *Coordinator
-	request       *Request
-	late          bool
-	retried       bool // results were gone the first time
-	startedAt     time.Time
-	targetTime    time.Time
-	finished      chan struct{}
-	inputs        []Input
-	err           error
+	coordinator *Coordinator
+	request     *Request
+	late        bool
+	retried     bool // results of the first execution were lost
+	startedAt   time.Time
+	targetTime  time.Time
+	finished    chan struct{} // closed when the work has succeeded or failed
+	inputs      []Input       // results of the final stages
+	err         error
+	// mu guards the fields below, inputs and err.
 	mu            sync.Mutex
 	results       [][]batcher.Result
-	remaining     []int  // items of each stage without outcome; -1: not begun
-	inputsFetched []bool // stages whose servers have fetched all inputs
+	remaining     []int  // items of each stage without outcome; -1: not started
+	inputsFetched []bool // by stage; its servers have fetched all inputs
 	stageStarts   []time.Time
-	stageTimes    []time.Duration // from the begin of each stage to its last result
-	doneStages    int             // stages
+	stageTimes    []time.Duration // by stage; from its start to its last result
+	doneStages    int             // number of complete stages
 	ended         bool
 }
 
@@ -38,8 +39,8 @@
 	w.submit(ready)
 }
 
-// ready returns the stages that can begin now and marks them. It is called
-// with w.mu held.
+// takeReadyStages marks the stages that can start now as started and returns those with
+// items. The caller holds w.mu.
 func (w *requestWork) takeReadyStages() []int {
 	var out []int
 	for again := true; again; {
@@ -63,6 +64,7 @@
 	return out
 }
 
+// allComplete reports whether all of some stages are complete. The caller holds w.mu.
 func (w *requestWork) allComplete(stages []int) bool {
 	for _, i := range stages {
 		if w.remaining[i] != 0 {
@@ -72,6 +74,7 @@
 	return true
 }
 
+// submit passes the items of stages to the batchers of their services.
 func (w *requestWork) submit(stages []int) {
 	for _, i := range stages {
 		s := &w.request.Stages[i]
@@ -84,6 +87,7 @@
 	}
 }
 
+// newJob returns the batcher job of a stage.
 func (w *requestWork) newJob(i int) *batcher.Job {
 	s := &w.request.Stages[i]
 	var inputs []string
@@ -95,18 +99,18 @@
 	}
 	w.mu.Unlock()
 	items := make([]batcher.Item, s.Items)
-	for p := range items {
-		items[p] = batcher.Item{RequestID: w.request.ID, Stage: i, Piece: p, Inputs: inputs}
+	for piece := range items {
+		items[piece] = batcher.Item{RequestID: w.request.ID, Stage: i, Piece: piece, Inputs: inputs}
 		if len(s.DependsOn) == 0 {
-			items[p].Key = w.request.InputKey
+			items[piece].Key = w.request.InputKey
 		}
 	}
-	rest := w.remainingTime(i)
-	domain, away := w.preferredDomain(i)
+	remaining := w.remainingTime(i)
+	domain, remoteBytes := w.domain(i)
 	job := &batcher.Job{
-		Items: items, Domain: domain, RemoteBytes: away, AllowedRegions: w.request.AllowedRegions, ResultBytes: s.ResultBytes,
-		TargetTime: w.targetTime.Add(-rest), Deadline: w.request.Deadline.Add(-rest),
-		OnResult: func(p int, r batcher.Result) { w.onItemResult(i, p, r) },
+		Items: items, Domain: domain, RemoteBytes: remoteBytes, AllowedRegions: w.request.AllowedRegions, ResultBytes: s.ResultBytes,
+		TargetTime: w.targetTime.Add(-remaining), Deadline: w.request.Deadline.Add(-remaining),
+		OnResult: func(piece int, r batcher.Result) { w.onItemResult(i, piece, r) },
 	}
 	if len(s.DependsOn) > 0 {
 		job.OnInputsFetched = func() { go w.onInputsFetched(i, job) }
@@ -114,16 +118,16 @@
 	return job
 }
 
-// nearBytes of inputs in one failure domain draw a stage there; the results of
-// smaller ones are better made where the request will run.
+// minDomainBytes of inputs in one failure domain move a stage to that domain; results of
+// smaller inputs are better made where the request will run.
 const minDomainBytes = 100_000
 
-// domain is where the items of a stage are best made, and how much crosses
-// domains if they are made elsewhere.
-func (w *requestWork) preferredDomain(stage int) (preferredDomain string, away int64) {
+// preferredDomain returns the failure domain where the items of a stage are best made, and
+// how many bytes cross domains if they are made elsewhere.
+func (w *requestWork) domain(stage int) (domain string, remoteBytes int64) {
 	s := &w.request.Stages[stage]
 	bytes := map[string]int64{}
-	preferredDomain, most := w.request.RunDomain, int64(minDomainBytes)
+	domain, mostBytes := w.request.RunDomain, int64(minDomainBytes)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, a := range s.DependsOn {
@@ -132,19 +136,19 @@
 				continue
 			}
 			bytes[r.Domain] += w.request.Stages[a].ResultBytes
-			if bytes[r.Domain] > most {
-				preferredDomain, most = r.Domain, bytes[r.Domain]
+			if bytes[r.Domain] > mostBytes {
+				domain, mostBytes = r.Domain, bytes[r.Domain]
 			}
 		}
 	}
-	away = int64(s.Items) * s.ResultBytes
+	remoteBytes = int64(s.Items) * s.ResultBytes
 	if len(bytes) > 0 {
-		away = max(away, int64(s.Items)*bytes[preferredDomain])
+		remoteBytes = max(remoteBytes, int64(s.Items)*bytes[domain])
 	}
-	return preferredDomain, away
+	return domain, remoteBytes
 }
 
-// rest is the time that the stages behind a stage take at least.
+// remainingTime returns the minimum duration of the stages that follow a stage.
 func (w *requestWork) remainingTime(i int) time.Duration {
 	var longest time.Duration
 	for j := i + 1; j < len(w.request.Stages); j++ {
@@ -163,8 +167,8 @@
 	return longest
 }
 
-// item takes the outcome of one item. A batcher calls it with its own lock
-// held, so what may call a batcher goes on in another goroutine.
+// onItemResult records the outcome of one item. The batcher calls it with its own lock held,
+// so everything that may call a batcher runs in another goroutine.
 func (w *requestWork) onItemResult(stage, piece int, r batcher.Result) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -187,7 +191,7 @@
 	go w.onStageComplete(stage, next)
 }
 
-// after runs when a stage is complete.
+// onStageComplete starts the stages that became ready and releases what a complete stage held.
 func (w *requestWork) onStageComplete(stage int, next []int) {
 	w.submit(next)
 	w.freeConsumedResults(stage)
@@ -197,7 +201,7 @@
 	w.coordinator.schedule()
 }
 
-// finishIfDone is called with w.mu held.
+// finishIfDone ends the work once all stages are complete. The caller holds w.mu.
 func (w *requestWork) finishIfDone() {
 	if w.doneStages < len(w.request.Stages) || w.ended {
 		return
@@ -211,7 +215,7 @@
 	close(w.finished)
 }
 
-// fail ends the work; what was made is given up.
+// fail ends the work with an error and frees the results so far.
 func (w *requestWork) fail(e *Error) {
 	w.mu.Lock()
 	if w.ended {
@@ -219,38 +223,38 @@
 		return
 	}
 	w.ended, w.err = true, e
-	var made []Input
+	var unused []Input
 	for i, list := range w.results {
 		for _, r := range list {
 			if r.Handle != "" {
-				made = append(made, w.newInput(i, r))
+				unused = append(unused, w.newInput(i, r))
 			}
 		}
 	}
-	var rest []Stage
+	var unfinished []Stage
 	for i, s := range w.request.Stages {
 		if w.remaining[i] != 0 {
-			rest = append(rest, s)
+			unfinished = append(unfinished, s)
 		}
 	}
 	close(w.finished)
 	w.mu.Unlock()
-	w.coordinator.freeInputs(made...)
+	w.coordinator.freeInputs(unused...)
 	w.coordinator.mu.Lock()
-	w.coordinator.releaseStages(rest, w.late)
+	w.coordinator.releaseStages(unfinished, w.late)
 	w.coordinator.mu.Unlock()
 	w.coordinator.schedule()
 }
 
-// cancel ends the work for a request that is over; also what was just complete
-// is given up.
+// cancel ends the work of a request that has ended. Results of work that has just completed
+// are freed too.
 func (w *requestWork) cancel() {
 	w.fail(&Error{Reason: batcher.Cancelled})
 	w.mu.Lock()
-	var made []Input
+	var unused []Input
 	if w.err == nil {
-		made = w.inputs
+		unused = w.inputs
 	}
 	w.mu.Unlock()
-	w.coordinator.freeInputs(made...)
+	w.coordinator.freeInputs(unused...)
 }
