--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -1,11 +1,11 @@
-// Package upstream sends requests to backend servers over kept HTTP/1.1
-// connections. It never repeats a request by itself and tells a caller what it
-// must know before it may: whether any byte can have left, and whether the
-// connection had served an earlier request.
+// Package upstream is an HTTP/1.1 client for backend servers with persistent connections. It
+// never retries a request by itself. Its errors report what a caller has to know before a
+// retry: whether any byte of the request may have been sent, and whether the connection had
+// been used before.
 //
-// net/http's own transport is not used for this: it repeats some requests
-// silently and hides on which connection an answer came, so that an answer that
-// a server sent twice would be taken for the answer to the next request.
+// The transport of net/http is not suitable: it retries some requests silently and does not
+// show which connection a response came from. A response that a server sent twice would then
+// be taken for the response to the next request.
 package upstream
 
 import (
@@ -22,24 +22,25 @@
 	"time"
 )
 
-// Request is one request to a backend server.
+// Request is a request to a backend server.
 type Request struct {
 	Method  string
-	URI     string // path and query as the client sent them
+	URI     string // path and query, sent unchanged
 	Host    string
 	Header  http.Header
 	Body    []byte
-	HasBody bool // a body, though it may be empty
+	HasBody bool // the request has a body, which may be empty
 }
 
-// Error is an exchange that failed.
+// Error describes a failed request.
 type Error struct {
-	// Sent tells that a byte may have left: the server may have run the request.
+	// Sent reports that a byte of the request may have been sent, so that the server may have
+	// run it.
 	Sent bool
-	// Reused tells that the connection had served an earlier request, so the
-	// failure may be the connection's and not the server's.
+	// ReusedConn reports that the connection had been used for an earlier request. The cause
+	// may then be the connection and not the server.
 	ReusedConn bool
-	// Dial tells that no connection could be made.
+	// DialFailed reports that no connection could be opened.
 	DialFailed bool
 	Cause      error
 }
@@ -52,25 +53,28 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Options configure a Client; zero values get the defaults.
+// Options configures a Client. Zero values select the defaults.
 type Options struct {
-	// DialBound is the time to open a connection. Default 300 ms: 40 ms is the
-	// way there and back between regions, and a server that does not answer
-	// within several of these is treated as down.
+	// DialTimeout limits the opening of a connection. Default 300 ms: the round trip between
+	// regions takes 40 ms, and a server that does not respond within several of these is
+	// treated as down.
 	DialTimeout time.Duration
-	// UserTimeout ends a connection whose sent bytes are not acknowledged.
-	// Default 2 s: longer than a lost packet's repeats, shorter than clients wait.
+	// TCPUserTimeout closes a connection whose sent data is not acknowledged for this time.
+	// Default 2 s: longer than the retransmissions of a lost packet take, shorter than clients
+	// wait.
 	TCPUserTimeout time.Duration
-	// IdleDefault is how long a connection is kept where the server does not
-	// say; default 3 s.
+	// DefaultIdleTimeout is how long an idle connection is kept if the server does not specify
+	// a time. Default 3 s.
 	DefaultIdleTimeout time.Duration
-	// KeepAlive reads the idle time after which the server closes; 0: not said.
+	// ServerIdleTimeout returns the time after which the server closes an idle connection, from
+	// the headers of a response. 0: not specified.
 	ServerIdleTimeout func(http.Header) time.Duration
-	// Opened is called for each new connection.
+	// OnConnect is called for each new connection.
 	OnConnect func(address string)
 }
 
-// Client keeps connections to backend servers by address.
+// Client sends requests to backend servers and keeps idle connections per address. It is
+// safe for concurrent use.
 type Client struct {
 	opts  Options
 	mu    sync.Mutex
@@ -78,11 +82,12 @@
 	open  atomic.Int64
 }
 
+// idlePool holds the idle connections to an address.
 type idlePool struct {
-	idle []*conn // the most recently used last
+	idle []*conn // most recently used last
 }
 
-// New returns a client without connections.
+// New returns a Client without connections.
 func New(opts Options) *Client {
 	if opts.DialTimeout <= 0 {
 		opts.DialTimeout = 300 * time.Millisecond
@@ -96,20 +101,22 @@
 	return &Client{opts: opts, pools: map[string]*idlePool{}}
 }
 
-// Open returns the number of open connections.
+// OpenConnections returns the number of open connections, idle or in use.
 func (c *Client) OpenConnections() int64 { return c.open.Load() }
 
+// conn is a connection to a backend server.
 type conn struct {
 	client      *Client
 	address     string
 	tcp         *net.TCPConn
 	reader      *bufio.Reader
-	served      int
-	idleSince   time.Time
-	idleTimeout time.Duration
+	served      int           // responses received on the connection
+	idleSince   time.Time     // start of the current idle period
+	idleTimeout time.Duration // after which an idle connection is not used any more
 	closed      atomic.Bool
 }
 
+// close closes the connection. Further calls have no effect.
 func (k *conn) close() {
 	if k.closed.CompareAndSwap(false, true) {
 		k.client.open.Add(-1)
@@ -117,7 +124,8 @@
 	}
 }
 
-// take returns an idle connection that still looks sound, or nil.
+// takeIdle removes and returns an idle connection that is still usable, or nil if there is
+// none.
 func (c *Client) takeIdle(address string) *conn {
 	for {
 		c.mu.Lock()
@@ -136,7 +144,7 @@
 	}
 }
 
-// put keeps a connection for the next request.
+// putIdle keeps a connection for the next request.
 func (c *Client) putIdle(k *conn) {
 	k.idleSince = time.Now()
 	c.mu.Lock()
@@ -149,7 +157,8 @@
 	p.idle = append(p.idle, k)
 }
 
-// Forget closes the idle connections to an address.
+// CloseIdle closes the idle connections to an address, for example after a failure of its
+// server.
 func (c *Client) CloseIdle(address string) {
 	c.mu.Lock()
 	p := c.pools[address]
@@ -163,11 +172,11 @@
 	}
 }
 
-// Sweep closes connections that have been idle for too long; the owner calls
-// it from time to time.
+// CloseExpired closes connections whose idle timeout has passed. It has to be called
+// periodically.
 func (c *Client) CloseExpired() {
 	now := time.Now()
-	var old []*conn
+	var expired []*conn
 	c.mu.Lock()
 	for address, p := range c.pools {
 		kept := p.idle[:0]
@@ -175,7 +184,7 @@
 			if now.Sub(k.idleSince) < k.idleTimeout {
 				kept = append(kept, k)
 			} else {
-				old = append(old, k)
+				expired = append(expired, k)
 			}
 		}
 		p.idle = kept
@@ -184,50 +193,52 @@
 		}
 	}
 	c.mu.Unlock()
-	for _, k := range old {
+	for _, k := range expired {
 		k.close()
 	}
 }
 
+// dial opens a connection.
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.DialTimeout)
 	defer cancel()
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, err
 	}
-	tcp := raw.(*net.TCPConn)
-	if err := setUserTimeout(tcp, c.opts.TCPUserTimeout); err != nil {
-		_ = raw.Close()
+	tcpConn := netConn.(*net.TCPConn)
+	if err := setUserTimeout(tcpConn, c.opts.TCPUserTimeout); err != nil {
+		_ = netConn.Close()
 		return nil, err
 	}
 	c.open.Add(1)
 	if c.opts.OnConnect != nil {
 		c.opts.OnConnect(address)
 	}
-	return &conn{client: c, address: address, tcp: tcp, reader: bufio.NewReaderSize(tcp, 4096)}, nil
+	return &conn{client: c, address: address, tcp: tcpConn, reader: bufio.NewReaderSize(tcpConn, 4096)}, nil
 }
 
-// Answer is the head of an answer; its body is read by Read. Close must be
+// Response is the response to a request. Its body is read by Read. Close or Discard must be
 // called once.
 type Response struct {
 	Status int
 	Header http.Header
-	// Length of the body; negative where the server did not say.
+	// ContentLength is the length of the body. Negative: not specified.
 	ContentLength int64
-	ReusedConn    bool
+	// ReusedConn reports that the connection had been used for an earlier request.
+	ReusedConn bool
 
 	conn        *conn
 	body        io.ReadCloser
-	stopCancel  func() bool
-	complete    bool // the body was read to its marked end
-	keepAlive   bool
-	writeResult chan error
+	stopCancel  func() bool // stops the interruption of the connection by the context
+	complete    bool        // the body was read to its delimited end
+	keepAlive   bool        // the connection can be kept after the body
+	writeResult chan error  // receives the result of writing the request
 }
 
-// Do sends a request and returns the head of the answer. The error is an
-// *Error. The exchange ends when ctx does, also while the body is read.
-func (c *Client) Do(ctx context.Context, address string, q *Request) (*Response, error) {
+// Do sends a request and returns the head of the response. An error is always an *Error. The
+// request ends when ctx ends, even while the body is read.
+func (c *Client) Do(ctx context.Context, address string, req *Request) (*Response, error) {
 	k := c.takeIdle(address)
 	reused := k != nil
 	if k == nil {
@@ -236,78 +247,80 @@
 			return nil, &Error{DialFailed: true, Cause: err}
 		}
 	}
-	// The deadline of the connection is the only way to interrupt a read.
-	stop := context.AfterFunc(ctx, func() { _ = k.tcp.SetDeadline(time.Unix(1, 0)) })
-	a, err := c.roundTrip(k, q)
+	// A pending read can only be interrupted by a deadline of the connection.
+	stopCancel := context.AfterFunc(ctx, func() { _ = k.tcp.SetDeadline(time.Unix(1, 0)) })
+	resp, err := c.roundTrip(k, req)
 	if err != nil {
-		stop()
+		stopCancel()
 		k.close()
 		if ctx.Err() != nil {
 			err = fmt.Errorf("%w: %w", ctx.Err(), err)
 		}
 		return nil, &Error{Sent: true, ReusedConn: reused, Cause: err}
 	}
-	a.stopCancel, a.ReusedConn = stop, reused
-	return a, nil
+	resp.stopCancel, resp.ReusedConn = stopCancel, reused
+	return resp, nil
 }
 
-// smallBody is written before the answer is awaited: it fits into the smallest
-// window, so that the write cannot block on a server that does not read.
+// maxSyncWriteBytes is the maximum size of a request that is written before the response is
+// read. It fits into the smallest TCP window, so that the write cannot block on a server that
+// does not read. Larger requests are written concurrently.
 const maxSyncWriteBytes = 8 << 10
 
-func (c *Client) roundTrip(k *conn, q *Request) (*Response, error) {
-	hr := &http.Request{
-		Method: q.Method, Host: q.Host, Header: q.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
-		URL: opaqueURL(q.URI),
+// roundTrip writes a request to the connection and reads the response head.
+func (c *Client) roundTrip(k *conn, req *Request) (*Response, error) {
+	httpReq := &http.Request{
+		Method: req.Method, Host: req.Host, Header: req.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
+		URL: opaqueURL(req.URI),
 	}
-	if q.HasBody {
-		hr.Body, hr.ContentLength = io.NopCloser(bytes.NewReader(q.Body)), int64(len(q.Body))
-		if len(q.Body) == 0 {
-			hr.Body = http.NoBody
+	if req.HasBody {
+		httpReq.Body, httpReq.ContentLength = io.NopCloser(bytes.NewReader(req.Body)), int64(len(req.Body))
+		if len(req.Body) == 0 {
+			httpReq.Body = http.NoBody
 		}
 	}
-	if _, ok := hr.Header["User-Agent"]; !ok {
-		hr.Header["User-Agent"] = nil // else net/http adds its own
+	if _, ok := httpReq.Header["User-Agent"]; !ok {
+		httpReq.Header["User-Agent"] = nil // prevents net/http from adding its own
 	}
-	var head bytes.Buffer
-	if err := hr.Write(&head); err != nil {
+	var buf bytes.Buffer
+	if err := httpReq.Write(&buf); err != nil {
 		return nil, fmt.Errorf("write request: %w", err)
 	}
-	written := make(chan error, 1)
-	if head.Len() <= maxSyncWriteBytes {
-		_, err := k.tcp.Write(head.Bytes())
-		written <- err
+	writeResult := make(chan error, 1)
+	if buf.Len() <= maxSyncWriteBytes {
+		_, err := k.tcp.Write(buf.Bytes())
+		writeResult <- err
 	} else {
 		go func() {
-			_, err := k.tcp.Write(head.Bytes())
-			written <- err
+			_, err := k.tcp.Write(buf.Bytes())
+			writeResult <- err
 		}()
 	}
-	resp, err := c.readResponseHead(k, hr)
+	httpResp, err := c.readResponseHead(k, httpReq)
 	if err != nil {
 		return nil, err
 	}
 	k.served++
-	a := &Response{
-		Status: resp.StatusCode, Header: resp.Header, ContentLength: resp.ContentLength,
-		conn: k, body: resp.Body, writeResult: written,
+	resp := &Response{
+		Status: httpResp.StatusCode, Header: httpResp.Header, ContentLength: httpResp.ContentLength,
+		conn: k, body: httpResp.Body, writeResult: writeResult,
 	}
-	a.keepAlive = !resp.Close && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0)
+	resp.keepAlive = !httpResp.Close && (httpResp.ContentLength >= 0 || len(httpResp.TransferEncoding) > 0)
 	k.idleTimeout = c.opts.DefaultIdleTimeout
 	if c.opts.ServerIdleTimeout != nil {
-		if said := c.opts.ServerIdleTimeout(resp.Header); said > 0 {
-			// A request must not cross the server's close: whole seconds are
-			// said, and the way there takes its time.
-			k.idleTimeout = max(said-time.Second, said/2)
+		if timeout := c.opts.ServerIdleTimeout(httpResp.Header); timeout > 0 {
+			// A request must not be sent while the server closes the connection. The
+			// server specifies whole seconds, and the request takes time to arrive.
+			k.idleTimeout = max(timeout-time.Second, timeout/2)
 		}
 	}
-	return a, nil
+	return resp, nil
 }
 
-// readHead skips interim answers (1xx).
-func (c *Client) readResponseHead(k *conn, hr *http.Request) (*http.Response, error) {
+// readResponseHead reads a response head, skipping interim responses (1xx).
+func (c *Client) readResponseHead(k *conn, httpReq *http.Request) (*http.Response, error) {
 	for {
-		resp, err := http.ReadResponse(k.reader, hr)
+		resp, err := http.ReadResponse(k.reader, httpReq)
 		if err != nil {
 			return nil, fmt.Errorf("read answer: %w", err)
 		}
@@ -317,35 +330,35 @@
 	}
 }
 
-// Read implements io.Reader. io.EOF means that the answer is whole.
-func (a *Response) Read(b []byte) (int, error) {
-	n, err := a.body.Read(b)
+// Read implements io.Reader. It returns io.EOF only if the response is complete.
+func (r *Response) Read(b []byte) (int, error) {
+	n, err := r.body.Read(b)
 	if errors.Is(err, io.EOF) {
-		a.complete = true
+		r.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only if the answer was read
-// to its marked end, nothing follows it and the request was sent whole: a
-// server that answered early still expects the rest of that body.
-func (a *Response) Close() {
-	stopped := a.stopCancel()
-	sent := false
+// Close ends the request. The connection is kept only if the response was read to its
+// delimited end, no more bytes were received, and the request was written completely: a
+// server that responds early still expects the rest of that request.
+func (r *Response) Close() {
+	notInterrupted := r.stopCancel()
+	written := false
 	select {
-	case err := <-a.writeResult:
-		sent = err == nil
+	case err := <-r.writeResult:
+		written = err == nil
 	default:
 	}
-	if stopped && a.complete && a.keepAlive && sent && a.conn.reader.Buffered() == 0 {
-		a.conn.client.putIdle(a.conn)
+	if notInterrupted && r.complete && r.keepAlive && written && r.conn.reader.Buffered() == 0 {
+		r.conn.client.putIdle(r.conn)
 		return
 	}
-	a.conn.close()
+	r.conn.close()
 }
 
-// Discard closes the connection whatever the state of the answer.
-func (a *Response) Discard() {
-	a.keepAlive = false
-	a.Close()
+// Discard ends the request and closes the connection, whatever the state of the response.
+func (r *Response) Discard() {
+	r.keepAlive = false
+	r.Close()
 }
--- a/connection/upstream/upstream_test.go
+++ b/connection/upstream/upstream_test.go
@@ -15,8 +15,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// server answers each request on its connections with the next of its raw
-// answers, and counts.
+// rawServer responds to the requests on all its connections with the given raw responses in
+// turn, and records the requests.
 type rawServer struct {
 	listener  net.Listener
 	mu        sync.Mutex
@@ -25,18 +25,18 @@
 	conns     int
 }
 
-// hangUp as the end of an answer closes the connection behind it.
+// closeMark at the end of a response closes the connection after it.
 const closeMark = "\x00"
 
-func newRawServer(t *testing.T, answers ...string) *rawServer {
+func newRawServer(t *testing.T, responses ...string) *rawServer {
 	t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(func() { _ = l.Close() })
-	s := &rawServer{listener: l, responses: answers}
+	t.Cleanup(func() { _ = listener.Close() })
+	s := &rawServer{listener: listener, responses: responses}
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -60,13 +60,13 @@
 		body, _ := io.ReadAll(req.Body)
 		s.mu.Lock()
 		s.requests = append(s.requests, req.Method+" "+req.RequestURI+" "+string(body))
-		answer := ""
+		response := ""
 		if len(s.responses) > 0 {
-			answer, s.responses = s.responses[0], s.responses[1:]
+			response, s.responses = s.responses[0], s.responses[1:]
 		}
 		s.mu.Unlock()
-		text, closes := strings.CutSuffix(answer, closeMark)
-		_, _ = io.WriteString(c, text)
+		data, closes := strings.CutSuffix(response, closeMark)
+		_, _ = io.WriteString(c, data)
 		if closes {
 			return
 		}
@@ -103,11 +103,11 @@
 	requests, conns := s.counts()
 	g.Expect(requests).To(Equal(2))
 	g.Expect(conns).To(Equal(1))
-	g.Expect(s.requests[0]).To(Equal("GET /a%2Fb?x=%20 "), "the URI as it was sent")
+	g.Expect(s.requests[0]).To(Equal("GET /a%2Fb?x=%20 "), "the URI is sent unchanged")
 }
 
-// A server sends a second answer behind the first. It belongs to no request:
-// the next one must not read it.
+// A server sends a second response after the first, which belongs to no request. Guards
+// against taking it for the response to the next request.
 func TestConnectionWithExtraBytesIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	s := newRawServer(t, okResponse+"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nwrong", okResponse)
@@ -121,8 +121,8 @@
 	g.Expect(conns).To(Equal(2))
 }
 
-// A caller gives up an answer of which the end has not arrived yet. The
-// connection must not serve the next request, which would read that end.
+// A caller closes a response before its end has arrived. Guards against reusing the
+// connection, on which the next request would read that end.
 func TestConnectionWithUnreadResponseIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	s := newRawServer(t, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n", okResponse)
@@ -137,8 +137,8 @@
 	g.Expect(conns).To(Equal(2))
 }
 
-// The server closes a connection as a request arrives on it. net/http's own
-// transport would send a GET again by itself; here the caller decides.
+// The server closes a connection as a request arrives on it. The transport of net/http would
+// resend a GET by itself. Guards against that: the caller decides.
 func TestRequestsAreNotRetried(t *testing.T) {
 	g := NewWithT(t)
 	s := newRawServer(t, okResponse, closeMark, okResponse)
@@ -146,16 +146,16 @@
 	_, err := getBody(c, s)
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = getBody(c, s)
-	var failed *Error
-	g.Expect(errors.As(err, &failed)).To(BeTrue())
-	g.Expect(failed.Sent).To(BeTrue())
-	g.Expect(failed.ReusedConn).To(BeTrue())
+	var upstreamErr *Error
+	g.Expect(errors.As(err, &upstreamErr)).To(BeTrue())
+	g.Expect(upstreamErr.Sent).To(BeTrue())
+	g.Expect(upstreamErr.ReusedConn).To(BeTrue())
 	requests, _ := s.counts()
 	g.Expect(requests).To(Equal(2))
 }
 
-// A server closed a connection while it was idle. The next request finds that
-// out before it is sent.
+// A server closes an idle connection. Guards against sending the next request on it: the
+// closing is detected before.
 func TestClosedIdleConnectionIsNotReused(t *testing.T) {
 	g := NewWithT(t)
 	s := newRawServer(t, okResponse+closeMark, okResponse)
@@ -167,17 +167,17 @@
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// An answer breaks off, with a length, in a chunk, or by a reset. It must not
-// look whole.
+// Guards against taking a response that breaks off for complete: before its content length,
+// within a chunked body, or in its head, and also a response that is not HTTP.
 func TestTruncatedResponsesReturnError(t *testing.T) {
-	for name, answer := range map[string]string{
+	for name, response := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf" + closeMark,
 		"chunk":  "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n" + closeMark,
 		"head":   "HTTP/1.1 200 OK\r\nContent-Le" + closeMark,
 		"bytes":  "these are no answer\r\n\r\n" + closeMark,
 	} {
 		t.Run(name, func(t *testing.T) {
-			_, err := getBody(New(Options{}), newRawServer(t, answer))
+			_, err := getBody(New(Options{}), newRawServer(t, response))
 			NewWithT(t).Expect(err).To(HaveOccurred())
 		})
 	}
@@ -193,17 +193,18 @@
 	g.Expect(c.OpenConnections()).To(BeZero())
 }
 
-// A server answers before it has read a long body, keeps the connection and
-// reads on. The next request must not be read as the rest of that body.
+// A server responds before it has read a long body, keeps the connection and reads on.
+// Guards against sending the next request on that connection, as it would be read as the
+// rest of the body.
 func TestConnectionWithUnsentBodyIsNotReused(t *testing.T) {
 	g := NewWithT(t)
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
-	t.Cleanup(func() { _ = l.Close() })
+	t.Cleanup(func() { _ = listener.Close() })
 	conns := make(chan net.Conn, 4)
 	go func() {
 		for {
-			c, err := l.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
@@ -215,9 +216,9 @@
 		}
 	}()
 	c := New(Options{})
-	big := make([]byte, 32<<20)
+	body := make([]byte, 32<<20)
 	for range 2 {
-		a, err := c.Do(t.Context(), l.Addr().String(), &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{}, Body: big, HasBody: true})
+		a, err := c.Do(t.Context(), listener.Addr().String(), &Request{Method: "POST", URI: "/", Host: "h", Header: http.Header{}, Body: body, HasBody: true})
 		g.Expect(err).NotTo(HaveOccurred())
 		_, err = io.ReadAll(a)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -231,14 +232,14 @@
 	s := newRawServer(t)
 	_ = s.listener.Close()
 	_, err := getBody(New(Options{}), s)
-	var failed *Error
-	g.Expect(errors.As(err, &failed)).To(BeTrue())
-	g.Expect(failed.Sent).To(BeFalse())
-	g.Expect(failed.DialFailed).To(BeTrue())
+	var upstreamErr *Error
+	g.Expect(errors.As(err, &upstreamErr)).To(BeTrue())
+	g.Expect(upstreamErr.Sent).To(BeFalse())
+	g.Expect(upstreamErr.DialFailed).To(BeTrue())
 }
 
-// The server never answers. The request ends with its context, and the
-// connection is not used again.
+// The server never responds. The request ends with its context, and the connection is
+// closed.
 func TestContextEndsRequestToUnresponsiveServer(t *testing.T) {
 	g := NewWithT(t)
 	s := newRawServer(t, "")
--- a/request/gateway/attempt_test.go
+++ b/request/gateway/attempt_test.go
@@ -18,7 +18,7 @@
 	now := time.Unix(1000, 0)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s", Domain: "x", Slots: 4}, {ID: "b", Service: "s", Domain: "y", Slots: 4}}, now)
-	gw := New(Options{Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Distance: func(domain string) time.Duration {
+	gw := New(Options{Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), OneWayLatency: func(domain string) time.Duration {
 		return time.Duration(domain[0]) * time.Millisecond // "a" is nearer
 	}})
 	x := &exchange{Gateway: gw, plan: &plan.Plan{}, route: &plan.Route{}, service: "s", preferredServer: "b"}
--- a/request/gateway/choose.go
+++ b/request/gateway/choose.go
@@ -50,7 +50,7 @@
 	affinity, tokens := x.sharedPrefix()
 	now, cold := x.opts.Clock.Now(), x.coldStartLimit()
 	return balance.Query{
-		Servers: x.candidates(), OneWayLatency: x.opts.Distance,
+		Servers: x.candidates(), OneWayLatency: x.opts.OneWayLatency,
 		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.tokenTimes.estimate(x.service), InputDomain: x.inputDomain, InputBytes: x.inputDomainBytes,
 		Exclude: func(s *directory.Server) bool { return tried[s.ID] || !x.opts.ColdStart.WouldAllow(s, cold, now) }, Now: now,
 	}
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -26,17 +26,17 @@
 
 // Options configures a Gateway. All fields are required.
 type Options struct {
-	Domain    string                            // failure domain of this entry host
-	Distance  func(domain string) time.Duration // one-way network latency to a failure domain
-	Plan      *inforce.Cell[plan.Plan]
-	Directory *directory.Directory
-	Upstream  *upstream.Client
-	Headers   wire.Headers // header format of the platform
-	Pool      *stages.Pool
-	Budget    RetryBudget
-	ColdStart *coldstart.Limiter
-	Clock     clock.Clock
-	Rand      clock.Rand
+	Domain        string                            // failure domain of this entry host
+	OneWayLatency func(domain string) time.Duration // one-way network latency to a failure domain
+	Plan          *inforce.Cell[plan.Plan]
+	Directory     *directory.Directory
+	Upstream      *upstream.Client
+	Headers       wire.Headers // header format of the platform
+	Pool          *stages.Pool
+	Budget        RetryBudget
+	ColdStart     *coldstart.Limiter
+	Clock         clock.Clock
+	Rand          clock.Rand
 	// KeysFresh reports whether the API keys of the current plan were confirmed recently enough
 	// to be accepted, and the time since that confirmation.
 	KeysFresh func() (ok bool, age time.Duration)
--- a/request/gateway/placement_test.go
+++ b/request/gateway/placement_test.go
@@ -35,7 +35,7 @@
 func newExchange(dir *directory.Directory, now time.Time, allowed residency.Set) *exchange {
 	gw := New(Options{
 		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Budget: unlimitedBudget{},
-		Distance: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
+		OneWayLatency: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
 	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", ColdStart: coldstart.Limit{RequestsPerSecond: 2, ColdDuration: time.Second}}}})
@@ -137,7 +137,7 @@
 		{ID: "warm", Service: "s", Region: "r1", Domain: "r1-a", Slots: 9},
 	}, now)
 	x := newExchange(dir, now, residency.Set{})
-	x.opts.Distance = func(domain string) time.Duration { return map[string]time.Duration{"r1-a": time.Second}[domain] }
+	x.opts.OneWayLatency = func(domain string) time.Duration { return map[string]time.Duration{"r1-a": time.Second}[domain] }
 	var got []string
 	for range 4 {
 		got = append(got, x.nextServer(context.Background(), &attemptHistory{tried: serverSet{}}).ID)
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -17,7 +17,7 @@
 		return nil
 	}
 	r := x.stageRequest()
-	// After Deadline the results are of no use any more.
+	// After r.Deadline the results are of no use any more.
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
 	defer cancel()
 	ctx, stopWatch := x.cancelBeforeShutdown(ctx)
--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -1,6 +1,6 @@
-// Package plan is the configuration in force on an entry host of a platform
-// that keeps routes, services and API keys in its own object API. A Plan is
-// immutable: a request loads it once and keeps it to its end.
+// Package plan holds the configuration currently in use on an entry host, for platforms that
+// store routes, services and API keys in their own object API. A Plan is immutable. A request
+// loads it once and uses it until its end.
 package plan
 
 import (
@@ -11,81 +11,81 @@
 	"bilberrydale/process/coldstart"
 )
 
-// Kind tells what may be repeated.
+// RouteKind determines which requests of a route may be retried.
 type RouteKind int
 
 // Kinds of routes.
 const (
-	Safe   RouteKind = iota // may run more than once
-	Unsafe                  // runs at most once for each attempt of the client
-	Stream                  // a series of events; as Unsafe unless resumable
+	Safe   RouteKind = iota // requests may run more than once
+	Unsafe                  // a request runs at most once per attempt of the client
+	Stream                  // the response is a stream of events; as Unsafe, unless the route is resumable
 )
 
-// String returns the kind for logs.
+// String returns the name of the kind, as used in logs.
 func (k RouteKind) String() string {
 	return [...]string{"safe", "unsafe", "stream"}[k]
 }
 
-// Target is a service with its share of a route's requests.
+// Target is a service that receives a share of a route's requests.
 type Target struct {
 	Service string
-	Weight  float64
+	Weight  float64 // relative to the other targets of the route
 }
 
-// Stage is work that has to be done before a request can run. Its results are
-// the inputs of the stages that name it in After, or of the request itself.
+// Stage is work that has to be completed before a request can run. Its results are the
+// inputs of the stages that depend on it, or of the request if none does.
 type Stage struct {
 	Service     string
-	DependsOn   []int // indexes of the stages whose results it needs
-	ResultBytes int64 // approximate
+	DependsOn   []int // indexes of the stages whose results are its inputs
+	ResultBytes int64 // approximate size of one result
 }
 
-// Route says which requests go to which service, through which stages.
+// Route defines which requests it matches, and the service and the stages that handle them.
 type Route struct {
 	Name           string
-	Host           string
+	Host           string // host name in requests, case-insensitive
 	PathPrefix     string
 	Kind           RouteKind
-	Timeout        time.Duration // longest time a request may be kept waiting
-	TargetLatency  time.Duration // full worth up to here
-	MaxEventGap    time.Duration // longest pause between events that is on time
-	Priority       int           // 0 is the most urgent
-	Targets        []Target
-	MaxAttempts    int
+	Timeout        time.Duration // maximum time for a request, which a client may shorten; 0: not set
+	TargetLatency  time.Duration // a response up to this time has its full worth
+	MaxEventGap    time.Duration // longest gap between events that counts as on time
+	Priority       int           // 0: most urgent
+	Targets        []Target      // services, chosen by weight
+	MaxAttempts    int           // attempts that may have run a retryable request
 	Stages         []Stage
-	Public         bool // needs no API key
-	PrefixAffinity bool // requests share prompt prefixes
-	Resumable      bool // a stream may go on at another backend server
-	// Regions in which its requests may be served; empty: every one.
+	Public         bool // no API key is required
+	PrefixAffinity bool // requests share prompt prefixes and are routed by them
+	Resumable      bool // an interrupted stream may be resumed on another backend server
+	// Regions in which requests may be served; empty: all.
 	Regions []string
 }
 
-// Service is a group of backend servers that can stand in for each other.
+// Service is a group of interchangeable backend servers.
 type Service struct {
 	Name           string
 	HealthPath     string
-	MaxConnections int // connections that a server accepts from all hosts together
-	Engine         *Engine
-	Batch          *Batch
-	// Cold is what its servers bear after their start.
+	MaxConnections int     // that one server accepts from all entry hosts together
+	Engine         *Engine // nil: its servers are no model engines
+	Batch          *Batch  // nil: its servers run no stages
+	// ColdStart limits the requests to servers that have recently started.
 	ColdStart coldstart.Limit
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
-	Slots    int
-	KVTokens int64
-	// TokenBytes is the size of a token in an engine's memory, and LinkRate the bytes a
-	// second in which an engine gets them from another; 0: not known.
+	Slots    int   // requests that run concurrently
+	KVTokens int64 // capacity of the KV cache
+	// KVBytesPerToken is the size of a token in an engine's KV cache. LinkBytesPerSecond is the
+	// rate at which an engine receives KV cache from another engine. 0: not known.
 	KVBytesPerToken    int64
 	LinkBytesPerSecond float64
 }
 
-// fetchSetup is the time in which two engines agree on a transfer.
+// kvTransferSetup is the time to set up a KV cache transfer between two engines.
 const kvTransferSetup = 5 * time.Millisecond
 
-// FetchTime is how long an engine takes to get so many tokens from another one that has
-// read them; 0: it cannot.
+// KVTransferTime returns how long an engine takes to receive the KV cache of so many tokens
+// from another engine. 0: transfers are not possible.
 func (e *Engine) KVTransferTime(tokens int) time.Duration {
 	if e == nil || e.KVBytesPerToken <= 0 || e.LinkBytesPerSecond <= 0 {
 		return 0
@@ -93,34 +93,34 @@
 	return kvTransferSetup + time.Duration(float64(tokens)*float64(e.KVBytesPerToken)/e.LinkBytesPerSecond*float64(time.Second))
 }
 
-// Batch describes how servers of a stage take work: calls with several items.
+// Batch describes how the servers of a stage process calls, each with a batch of items.
 type Batch struct {
-	ConcurrentCalls   int // calls that run at once
-	QueuedCalls       int // calls that may wait
-	MaxItemsPerCall   int // items of one call
-	TimePerCall       time.Duration
-	TimePerItem       time.Duration
-	ResultMemoryBytes int64         // for results that nobody has freed yet
-	ResultTTL         time.Duration // after which a result is freed by itself
+	ConcurrentCalls   int // per server
+	QueuedCalls       int // calls that a server may queue
+	MaxItemsPerCall   int
+	TimePerCall       time.Duration // constant part of the duration of a call
+	TimePerItem       time.Duration // added to the duration of a call by each item
+	ResultMemoryBytes int64         // memory of a server for results that have not been freed
+	ResultTTL         time.Duration // after which a server frees a result by itself
 }
 
 // Account is a client account with its API keys.
 type Account struct {
 	Name string
 	Keys []string
-	// Priority replaces the route's where HasPriority is set.
+	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
-	// Regions in which its requests may be served; empty: every one.
+	// Regions in which requests may be served; empty: all.
 	Regions []string
 }
 
-// Limits bound what a client may send.
+// Limits restrict what a client may send, and how long its connections are kept. 0: not set.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	HeaderTimeout  time.Duration // for the headers of a request to arrive
+	IdleTimeout    time.Duration // after which an idle connection is closed
 }
 
 // Config is the decoded configuration from which a Plan is compiled.
@@ -132,18 +132,19 @@
 	Limits   Limits
 }
 
-// Plan is a compiled configuration.
+// Plan is a compiled configuration, indexed for lookups. It is immutable.
 type Plan struct {
 	Version       int64
 	Limits        Limits
 	services      map[string]*Service
-	routesByHost  map[string][]*Route // by host, longest path prefix first
+	routesByHost  map[string][]*Route // by lower-case host name, longest path prefix first
 	accountsByKey map[string]*Account
 	accountCount  int
 	serviceNames  []string
 }
 
-// Compile indexes a configuration for reading.
+// Compile builds the indexes of a configuration. The Plan keeps references to c, which must
+// not be modified afterwards.
 func Compile(c Config) *Plan {
 	p := &Plan{
 		Version: c.Version, Limits: c.Limits,
@@ -175,7 +176,8 @@
 	return p
 }
 
-// Match returns the route of a request, or nil. The longest path prefix wins.
+// Match returns the route with the longest path prefix that matches, or nil. A port in host
+// is ignored.
 func (p *Plan) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range p.routesByHost[strings.ToLower(name)] {
@@ -186,21 +188,23 @@
 	return nil
 }
 
-// Account returns the holder of an API key, or nil.
+// AccountByKey returns the client account that has the API key, or nil.
 func (p *Plan) AccountByKey(key string) *Account { return p.accountsByKey[key] }
 
-// HasAccounts reports whether requests need a key at all. They do also where
-// every key was taken away.
+// HasAccounts reports whether the configuration has client accounts, so that requests need
+// an API key. This holds even if all keys have been revoked.
 func (p *Plan) HasAccounts() bool { return p.accountCount > 0 }
 
-// Service returns a service by name, or nil.
+// Service returns the service with the given name, or nil.
 func (p *Plan) Service(name string) *Service { return p.services[name] }
 
-// ServiceNames returns the names of all services in order.
+// ServiceNames returns the names of all services in alphabetical order. The caller must not
+// modify the slice.
 func (p *Plan) ServiceNames() []string { return p.serviceNames }
 
-// Choose picks the service of one request by the weights of the route's
-// targets; u is uniform in [0,1).
+// PickService returns the service for one request, chosen by the weights of the route's
+// targets. u is uniformly distributed in [0,1). It returns an empty name if the route has no
+// targets.
 func (r *Route) PickService(u float64) string {
 	var sum float64
 	for _, t := range r.Targets {
--- a/version/plan/plan_test.go
+++ b/version/plan/plan_test.go
@@ -41,5 +41,5 @@
 	g.Expect(p.AccountByKey("")).To(BeNil())
 	g.Expect(p.HasAccounts()).To(BeTrue())
 	g.Expect(Compile(Config{}).HasAccounts()).To(BeFalse())
-	g.Expect(Compile(Config{Accounts: []Account{{Name: "a"}}}).HasAccounts()).To(BeTrue(), "all its keys were taken away")
+	g.Expect(Compile(Config{Accounts: []Account{{Name: "a"}}}).HasAccounts()).To(BeTrue(), "all its keys have been revoked")
 }
