--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -112,14 +112,14 @@
 )
 
 // Run implements batcher.Backend.
-func (c *stageBackend) Run(ctx context.Context, call *batcher.Call) batcher.Response {
+func (b *stageBackend) Run(ctx context.Context, call *batcher.Call) batcher.Response {
 	ctx, cancel := context.WithTimeout(ctx, stageCallTimeout)
 	defer cancel()
-	request, err := platform.StageRun(call, c.clock.Now())
+	request, err := platform.StageRun(call, b.clock.Now())
 	if err != nil {
 		return batcher.Response{Err: err}
 	}
-	response, err := c.upstream.Do(ctx, call.Server.Address, request)
+	response, err := b.upstream.Do(ctx, call.Server.Address, request)
 	if err != nil {
 		return batcher.Response{Err: err}
 	}
@@ -129,7 +129,7 @@
 		return batcher.Response{Err: err}
 	}
 	response.Close()
-	c.recordLoad(call.Server, response.Status, response.Header)
+	b.recordLoad(call.Server, response.Status, response.Header)
 	if platform.StageBusy(response.Status, response.Header) {
 		return batcher.Response{Err: errServerBusy, Busy: true}
 	}
@@ -145,26 +145,26 @@
 var errServerBusy = errors.New("the server has too much work")
 
 // recordLoad stores the load that a server reports in its response header.
-func (c *stageBackend) recordLoad(s *directory.Server, status int, header http.Header) {
+func (b *stageBackend) recordLoad(s *directory.Server, status int, header http.Header) {
 	if report := (platform.Headers{}).DecodeServerResponse(status, header); report.LoadReported {
-		s.RecordLoad(report.RunningRequests, report.QueuedRequests, c.clock.Now())
+		s.RecordLoad(report.RunningRequests, report.QueuedRequests, b.clock.Now())
 	}
 }
 
 // FreeResultMemory implements batcher.Backend.
-func (c *stageBackend) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
-	response, err := c.upstream.Do(ctx, s.Address, platform.StageReport(s.ID))
+func (b *stageBackend) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
+	response, err := b.upstream.Do(ctx, s.Address, platform.StageReport(s.ID))
 	if err != nil {
-		c.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
+		b.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
 		return 0, err
 	}
 	freeBytes, err := readFreeBytes(response)
 	if err != nil {
-		c.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
+		b.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
 		return 0, err
 	}
-	if c.logLimits.allow(false, c.clock.Now()) {
-		c.log.Info("stage server", "outcome", "told its room", "server", s.ID, "free_bytes_at_most", freeBytes)
+	if b.logLimits.allow(false, b.clock.Now()) {
+		b.log.Info("stage server", "outcome", "told its room", "server", s.ID, "free_bytes_at_most", freeBytes)
 	}
 	return freeBytes, nil
 }
@@ -181,14 +181,14 @@
 }
 
 // ReleaseResults implements batcher.Backend.
-func (c *stageBackend) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
+func (b *stageBackend) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
 	request, err := platform.StageFree(s.ID, handles)
 	if err != nil {
 		return err
 	}
-	response, err := c.upstream.Do(ctx, s.Address, request)
+	response, err := b.upstream.Do(ctx, s.Address, request)
 	if err != nil {
-		c.log.Warn("results not freed", "server", s.ID, "results", len(handles), "err", err)
+		b.log.Warn("results not freed", "server", s.ID, "results", len(handles), "err", err)
 		return err
 	}
 	_, err = io.ReadAll(io.LimitReader(response, maxStageResponseBytes))
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -72,7 +72,7 @@
 	// evacuationsListed is set after the first list of evacuations.
 	evacuationsListed atomic.Bool
 	coldStart         *coldstart.Limiter
-	platformProber    *reach.Monitor
+	platformMonitor   *reach.Monitor
 	configConfirmedAt atomic.Int64 // bootClock time in nanoseconds; 0: never confirmed
 	upstream          *upstream.Client
 	retryLimiter      *budget.RetryLimiter
@@ -252,7 +252,7 @@
 		g.Go(func() error { return serve(s.server, s.listener) })
 	}
 	tasks := []func(context.Context) error{
-		h.platformProber.Run, h.afterHostsListed(h.configFollower.Run), h.afterHostsListed(h.serverFollower.Run), h.runPeers, h.sweepConnections, h.watchReload, h.pruneHosts,
+		h.platformMonitor.Run, h.afterHostsListed(h.configFollower.Run), h.afterHostsListed(h.serverFollower.Run), h.runPeers, h.sweepConnections, h.watchReload, h.pruneHosts,
 	}
 	if h.evacuationFollower != nil {
 		tasks = append(tasks, h.afterHostsListed(h.evacuationFollower.Run))
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -34,8 +34,8 @@
 // restarted by dozens. Without a delay each of them would cost a response of the
 // platform for each region, and a response of the readers for each host.
 const (
-	serversSettleDelayShare = 0.03 // of the platform's drain bound
-	hostsSettleDelay        = 500 * time.Millisecond
+	serversCoalesceShare = 0.03 // of the platform's drain bound
+	hostsCoalesceDelay   = 500 * time.Millisecond
 )
 
 // Defaults for limits that the settings omit, as in the existing deployments.
@@ -64,10 +64,12 @@
 // drainBound is the time after which a draining server may get no new requests.
 func (h *Host) drainBound() time.Duration { return cmp.Or(h.settings.DrainBound, defaultDrainBound) }
 
+// serversWatchWait returns the wait time of a watch on the backend servers.
 func (h *Host) serversWatchWait() time.Duration { return watchWait(h.drainBound(), serversWaitShare) }
 
-func (h *Host) serversSettleDelay() time.Duration {
-	return time.Duration(serversSettleDelayShare * float64(h.drainBound()))
+// serversCoalesceDelay returns the delay after a change of the backend servers.
+func (h *Host) serversCoalesceDelay() time.Duration {
+	return time.Duration(serversCoalesceShare * float64(h.drainBound()))
 }
 
 // hostSource returns the source of the list of entry hosts. The first list may be some
@@ -82,7 +84,7 @@
 // createFollowers creates the followers of the platform's objects. Each reads through
 // one entry host of its region, which reads from the platform.
 func (h *Host) createFollowers() {
-	h.platformProber = reach.New(reach.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformAvailabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
+	h.platformMonitor = reach.New(reach.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformAvailabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
 	configWait, serversWait := h.configWatchWait(), h.serversWatchWait()
 	h.configFollower = follow.New(follow.Options[plan.Config]{
 		Source: relaySource(h, "config", configWait, platform.ConfigSource(h.store)), Clock: h.bootClock, Rand: h.rand,
@@ -93,14 +95,14 @@
 	})
 	h.serverFollower = follow.New(follow.Options[directory.Entry]{
 		Source: relaySource(h, "servers", serversWait, platform.ServerSource(h.store)), Clock: h.bootClock, Rand: h.rand,
-		WatchWait: serversWait, ResponseTimeout: responseTimeout, CoalesceDelay: h.serversSettleDelay(), OnChange: h.serversChanged,
+		WatchWait: serversWait, ResponseTimeout: responseTimeout, CoalesceDelay: h.serversCoalesceDelay(), OnChange: h.serversChanged,
 		OnConfirmed: func(time.Time) {},
 		OnLost:      func(err error) { h.logDependencyLost("list of backend servers", err) },
 		OnRegained:  func(d time.Duration) { h.logDependencyRegained("list of backend servers", d) },
 	})
 	h.hostFollower = follow.New(follow.Options[peer.Identity]{
 		Source: relaySource(h, "hosts", hostsWatchWait, h.hostSource()), Clock: h.bootClock, Rand: h.rand,
-		WatchWait: hostsWatchWait, ResponseTimeout: responseTimeout, CoalesceDelay: hostsSettleDelay, OnChange: h.hostsChanged,
+		WatchWait: hostsWatchWait, ResponseTimeout: responseTimeout, CoalesceDelay: hostsCoalesceDelay, OnChange: h.hostsChanged,
 		OnConfirmed: func(time.Time) {}, OnLost: func(err error) { h.logDependencyLost("list of entry hosts", err) },
 		OnRegained: func(d time.Duration) { h.logDependencyRegained("list of entry hosts", d) },
 	})
@@ -119,8 +121,8 @@
 // time of the watch.
 func relaySource[T any](h *Host, kind string, wait time.Duration, direct follow.Source[T]) follow.Source[T] {
 	return &follow.PeerSource[T]{
-		Kind: kind, Link: h.mesh, Direct: follow.Monitored(h.platformProber, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
-		APIUnresponsive: h.platformProber.Unresponsive, Readers: h.readers,
+		Kind: kind, Link: h.mesh, Direct: follow.Monitored(h.platformMonitor, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
+		APIUnresponsive: h.platformMonitor.Unresponsive, Readers: h.readers,
 	}
 }
 
@@ -161,7 +163,8 @@
 // initializing reports whether this host still lacks the configuration or the
 // servers. Meanwhile it reads only through hosts with a larger processor share than
 // its own: after a power loss the platform's list contains processes that no longer
-// exist. Ordered by their age, all hosts with a large share would wait for each other.
+// exist. By their listed ages, the hosts with the largest share would all wait for each
+// other.
 func (h *Host) initializing() bool { return h.plan.Load() == nil || h.directory.View().Count() == 0 }
 
 // confirmConfig records that the configuration was current at the given time. The
--- a/edge/host_test.go
+++ b/edge/host_test.go
@@ -160,11 +160,11 @@
 	p.store.PutHost(peer.Identity{Host: "lost", Address: "127.0.0.1:1", Incarnation: 1, Domain: "a", Region: "r"})
 	h := p.startHost("front-1")
 	g.Eventually(func() bool { return h.listedHosts.Load() != nil && len(*h.listedHosts.Load()) == 2 }, "10s").Should(BeTrue())
-	silent := map[string]time.Time{}
-	h.removeLostHosts(t.Context(), silent)
+	unreachableSince := map[string]time.Time{}
+	h.removeLostHosts(t.Context(), unreachableSince)
 	g.Expect(p.store.Hosts()).To(ContainElement("lost"))
-	silent["lost"] = silent["lost"].Add(-lostHostTimeout)
-	h.removeLostHosts(t.Context(), silent)
+	unreachableSince["lost"] = unreachableSince["lost"].Add(-lostHostTimeout)
+	h.removeLostHosts(t.Context(), unreachableSince)
 	g.Expect(p.store.Hosts()).To(Equal([]string{"front-1"}))
 	p.store.DeleteHost("front-1")
 	g.Eventually(p.store.Hosts, "20s").Should(Equal([]string{"front-1"}))
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -18,7 +18,7 @@
 
 // hostsListTimeout is how long a starting host waits for the list of entry hosts
 // before it reads everything from the platform itself.
-const hostsListTimeout = 2 * hostsSettleDelay
+const hostsListTimeout = 2 * hostsCoalesceDelay
 
 // afterHostsListed delays a task until the other entry hosts are known or
 // hostsListTimeout has passed. When many hosts start at once, they then read through
@@ -79,7 +79,7 @@
 	}
 	select {
 	case <-ctx.Done():
-	case <-h.clock.After(hostsSettleDelay):
+	case <-h.clock.After(hostsCoalesceDelay):
 	}
 }
 
@@ -93,7 +93,7 @@
 		if _, err := rand.Read(candidate[:]); err != nil {
 			return err
 		}
-		secret, err := reach.Call(ctx, h.platformProber, 0, func(ctx context.Context, _ bool) (string, error) {
+		secret, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (string, error) {
 			return platform.PeerSecret(ctx, h.store, hex.EncodeToString(candidate[:]), h.settings.FirstStart)
 		})
 		if err != nil {
@@ -101,7 +101,7 @@
 		}
 		h.peerSecret.Store(&secret)
 	}
-	_, err := reach.Call(ctx, h.platformProber, 0, func(ctx context.Context, _ bool) (struct{}, error) {
+	_, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (struct{}, error) {
 		return struct{}{}, platform.RegisterHost(ctx, h.store, h.self, h.settings.FirstStart)
 	})
 	return err
--- a/edge/regions_requests_test.go
+++ b/edge/regions_requests_test.go
@@ -82,7 +82,7 @@
 
 // Guards against a host that becomes ready before it has listed the evacuated failure
 // domains.
-func TestHostIsNotReadyBeforeItKnowsEvacuations(t *testing.T) {
+func TestHostIsNotReadyBeforeEvacuationsAreListed(t *testing.T) {
 	g, _, h := newTestHost(t)
 	g.Expect(h.isReady()).To(BeTrue())
 	early := &Host{
