--- a/process/batcher/batcher.go
+++ b/process/batcher/batcher.go
@@ -26,7 +26,7 @@
 // items left in the queue. CallEnded is called concurrently.
 type CallLogger interface {
 	CallSent(service string, c *Call, waiting int)
-	CallEnded(service string, c *Call, took time.Duration, a Response)
+	CallEnded(service string, c *Call, took time.Duration, resp Response)
 }
 
 // Batcher runs the Queue of one service: it sends the calls that the queue composes
@@ -163,29 +163,29 @@
 	b.mu.Unlock()
 	limit := expectedEnd.Sub(b.clock.Now()) + c.ExpectedDuration + minCallGrace
 	timeout := time.AfterFunc(limit, func() { b.finishCall(c, Response{Err: context.DeadlineExceeded}, true) })
-	a := b.backend.Run(ctx, c)
+	resp := b.backend.Run(ctx, c)
 	timeout.Stop()
-	b.finishCall(c, a, a.Err != nil)
+	b.finishCall(c, resp, resp.Err != nil)
 }
 
 // finishCall applies the response to a call. Results of a call that has already been
 // completed by its timeout are released.
-func (b *Batcher) finishCall(c *Call, a Response, failed bool) {
+func (b *Batcher) finishCall(c *Call, resp Response, failed bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
 	alreadyCompleted := c.completed
-	if failed && !alreadyCompleted && !a.Busy {
+	if failed && !alreadyCompleted && !resp.Busy {
 		c.Server.RecordFailure(now)
 	}
-	b.queue.CompleteCall(c, a, now)
+	b.queue.CompleteCall(c, resp, now)
 	b.mu.Unlock()
 	b.signal()
 	if !alreadyCompleted {
-		b.log.CallEnded(b.service, c, now.Sub(c.sentAt), a)
+		b.log.CallEnded(b.service, c, now.Sub(c.sentAt), resp)
 		return
 	}
 	// The items went to another server after the timeout, so these results have no user.
-	for _, r := range a.Results {
+	for _, r := range resp.Results {
 		if r.Handle != "" {
 			b.ReleaseResult(r.ServerID, r.Handle, 0)
 		}
@@ -201,14 +201,14 @@
 	if s == nil {
 		return // the result was lost with its server
 	}
-	f := b.pendingReleases[serverID]
-	if f == nil {
-		f = &releaseBatch{server: s.Server}
-		b.pendingReleases[serverID] = f
+	batch := b.pendingReleases[serverID]
+	if batch == nil {
+		batch = &releaseBatch{server: s.Server}
+		b.pendingReleases[serverID] = batch
 		time.AfterFunc(releaseDelay, func() { b.flushReleases(serverID) })
 	}
-	f.handles = append(f.handles, handle)
-	f.bytes += bytes
+	batch.handles = append(batch.handles, handle)
+	batch.bytes += bytes
 }
 
 // memoryProbeTimeout bounds a request for a server's free result memory. A failed probe
@@ -234,20 +234,20 @@
 // flushReleases sends the collected releases to a server.
 func (b *Batcher) flushReleases(serverID string) {
 	b.mu.Lock()
-	f := b.pendingReleases[serverID]
+	batch := b.pendingReleases[serverID]
 	delete(b.pendingReleases, serverID)
 	b.mu.Unlock()
-	if f == nil {
+	if batch == nil {
 		return
 	}
 	// A call that is sent from now on reaches the server after the release message.
 	b.mu.Lock()
-	b.queue.ResultsReleased(serverID, f.bytes)
+	b.queue.ResultsReleased(serverID, batch.bytes)
 	b.mu.Unlock()
 	b.signal()
 	ctx, cancel := context.WithTimeout(context.Background(), releaseTimeout)
 	defer cancel()
 	// After a failure the memory stays in use until the results expire; the backend
 	// logs the error.
-	_ = b.backend.ReleaseResults(ctx, f.server, f.handles)
+	_ = b.backend.ReleaseResults(ctx, batch.server, batch.handles)
 }
--- a/process/batcher/batcher_test.go
+++ b/process/batcher/batcher_test.go
@@ -17,14 +17,14 @@
 type stubBackend map[string]Response
 
 func (c stubBackend) Run(_ context.Context, call *Call) Response {
-	a := c[call.Server.ID]
-	if a.Err == nil {
-		a.Results = make([]Result, len(call.Items))
-		for i := range a.Results {
-			a.Results[i] = Result{Handle: call.Server.ID, ServerID: call.Server.ID}
+	resp := c[call.Server.ID]
+	if resp.Err == nil {
+		resp.Results = make([]Result, len(call.Items))
+		for i := range resp.Results {
+			resp.Results[i] = Result{Handle: call.Server.ID, ServerID: call.Server.ID}
 		}
 	}
-	return a
+	return resp
 }
 
 func (stubBackend) FreeResultMemory(context.Context, *directory.Server) (int64, error) {
--- a/process/batcher/complete.go
+++ b/process/batcher/complete.go
@@ -13,33 +13,33 @@
 
 // CompleteCall applies the response to a call and requeues the items that may be
 // retried. Further responses to the same call are ignored.
-func (q *Queue) CompleteCall(c *Call, a Response, now time.Time) {
+func (q *Queue) CompleteCall(c *Call, resp Response, now time.Time) {
 	if c.completed {
 		return
 	}
 	c.completed = true
 	s := q.servers[c.Server.ID]
 	if s != nil && s.LocalState == c.Server.LocalState {
-		q.updateServer(s, c, a, now)
+		q.updateServer(s, c, resp, now)
 	}
 	retries := map[*Job]bool{}
-	for i, part := range c.Items {
-		j := part.Job
+	for i, item := range c.Items {
+		j := item.Job
 		reason := Failed
 		switch {
-		case a.Busy:
+		case resp.Busy:
 			reason = NoCapacity
-		case a.Err == nil:
-			reason = a.Results[i].Reason
+		case resp.Err == nil:
+			reason = resp.Results[i].Reason
 		}
 		if reason != Failed && reason != NoCapacity {
 			if !c.inputsFetched {
 				j.itemInputsFetched()
 			}
-			j.OnResult(part.Index, a.Results[i])
+			j.OnResult(item.Index, resp.Results[i])
 			continue
 		}
-		j.pendingItems = append(j.pendingItems, part.Index)
+		j.pendingItems = append(j.pendingItems, item.Index)
 		if c.inputsFetched {
 			j.fetchedItems--
 		}
@@ -101,7 +101,7 @@
 const slowdownWeight = 0.5
 
 // updateServer updates the state of a server from the response to a call.
-func (q *Queue) updateServer(s *server, c *Call, a Response, now time.Time) {
+func (q *Queue) updateServer(s *server, c *Call, resp Response, now time.Time) {
 	for i, other := range s.calls {
 		if other == c {
 			s.calls = append(s.calls[:i], s.calls[i+1:]...)
@@ -109,17 +109,17 @@
 		}
 	}
 	stored, full := int64(0), false
-	for i, r := range a.Results {
+	for i, r := range resp.Results {
 		if r.Handle != "" {
 			stored += c.Items[i].Job.ResultBytes
 		}
 		full = full || r.Reason == NoCapacity
 	}
 	switch {
-	case a.Busy:
+	case resp.Busy:
 		// Other entry hosts send it calls too, and those take their time.
 		s.fullUntil = now.Add(busyPause)
-	case a.Err != nil:
+	case resp.Err != nil:
 		// The elapsed time is a lower bound on the time of the call that failed.
 		atLeast := float64(now.Sub(c.ExpectedStart)) / float64(q.opts.expectedCallTime(len(c.Items)))
 		s.slowdown = min(max(s.slowdown, atLeast), maxSlowdown)
--- a/process/batcher/inputs.go
+++ b/process/batcher/inputs.go
@@ -8,8 +8,8 @@
 
 // InputFetchTime returns how long after the start of a call of the given expected
 // duration its inputs are still needed.
-func InputFetchTime(expect time.Duration) time.Duration {
-	return time.Duration(inputFetchShare * float64(expect))
+func InputFetchTime(expected time.Duration) time.Duration {
+	return time.Duration(inputFetchShare * float64(expected))
 }
 
 // inputsFetchedAt returns when the server has fetched the inputs of a call. It is valid
@@ -36,8 +36,8 @@
 				continue
 			}
 			c.inputsFetched = true
-			for _, part := range c.Items {
-				part.Job.itemInputsFetched()
+			for _, item := range c.Items {
+				item.Job.itemInputsFetched()
 			}
 		}
 	}
--- a/process/batcher/job.go
+++ b/process/batcher/job.go
@@ -88,6 +88,7 @@
 	ResultTTL         time.Duration // after which a server drops a result unless it is released
 }
 
+// slotCount returns the number of concurrent calls of a server, at least 1.
 func (o *Options) slotCount() int { return max(o.Slots, 1) }
 
 // expectedCallTime returns the configured time of a call with the given number of items.
--- a/process/batcher/memory.go
+++ b/process/batcher/memory.go
@@ -74,7 +74,7 @@
 }
 
 // UpdateFreeMemory applies the response to a probe: free is the free result memory of the
-// server in bytes, and told is false if the probe failed. Memory in use beyond the results
+// server in bytes, and ok is false if the probe failed. Memory in use beyond the results
 // that this queue produced belongs to other entry hosts, or dates from before a power loss.
 func (q *Queue) UpdateFreeMemory(serverID string, free int64, ok bool, now time.Time) {
 	s := q.servers[serverID]
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -95,7 +95,8 @@
 	q.waiting[i] = j
 }
 
-// Cancel marks the waiting jobs of a request as cancelled.
+// Cancel marks the waiting jobs of a request as cancelled; the next call of NextCalls ends
+// them.
 func (q *Queue) Cancel(requestID string) {
 	for _, j := range q.waiting {
 		if j.Items[0].RequestID == requestID {
@@ -255,9 +256,9 @@
 
 // Capacity is the current capacity of the servers of a service.
 type Capacity struct {
-	ListedServers    int      // number of servers in the directory
+	ListedServers    int      // number of servers of the service
 	Regions          []string // regions of these servers
-	AvailableServers int      // number of these servers that are not avoided after failures
+	AvailableServers int      // number of these servers that are not in backoff after a failure
 	ItemsPerSecond   float64  // throughput of the available servers with full calls
 	// FreeResultBytes is the result memory that remains on available servers after
 	// reserving it for waiting items; it may be negative. TotalResultBytes is the
@@ -268,14 +269,14 @@
 // Capacity returns the capacity at the given time.
 func (q *Queue) Capacity(now time.Time) Capacity {
 	c := Capacity{ListedServers: len(q.servers)}
-	full := q.opts.expectedCallTime(q.opts.MaxItems).Seconds()
+	fullCallSeconds := q.opts.expectedCallTime(q.opts.MaxItems).Seconds()
 	for _, s := range q.servers {
 		if !slices.Contains(c.Regions, s.Region) {
 			c.Regions = append(c.Regions, s.Region)
 		}
 		if !s.InBackoff(now) {
 			c.AvailableServers++
-			c.ItemsPerSecond += float64(q.opts.slotCount()*q.opts.MaxItems) / (full * s.slowdown)
+			c.ItemsPerSecond += float64(q.opts.slotCount()*q.opts.MaxItems) / (fullCallSeconds * s.slowdown)
 			c.TotalResultBytes += q.resultMemory(s)
 			c.FreeResultBytes += q.resultMemory(s) - s.usedBytes()
 		}
--- a/process/batcher/queue_test.go
+++ b/process/batcher/queue_test.go
@@ -124,11 +124,11 @@
 }
 
 func (b *harness) complete(c *Call) {
-	a := Response{}
+	resp := Response{}
 	for i := range c.Items {
-		a.Results = append(a.Results, Result{Handle: fmt.Sprintf("h%d", i), ServerID: c.Server.ID})
+		resp.Results = append(resp.Results, Result{Handle: fmt.Sprintf("h%d", i), ServerID: c.Server.ID})
 	}
-	b.q.CompleteCall(c, a, b.now)
+	b.q.CompleteCall(c, resp, b.now)
 }
 
 // Items of several requests that wait while all servers are busy must share the next calls,
--- a/process/batcher/regions_test.go
+++ b/process/batcher/regions_test.go
@@ -33,9 +33,9 @@
 		}
 		for range 30 {
 			for _, c := range b.nextCalls() {
-				for _, part := range c.Items {
-					if !part.Job.AllowedRegions.Allows(c.Server.Region) {
-						rt.Fatalf("%s, restricted to %v, ran in %s", part.Job.Items[0].RequestID, part.Job.AllowedRegions, c.Server.Region)
+				for _, item := range c.Items {
+					if !item.Job.AllowedRegions.Allows(c.Server.Region) {
+						rt.Fatalf("%s, restricted to %v, ran in %s", item.Job.Items[0].RequestID, item.Job.AllowedRegions, c.Server.Region)
 					}
 				}
 				if rapid.Bool().Draw(rt, "fails") {
