--- a/process/reach/reach.go
+++ b/process/reach/reach.go
@@ -1,10 +1,10 @@
-// Package reach finds out, for everything in a process that asks the platform's
-// object API, when the API answers again after it has fallen silent.
+// Package reach detects outages of the platform's object API, and its recovery, on behalf
+// of everything in a process that sends requests to the API.
 //
-// A question that was sent into the silence is never answered, even once the API
-// is back. Without a probe a process therefore stays without the platform for as
-// long as its questions may wait, and one that started meanwhile serves nobody for
-// seconds after the API's return.
+// A request that is sent while the API does not respond is never answered, even after the
+// API has recovered. Without probes a process would therefore stay disconnected from the
+// platform until its requests time out, and a process that started during an outage would
+// serve nothing for seconds after the API's recovery.
 package reach
 
 import (
@@ -17,248 +17,257 @@
 	"bilberrydale/process/objectapi"
 )
 
-// Options of a Reach; all are required.
+// Options configures a Monitor; all fields are required.
 type Options struct {
-	// Probe asks the API something small on a connection of its own. An error other
-	// than objectapi.ErrNoAnswer and ErrUnavailable is an answer, too.
+	// Probe sends a small request to the API on a connection of its own. Any error other
+	// than objectapi.ErrNoAnswer and objectapi.ErrUnavailable counts as a response.
 	Probe func(ctx context.Context) error
 	Clock clock.Clock
 	Rand  clock.Rand
-	// Waited tells whether nobody else will tell this process when the API answers
-	// again: it is probed at its full pace then.
+	// FullProbeRate reports whether the API has to be probed at the full rate, because no
+	// other host would notify this process of the API's recovery.
 	FullProbeRate func() bool
-	// Changed tells that the API has fallen silent, or answers again after a time.
-	OnChange func(silent bool, after time.Duration)
+	// OnChange is called when the API has become unresponsive, with the time since the
+	// first unanswered request, and when it responds again, with the length of the outage.
+	OnChange func(unresponsive bool, after time.Duration)
 }
 
-// Reach tells whether the API answers. Run is called once; the other methods are
-// safe for concurrent use.
+// Monitor tracks whether the API responds. Run is called once; the other methods and Call
+// are safe for concurrent use.
 type Monitor struct {
 	opts    Options
-	outages chan struct{}
+	outages chan struct{} // signals Run that an outage has started
 
 	mu     sync.Mutex
-	outage *outage // nil while the API answers
+	outage *outage // nil while the API responds
 }
 
-// silence lasts from a question that got no answer to the next answer.
+// outage lasts from a request without a response to the next response.
 type outage struct {
 	since time.Time
-	// proved is set once a probe has got no answer either: until then it may be
-	// that just the one question takes its time, or was lost with its connection.
+	// confirmed is set once a probe has had no response either. Until then the one request
+	// may just be slow, or may have been lost with its connection.
 	confirmed bool
-	ended     chan struct{} // closed at the end
+	ended     chan struct{} // closed when the outage ends
 }
 
-// New returns a Reach that takes the API for answering.
+// New returns a Monitor that assumes that the API responds.
 func New(opts Options) *Monitor {
 	return &Monitor{opts: opts, outages: make(chan struct{}, 1)}
 }
 
 const (
-	// patience is how long an answer may be overdue before the API is probed. A
-	// slow API answers within some 200 ms.
+	// overdueGrace is how long a response may be overdue before the API is probed. A slow
+	// API responds within about 200 ms.
 	overdueGrace = 400 * time.Millisecond
-	// probeEvery is the pause between probes, and so how late the end of a silence
-	// is noticed. A probe is sent whether the one before was answered or not: that
-	// one was lost if it was sent into the silence.
+	// probeInterval is the time between probes, and so the delay in detecting the end of
+	// an outage. The next probe is sent even if the previous one has had no response: one
+	// that was sent during the outage is lost.
 	probeInterval = 250 * time.Millisecond
-	// probeSeldom is the pause where another process tells: hundreds that probe would
-	// be the larger part of what the API is asked.
+	// slowProbeInterval is the time between probes where another host notifies this
+	// process: probes of hundreds of hosts would otherwise be most of the API's requests.
 	slowProbeInterval = 2 * time.Second
-	// probeBound is the time for one probe's answer; a slow API takes part of it.
+	// probeTimeout is the time for the response to a probe; a slow API needs part of it.
 	probeTimeout = time.Second
 )
 
-// Silent reports whether the API is known to be silent.
-func (r *Monitor) Unresponsive() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.outage != nil && r.outage.confirmed
+// Unresponsive reports whether the API is in a confirmed outage.
+func (m *Monitor) Unresponsive() bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.outage != nil && m.outage.confirmed
 }
 
-// Run probes the API whenever a question goes unanswered, until ctx ends.
-func (r *Monitor) Run(ctx context.Context) error {
+// Run probes the API whenever a request gets no response, until ctx ends.
+func (m *Monitor) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-r.outages:
+		case <-m.outages:
 		}
-		r.probeUntilAnswered(ctx)
+		m.probeUntilAnswered(ctx)
 	}
 }
 
-// probe asks until something is answered.
-func (r *Monitor) probeUntilAnswered(ctx context.Context) {
+// probeUntilAnswered sends probes until the outage ends.
+func (m *Monitor) probeUntilAnswered(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	for {
-		s := r.currentOutage()
-		if s == nil {
+		o := m.currentOutage()
+		if o == nil {
 			return
 		}
-		go r.sendProbe(ctx, s)
-		if !r.sleep(ctx, s, probeInterval) {
+		go m.sendProbe(ctx, o)
+		if !m.sleep(ctx, o, probeInterval) {
 			return
 		}
-		r.confirmOutage(s)
-		if !r.opts.FullProbeRate() && !r.sleep(ctx, s, slowProbeInterval-probeInterval) {
+		m.confirmOutage(o)
+		if !m.opts.FullProbeRate() && !m.sleep(ctx, o, slowProbeInterval-probeInterval) {
 			return
 		}
 	}
 }
 
-// pause waits for about d; false: the silence is over.
-func (r *Monitor) sleep(ctx context.Context, s *outage, d time.Duration) bool {
-	d = time.Duration((0.8 + 0.4*r.opts.Rand.Float64()) * float64(d))
+// sleep waits for d with a jitter of 20%. It returns false if the outage or ctx ends
+// first.
+func (m *Monitor) sleep(ctx context.Context, o *outage, d time.Duration) bool {
+	d = time.Duration((0.8 + 0.4*m.opts.Rand.Float64()) * float64(d))
 	select {
 	case <-ctx.Done():
 		return false
-	case <-s.ended:
+	case <-o.ended:
 		return false
-	case <-r.opts.Clock.After(d):
+	case <-m.opts.Clock.After(d):
 		return true
 	}
 }
 
-func (r *Monitor) sendProbe(ctx context.Context, s *outage) {
+// sendProbe sends one probe and ends the outage if the API responds.
+func (m *Monitor) sendProbe(ctx context.Context, o *outage) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	if err := r.opts.Probe(ctx); ctx.Err() == nil && !isUnavailable(err) {
-		r.endOutage(s)
+	if err := m.opts.Probe(ctx); ctx.Err() == nil && !isUnavailable(err) {
+		m.endOutage(o)
 	}
 }
 
-func (r *Monitor) currentOutage() *outage {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.outage
+func (m *Monitor) currentOutage() *outage {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.outage
 }
 
-// prove notes that a probe has got no answer.
-func (r *Monitor) confirmOutage(s *outage) {
-	r.mu.Lock()
-	first := r.outage == s && !s.confirmed
-	s.confirmed = s.confirmed || first
-	r.mu.Unlock()
-	if first {
-		r.opts.OnChange(true, r.opts.Clock.Now().Sub(s.since))
+// confirmOutage records that a probe had no response.
+func (m *Monitor) confirmOutage(o *outage) {
+	m.mu.Lock()
+	changed := m.outage == o && !o.confirmed
+	o.confirmed = o.confirmed || changed
+	m.mu.Unlock()
+	if changed {
+		m.opts.OnChange(true, m.opts.Clock.Now().Sub(o.since))
 	}
 }
 
-// end notes an answer: silence s is over; nil: whichever there is.
-func (r *Monitor) endOutage(s *outage) {
-	r.mu.Lock()
-	if r.outage == nil || s != nil && r.outage != s {
-		r.mu.Unlock()
+// endOutage records a response: it ends outage o, or the current outage if o is nil.
+func (m *Monitor) endOutage(o *outage) {
+	m.mu.Lock()
+	if m.outage == nil || o != nil && m.outage != o {
+		m.mu.Unlock()
 		return
 	}
-	ended := r.outage
-	r.outage = nil
-	close(ended.ended)
-	r.mu.Unlock()
-	if ended.confirmed {
-		r.opts.OnChange(false, r.opts.Clock.Now().Sub(ended.since))
+	current := m.outage
+	m.outage = nil
+	close(current.ended)
+	m.mu.Unlock()
+	if current.confirmed {
+		m.opts.OnChange(false, m.opts.Clock.Now().Sub(current.since))
 	}
 }
 
-// suspect has the API probed and returns the silence.
-func (r *Monitor) suspectOutage() *outage {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.outage == nil {
-		r.outage = &outage{since: r.opts.Clock.Now(), ended: make(chan struct{})}
+// suspectOutage starts an outage, if there is none, so that Run probes the API. It returns
+// the current outage.
+func (m *Monitor) suspectOutage() *outage {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.outage == nil {
+		m.outage = &outage{since: m.opts.Clock.Now(), ended: make(chan struct{})}
 		select {
-		case r.outages <- struct{}{}:
-		default: // Run has not looked at the one before yet
+		case m.outages <- struct{}{}:
+		default: // Run has not received the previous signal yet
 		}
 	}
-	return r.outage
+	return m.outage
 }
 
-// await blocks while the API is known to be silent, and tells whether it was.
-func (r *Monitor) awaitRecovery(ctx context.Context) (late bool, err error) {
-	s := r.currentOutage()
-	if s == nil || !r.Unresponsive() {
+// awaitRecovery blocks during a confirmed outage. recovered reports whether there was one.
+func (m *Monitor) awaitRecovery(ctx context.Context) (recovered bool, err error) {
+	o := m.currentOutage()
+	if o == nil || !m.Unresponsive() {
 		return false, nil
 	}
 	select {
-	case <-s.ended:
+	case <-o.ended:
 		return true, nil
 	case <-ctx.Done():
 		return true, errors.Join(objectapi.ErrUnavailable, objectapi.ErrNoAnswer, ctx.Err())
 	}
 }
 
-// down tells whether a question's end says that the API serves nothing now. A refusal of
-// the question itself, for its rate or its content, is an answer.
+// isUnavailable reports whether the error of a request means that the API serves no
+// requests now. A rejection of the request itself, for its rate or its content, is a
+// response.
 func isUnavailable(err error) bool {
 	return errors.Is(err, objectapi.ErrNoAnswer) || errors.Is(err, objectapi.ErrUnavailable)
 }
 
-// note takes what a question's end tells of the API: any answer ends a silence.
-func (r *Monitor) recordResult(err error) {
+// recordResult ends the outage if the result of a request shows a response of the API. A
+// cancelled or timed-out request shows nothing.
+func (m *Monitor) recordResult(err error) {
 	if !isUnavailable(err) && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded) {
-		r.endOutage(nil)
+		m.endOutage(nil)
 	}
 }
 
-// outcome is what became of one question.
+// result is the outcome of one request.
 type result[T any] struct {
 	value T
 	err   error
 }
 
-// Question asks the API something that may be asked more than once. late tells that
-// the API has just answered again after a silence.
-type RequestFunc[T any] func(ctx context.Context, late bool) (T, error)
+// RequestFunc sends one request to the API. It may be called more than once. recovered
+// reports that the API has just recovered from an outage.
+type RequestFunc[T any] func(ctx context.Context, recovered bool) (T, error)
 
-// Ask asks a question that is expected to be answered after wait. It waits while the
-// API is silent. A question that is overdue when the API is found to answer was sent
-// into a silence, most likely: it is asked once more, and the first answer counts.
-func Call[T any](ctx context.Context, r *Monitor, wait time.Duration, question RequestFunc[T]) (T, error) {
-	late, err := r.awaitRecovery(ctx)
+// Call sends a request whose response is expected after wait. During a confirmed outage it
+// blocks until the API recovers. If the response is overdue when the API is found to
+// respond, the request was most likely lost in an outage: it is sent once more, and the
+// first response is returned. If ctx ends while Call waits for recovery, the error wraps
+// objectapi.ErrUnavailable and objectapi.ErrNoAnswer.
+func Call[T any](ctx context.Context, m *Monitor, wait time.Duration, request RequestFunc[T]) (T, error) {
+	recovered, err := m.awaitRecovery(ctx)
 	if err != nil {
-		var none T
-		return none, err
+		var zero T
+		return zero, err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers := make(chan result[T], 2)
-	send(ctx, question, late, answers)
-	o, ok := receive(answers, r.opts.Clock.After(wait+overdueGrace))
-	if ok && isUnavailable(o.err) {
-		// Its connection was reset, or it was told that the API is not available: what
-		// others ask would fare no better.
-		r.suspectOutage()
+	results := make(chan result[T], 2)
+	send(ctx, request, recovered, results)
+	res, ok := receive(results, m.opts.Clock.After(wait+overdueGrace))
+	if ok && isUnavailable(res.err) {
+		// The connection was reset or the API reported itself unavailable: other requests
+		// would fail as well.
+		m.suspectOutage()
 	}
 	if !ok {
-		o, ok = receive(answers, r.suspectOutage().ended)
+		res, ok = receive(results, m.suspectOutage().ended)
 	}
 	if !ok {
-		send(ctx, question, true, answers)
-		o = <-answers
-		if errors.Is(o.err, objectapi.ErrNoAnswer) {
-			o = <-answers
+		send(ctx, request, true, results)
+		res = <-results
+		if errors.Is(res.err, objectapi.ErrNoAnswer) {
+			res = <-results
 		}
 	}
-	r.recordResult(o.err)
-	return o.value, o.err
+	m.recordResult(res.err)
+	return res.value, res.err
 }
 
-func send[T any](ctx context.Context, question RequestFunc[T], late bool, to chan<- result[T]) {
+// send sends the request in a goroutine of its own and delivers the result to out.
+func send[T any](ctx context.Context, request RequestFunc[T], recovered bool, out chan<- result[T]) {
 	go func() {
-		answer, err := question(ctx, late)
-		to <- result[T]{answer, err}
+		value, err := request(ctx, recovered)
+		out <- result[T]{value, err}
 	}()
 }
 
-// receive waits for an outcome; false: until came first.
-func receive[T, S any](answers <-chan result[T], until <-chan S) (result[T], bool) {
+// receive waits for a result. It returns false if until is ready first.
+func receive[T, S any](results <-chan result[T], until <-chan S) (result[T], bool) {
 	select {
-	case o := <-answers:
-		return o, true
+	case res := <-results:
+		return res, true
 	case <-until:
 		return result[T]{}, false
 	}
--- a/process/reach/reach_test.go
+++ b/process/reach/reach_test.go
@@ -14,22 +14,22 @@
 	"bilberrydale/process/objectapi"
 )
 
-// api is an object API that falls silent: what is asked of it then gets no answer,
-// also not later.
+// api is an object API with simulated outages: a request that is sent during one never
+// gets a response.
 type api struct {
 	mu           sync.Mutex
 	unresponsive bool
 	latency      time.Duration
 	requests     int
 	probes       int
-	err          error // of its answers
-	recovered    bool  // as the last question was told
+	err          error // of its responses
+	recovered    bool  // argument of the last request
 }
 
-func (a *api) setUnresponsive(silent bool) {
+func (a *api) setUnresponsive(unresponsive bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.unresponsive = silent
+	a.unresponsive = unresponsive
 }
 
 func (a *api) setError(err error) {
@@ -41,30 +41,30 @@
 func (a *api) respond(ctx context.Context, count *int) error {
 	a.mu.Lock()
 	*count++
-	silent, takes, err := a.unresponsive, a.latency, a.err
+	unresponsive, latency, err := a.unresponsive, a.latency, a.err
 	a.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return errors.Join(objectapi.ErrNoAnswer, ctx.Err())
 	}
 	select {
-	case <-time.After(takes):
+	case <-time.After(latency):
 		return err
 	case <-ctx.Done():
 		return errors.Join(objectapi.ErrNoAnswer, ctx.Err())
 	}
 }
 
-// count reads one of the counts.
+// count reads one of the counters.
 func (a *api) count(of *int) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return *of
 }
 
-func (a *api) request(ctx context.Context, late bool) (string, error) {
+func (a *api) request(ctx context.Context, recovered bool) (string, error) {
 	a.mu.Lock()
-	a.recovered = late
+	a.recovered = recovered
 	a.mu.Unlock()
 	return "yes", a.respond(ctx, &a.requests)
 }
@@ -73,18 +73,18 @@
 	*WithT
 	api         *api
 	monitor     *Monitor
-	transitions []bool // what Changed told; read after synctest.Wait
-	notified    bool   // another process tells of the return
+	transitions []bool // arguments of OnChange; read after synctest.Wait
+	notified    bool   // another host notifies of the recovery
 }
 
-// run calls f in a bubble of simulated time.
+// run calls f in a synctest bubble with simulated time.
 func run(t *testing.T, f func(x *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		x := &fixture{WithT: NewWithT(t), api: &api{latency: 4 * time.Millisecond}}
 		x.monitor = New(Options{
 			Probe: func(ctx context.Context) error { return x.api.respond(ctx, &x.api.probes) },
 			Clock: clock.System{}, Rand: clock.NewSeeded(1),
-			FullProbeRate: func() bool { return !x.notified }, OnChange: func(silent bool, _ time.Duration) { x.transitions = append(x.transitions, silent) },
+			FullProbeRate: func() bool { return !x.notified }, OnChange: func(unresponsive bool, _ time.Duration) { x.transitions = append(x.transitions, unresponsive) },
 		})
 		ctx, stop := context.WithCancel(t.Context())
 		defer stop()
@@ -95,23 +95,23 @@
 	})
 }
 
-func (x *fixture) call(bound, wait time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), bound)
+func (x *fixture) call(timeout, wait time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	_, err := Call(ctx, x.monitor, wait, x.api.request)
 	return err
 }
 
-// The pattern: a host asks while the API is silent, as one does that starts then.
-// The API is back after two seconds. The question itself is lost; the host knows
-// all the same within 0.3 s of the return, and not when its question's time ends.
+// A host sends a request during an outage, as one does that starts then. The API recovers
+// after two seconds. Guards against waiting until the lost request times out: it is sent
+// again within 0.3 s of the recovery.
 func TestRequestLostInOutageIsRepeatedAfterRecovery(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.setUnresponsive(true)
 		time.AfterFunc(2*time.Second, func() { x.api.setUnresponsive(false) })
-		began := time.Now()
+		started := time.Now()
 		x.Expect(x.call(10*time.Second, 0)).To(Succeed())
-		x.Expect(time.Since(began)).To(BeNumerically("~", 2150*time.Millisecond, 155*time.Millisecond))
+		x.Expect(time.Since(started)).To(BeNumerically("~", 2150*time.Millisecond, 155*time.Millisecond))
 		synctest.Wait()
 		x.Expect(x.transitions).To(Equal([]bool{true, false}))
 		x.Expect(x.api.count(&x.api.requests)).To(Equal(2))
@@ -121,56 +121,55 @@
 	})
 }
 
-// The pattern: the API is back 0.2 s after a question was lost, before it was known
-// to be silent. The first probe is answered, and the question asked again then: it
-// does not wait for an answer that will not come.
+// The API recovers 0.2 s after a request was lost, before the outage is confirmed. Guards
+// against waiting for a response that never comes: the first probe gets a response, and
+// the request is sent again at once.
 func TestRequestLostJustBeforeRecoveryIsRepeated(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.setUnresponsive(true)
 		time.AfterFunc(200*time.Millisecond, func() { x.api.setUnresponsive(false) })
-		began := time.Now()
+		started := time.Now()
 		x.Expect(x.call(2500*time.Millisecond, 0)).To(Succeed())
-		x.Expect(time.Since(began)).To(BeNumerically("<", 450*time.Millisecond))
+		x.Expect(time.Since(started)).To(BeNumerically("<", 450*time.Millisecond))
 		synctest.Wait()
 		x.Expect(x.transitions).To(BeEmpty())
 	})
 }
 
-// While the API is known to be silent nothing but probes is sent to it. A question's
-// own bound holds, and the next one after the return is asked at once.
+// Guards against sending requests other than probes during a confirmed outage. A request's
+// own timeout still applies, and the next one after the recovery is sent at once.
 func TestOnlyProbesAreSentDuringOutage(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.setUnresponsive(true)
 		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
 		x.Expect(x.monitor.Unresponsive()).To(BeTrue())
-		asked := x.api.count(&x.api.requests)
+		sent := x.api.count(&x.api.requests)
 		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
-		x.Expect(x.api.count(&x.api.requests)).To(Equal(asked))
+		x.Expect(x.api.count(&x.api.requests)).To(Equal(sent))
 		x.Expect(x.api.count(&x.api.probes)).To(BeNumerically("<=", 8))
 		x.api.setUnresponsive(false)
-		began := time.Now()
+		started := time.Now()
 		x.Expect(x.call(time.Second, 0)).To(Succeed())
-		x.Expect(time.Since(began)).To(BeNumerically("<", 310*time.Millisecond))
+		x.Expect(time.Since(started)).To(BeNumerically("<", 310*time.Millisecond))
 		x.Expect(x.monitor.Unresponsive()).To(BeFalse())
 	})
 }
 
-// The API answers slowly, a second each. Its questions are answered as they would
-// be without probes: none is given up and asked again, and nobody is told of a loss
-// that is none for longer than one answer takes.
+// The API takes a second per response. Guards against cancelling slow requests and sending
+// them again, and against reporting an outage for longer than one response takes.
 func TestSlowResponsesAreAwaited(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.latency = time.Second
 		for range 3 {
-			began := time.Now()
+			started := time.Now()
 			x.Expect(x.call(3*time.Second, 0)).To(Succeed())
-			x.Expect(time.Since(began)).To(BeNumerically("<=", 1400*time.Millisecond))
+			x.Expect(time.Since(started)).To(BeNumerically("<=", 1400*time.Millisecond))
 		}
 		x.Expect(x.api.count(&x.api.requests)).To(BeNumerically("<=", 4))
 	})
 }
 
-// A watch has nothing to tell for its whole wait. That is no silence.
+// A watch without changes takes its whole wait. Guards against counting that as an outage.
 func TestIdleWatchTriggersNoProbe(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.latency = 2 * time.Second
@@ -179,7 +178,8 @@
 	})
 }
 
-// A refusal is an answer: the API is there, and refuses the question itself.
+// Guards against counting a rejection as part of an outage: the API responds and rejects
+// the request itself.
 func TestRefusalEndsOutage(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.setUnresponsive(true)
@@ -191,12 +191,12 @@
 	})
 }
 
-// Guards against hundreds of hosts that probe a silent API four times a second each,
-// though their readers tell them of its return.
+// Guards against hundreds of hosts that each probe an unresponsive API four times per
+// second, although their readers notify them of its recovery.
 func TestNotifiedHostsProbeSlowly(t *testing.T) {
-	probes := func(told bool) (n int) {
+	probes := func(notified bool) (n int) {
 		run(t, func(x *fixture) {
-			x.notified = told
+			x.notified = notified
 			x.api.setUnresponsive(true)
 			x.Expect(x.call(10*time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
 			n = x.api.count(&x.api.probes)
@@ -207,8 +207,9 @@
 	NewWithT(t).Expect(probes(true)).To(BeNumerically("<", 10))
 }
 
-// Guards against a fleet that asks an API which resets its connections, or says that it is
-// not available, as often as it can: the first question that fails so has it probed, and others wait.
+// Guards against a fleet that sends requests as fast as it can to an API that resets
+// connections or reports itself unavailable: the first request that fails in this way
+// starts the probes, and the other requests wait.
 func TestResetsAndUnavailabilityCountAsOutage(t *testing.T) {
 	for _, failure := range []error{objectapi.ErrNoAnswer, objectapi.ErrUnavailable} {
 		run(t, func(x *fixture) {
@@ -216,9 +217,9 @@
 			x.Expect(x.call(time.Second, 0)).To(MatchError(failure))
 			time.Sleep(2 * probeInterval)
 			x.Expect(x.monitor.Unresponsive()).To(BeTrue())
-			asked := x.api.count(&x.api.requests)
+			sent := x.api.count(&x.api.requests)
 			x.Expect(x.call(time.Second, 0)).To(HaveOccurred())
-			x.Expect(x.api.count(&x.api.requests)).To(Equal(asked), "it waits for the probe")
+			x.Expect(x.api.count(&x.api.requests)).To(Equal(sent), "the request waits for the probe")
 			x.api.setError(nil)
 			time.Sleep(2 * probeInterval)
 			x.Expect(x.monitor.Unresponsive()).To(BeFalse())
