--- a/process/follow/age_test.go
+++ b/process/follow/age_test.go
@@ -10,9 +10,9 @@
 	"bilberrydale/process/clock"
 )
 
-// The pattern: a host asks its reader, which asks its own, and each waits for changes.
-// Guards against counting the wait at the reader as age of what it tells, by which all
-// hosts of a region took its knowledge for too old when it was not.
+// A host watches through its reader, which watches through its own, and each waits for
+// changes. Guards against counting the wait at the reader as age of its copy, by which all
+// hosts of a region would reject a copy that is recent enough.
 func TestWaitAtReaderIsNotCountedAsAge(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -27,20 +27,20 @@
 	}()
 	r.g.Eventually(r.now.Waiters, "30s", "1ms").Should(Equal(1))
 	r.now.Advance(600 * time.Millisecond)
-	r.g.Expect(r.step(r.reader)).To(Succeed()) // proves what was there 600 ms after the question
+	r.g.Expect(r.step(r.reader)).To(Succeed()) // confirms the copy 600 ms after the request
 	r.now.Advance(400 * time.Millisecond)
 	got := <-done
 	r.g.Expect(got.err).NotTo(HaveOccurred())
 	r.g.Expect(got.a.Age).To(Equal(-600 * time.Millisecond))
 }
 
-// The pattern: the platform has lost its history and hundreds of servers are listed.
-// Guards against sending the whole list to each host of the region again: the reader
-// lists and tells what has changed.
+// The platform has lost its history while hundreds of servers are listed. Guards against
+// sending the whole list to each host of the region again: the reader lists and sends the
+// changes.
 func TestRelistOfReaderSendsOnlyChanges(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
-	r.reader.listed = false // as a watch that found its history gone leaves it
+	r.reader.listed = false // as after ErrHistoryGone
 	r.api.value, r.api.rev = "2", 9
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	a, err := r.source.Watch(t.Context(), 5, 0)
@@ -51,6 +51,8 @@
 	r.g.Expect(a.Objects).To(BeEmpty())
 }
 
+// Guards against changes between two lists that other hosts would miss: objects that are
+// new, replaced or deleted.
 func TestDiffOfTwoLists(t *testing.T) {
 	g := NewWithT(t)
 	before := map[string]Object[string]{"same": object("same", 1, "x"), "other": object("other", 2, "x"), "gone": object("gone", 3, "x")}
@@ -60,22 +62,22 @@
 	))
 }
 
-// The pattern: a reader is suspended for seconds while it makes up its answer. Guards
-// against counting the suspension as a wait for news, by which keys that were taken away
-// meanwhile would be honoured for its length.
+// A reader is suspended for seconds while it prepares its response. Guards against
+// counting the suspension as a wait for changes, by which keys that were revoked meanwhile
+// would be accepted for that time.
 func TestSuspensionOfReaderIsNotCountedAsWait(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
-	_, _, proved, _ := r.reader.history.list()
+	_, _, confirmed, _ := r.reader.history.list()
 	slow := &suspendingClock{Manual: r.now}
 	r.reader.opts.Clock = slow
 	r.source.MaxAge = time.Hour
 	a, err := r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Age).To(Equal(slow.readings[0].Sub(proved)), "as old as when the question arrived")
+	r.g.Expect(a.Age).To(Equal(slow.readings[0].Sub(confirmed)), "the age when the request arrived")
 }
 
-// suspending is the clock of a process that is suspended after each look at it.
+// suspendingClock is the clock of a process that is suspended for 5 s after each reading.
 type suspendingClock struct {
 	*clock.Manual
 	readings []time.Time
@@ -88,8 +90,8 @@
 	return now
 }
 
-// Guards against taking a reader that has just begun for one that has lost its history:
-// the host would give up its newer copy for the reader's.
+// Guards against treating a reader that has just started like one that has lost its
+// history: the host would replace its newer copy by the reader's.
 func TestWatchWaitsForFirstListOfReader(t *testing.T) {
 	r := newPeerFixture(t)
 	watched := make(chan error, 1)
--- a/process/follow/compress.go
+++ b/process/follow/compress.go
@@ -11,22 +11,23 @@
 	"bilberrydale/process/peer"
 )
 
-// packed is a list as it is sent to other hosts, made once for all that ask while nothing
-// changes. Where a region's hosts begin at once, a hundred of them ask one for thousands
-// of entries: sent as they are, they fill its link for seconds.
+// compressedList caches the encoded and compressed list, so that it is produced once for
+// all hosts that request it between changes. When the hosts of a region start together, a
+// hundred of them request thousands of entries from one reader: uncompressed, these fill
+// its network link for seconds.
 type compressedList struct {
 	mu      sync.Mutex
-	version uint64 // history.changes of the list
+	version uint64 // history.version of the list
 	bytes   []byte
 }
 
-// pack returns the list packed; ok is false before the first list.
-func (h *history[T]) compressedList() (list []byte, from Revision, proved time.Time, ok bool, err error) {
+// compressedList returns the compressed list; ok is false before the first list.
+func (h *history[T]) compressedList() (list []byte, revision Revision, confirmedAt time.Time, ok bool, err error) {
 	h.compressed.mu.Lock()
 	defer h.compressed.mu.Unlock()
 	h.mu.Lock()
-	from, proved, ok = h.revision, h.confirmedAt, h.objects != nil
-	fresh, of := h.compressed.version == h.version, h.version
+	revision, confirmedAt, ok = h.revision, h.confirmedAt, h.objects != nil
+	fresh, version := h.compressed.version == h.version, h.version
 	var objects []Object[T]
 	if !fresh {
 		objects = h.snapshot()
@@ -34,13 +35,14 @@
 	h.mu.Unlock()
 	if !fresh {
 		if h.compressed.bytes, err = compress(encode(objects)); err != nil {
-			return nil, from, proved, false, err
+			return nil, revision, confirmedAt, false, err
 		}
-		h.compressed.version = of
+		h.compressed.version = version
 	}
-	return h.compressed.bytes, from, proved, ok, nil
+	return h.compressed.bytes, revision, confirmedAt, ok, nil
 }
 
+// compress encodes objects as msgpack and compresses them with deflate.
 func compress[T any](objects []peerObject[T]) ([]byte, error) {
 	payload, err := peer.Marshal(objects)
 	if err != nil {
@@ -60,16 +62,18 @@
 	return out.Bytes(), nil
 }
 
-// maxUnpacked bounds what a list may grow to, in bytes: some hundred thousand entries.
+// maxDecompressedBytes limits the size of a decompressed list; it holds some hundred
+// thousand entries.
 const maxDecompressedBytes = 64 << 20
 
+// decompress reverses compress. A longer list than maxDecompressedBytes is an error.
 func decompress[T any](list []byte) (objects []peerObject[T], err error) {
 	payload, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(list)), maxDecompressedBytes))
 	if err != nil {
-		return nil, fmt.Errorf("follow: unpack a list: %w", err)
+		return nil, fmt.Errorf("follow: decompress list: %w", err)
 	}
 	if err := peer.Unmarshal(payload, &objects); err != nil {
-		return nil, fmt.Errorf("follow: unpack a list: %w", err)
+		return nil, fmt.Errorf("follow: decompress list: %w", err)
 	}
 	return objects, nil
 }
--- a/process/follow/compress_test.go
+++ b/process/follow/compress_test.go
@@ -13,7 +13,7 @@
 	"bilberrydale/process/peer"
 )
 
-// many is a source of as many entries as a large fleet has servers.
+// largeSource is a source with as many entries as a large fleet has servers.
 type largeSource struct{ *api }
 
 func (m largeSource) List(ctx context.Context, after string) (Response[string], error) {
@@ -25,9 +25,9 @@
 	return a, err
 }
 
-// Guards against a reader whose link is full for seconds while the hosts of its region
-// begin together and ask it for thousands of servers: what one of them gets is a
-// fraction of the entries' size, and made once for all.
+// Guards against a reader whose network link is saturated for seconds while the hosts of
+// its region start together and request thousands of servers: each response is a fraction
+// of the entries' size, and it is produced once for all hosts.
 func TestLargeListIsCompressedOnce(t *testing.T) {
 	g := NewWithT(t)
 	w := &memoryLink{handlers: map[peer.Method]peer.Handler{}}
@@ -38,15 +38,15 @@
 	ask := func(q peerRequest) []byte {
 		payload, err := peer.Marshal(q)
 		g.Expect(err).NotTo(HaveOccurred())
-		answer, err := w.handlers[peerMethod("k")](t.Context(), peer.Identity{}, payload)
+		response, err := w.handlers[peerMethod("k")](t.Context(), peer.Identity{}, payload)
 		g.Expect(err).NotTo(HaveOccurred())
-		return answer
+		return response
 	}
 	plain, small := ask(peerRequest{List: true}), ask(peerRequest{List: true, AcceptsCompressed: true})
 	g.Expect(len(small)).To(BeNumerically("<", len(plain)/5))
 	first := &reader.history.compressed.bytes[0]
 	ask(peerRequest{List: true, AcceptsCompressed: true})
-	g.Expect(&reader.history.compressed.bytes[0]).To(BeIdenticalTo(first), "made once")
+	g.Expect(&reader.history.compressed.bytes[0]).To(BeIdenticalTo(first), "produced once")
 
 	relay := &PeerSource[string]{Kind: "k", Link: w, Clock: now, MaxAge: maxAge, APIUnresponsive: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
 	a, err := relay.List(t.Context(), "")
@@ -57,7 +57,7 @@
 	g.Expect(a.Objects).To(ContainElement(Object[string]{Name: "unreadable", Err: errors.New("no such state")}))
 }
 
-// Guards against a host that begins with a list of before a change.
+// Guards against a starting host that gets a list from before a change.
 func TestCompressedListIsRenewedAfterChanges(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -72,7 +72,7 @@
 	}
 }
 
-// Guards against taking a list that arrived damaged for an empty one.
+// Guards against decoding a truncated list as an empty one.
 func TestTruncatedCompressedListIsRejected(t *testing.T) {
 	g := NewWithT(t)
 	list, err := compress(encode([]Object[string]{object("a", 5, "1")}))
--- a/process/follow/follow.go
+++ b/process/follow/follow.go
@@ -1,6 +1,7 @@
-// Package follow keeps a local copy of the objects of one kind of the
-// platform's object API: it lists them, watches for changes and lists again
-// when the history that it needs is gone.
+// Package follow maintains a local copy of all objects of one kind in the platform's
+// object API. A Follower lists the objects, watches for changes, and lists again when the
+// API no longer keeps the changes that it needs. Hosts can follow through another host of
+// their region, a reader, in place of the API.
 package follow
 
 import (
@@ -11,11 +12,11 @@
 	"bilberrydale/process/clock"
 )
 
-// Revision is a state of the object API; it grows with each change.
+// Revision identifies a state of the object API; it increases with each change.
 type Revision int64
 
-// Object is one decoded object. Err is set in place of Value if another writer
-// left something there that cannot be read.
+// Object is one decoded object. Err is set in place of Value if the stored object cannot
+// be decoded, such as one written by another program.
 type Object[T any] struct {
 	Name     string
 	Revision Revision
@@ -24,68 +25,73 @@
 	Err      error
 }
 
-// Answer is what a Source says.
+// Response is a Source's response to a list or watch request.
 type Response[T any] struct {
-	Objects []Object[T] // all of them, or the changes
+	Objects []Object[T] // all objects for List, the changes for Watch
 	AsOf    Revision
-	// Age is how long before the question the source itself had last made sure
-	// of what it says; 0 for the object API, which answers from its own state.
-	// Below 0: it made sure while the question waited there.
+	// Age is the time from the source's last confirmation of its data to the arrival of
+	// the request; 0 for the object API, which responds from its own state. It is negative
+	// if the source confirmed its data while the request waited there.
 	Age time.Duration
-	// Next is the name after which a list goes on; empty: this is its end.
+	// ContinueAfter is the name to pass to List for the next page; empty: this is the last
+	// page.
 	ContinueAfter string
 }
 
 // Source reads the objects of one kind.
 type Source[T any] interface {
-	// List returns the objects after a name, or a first part of them with Next.
-	// ErrRefused means that the same may be asked for again a little later.
+	// List returns the objects whose names follow after, or the first page of them with
+	// ContinueAfter set. ErrRefused means that the same request may be repeated a little
+	// later.
 	List(ctx context.Context, after string) (Response[T], error)
-	// Watch returns the changes after from as soon as there are some, or none
+	// Watch returns the changes after revision from as soon as there are any, or none
 	// after wait. ErrHistoryGone means that from is too old.
 	Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error)
 }
 
-// ErrHistoryGone is returned by Watch when the changes after the revision are
-// no longer kept. Use errors.Is.
+// ErrHistoryGone is returned by Watch when the changes after the revision are no longer
+// kept. Use errors.Is.
 var ErrHistoryGone = errors.New("follow: history is gone")
 
-// ErrRefused is returned when the source did nothing, because it is busy or over
-// its rate. Use errors.Is.
+// ErrRefused is returned when the source did not execute the request because it is busy or
+// its rate limit is exceeded. Use errors.Is.
 var ErrRefused = errors.New("follow: refused")
 
-var errOlderList = errors.New("follow: the list is older than what is known")
+var errOlderList = errors.New("follow: the list is older than the local copy")
 
-// Options of a Follower.
+// Options configures a Follower. All fields are required except CoalesceDelay.
 type Options[T any] struct {
 	Source Source[T]
 	Clock  clock.Clock
 	Rand   clock.Rand
-	// Wait bounds one watch, and so how old the knowledge may get while all is
-	// well: an answered watch proves that nothing changed before it was sent.
+	// WatchWait is the maximum time for which a watch waits for changes, and so bounds the
+	// age of the copy in normal operation: a response to a watch confirms that nothing
+	// else changed before it was sent.
 	WatchWait time.Duration
-	// Answer bounds the wait for an answer beyond Wait.
+	// ResponseTimeout is the time for the response to a watch beyond WatchWait.
 	ResponseTimeout time.Duration
-	// Settle is the pause after an answer with changes, so that changes that come
-	// one after the other come in one answer; 0: none.
+	// CoalesceDelay is the pause after a response with changes, so that changes in quick
+	// succession arrive in one response; 0: none.
 	CoalesceDelay time.Duration
-	// Changed is called with the whole copy after each list or change.
-	OnChange func(objects map[string]Object[T], why string)
-	// Proved is called when an answer has shown that the copy held everything
-	// that was accepted before at.
+	// OnChange is called with the whole copy after each list or change. origin is "list"
+	// or "watch". The callee must not modify the map.
+	OnChange func(objects map[string]Object[T], origin string)
+	// OnConfirmed is called when a response has confirmed that the copy contains every
+	// change that was accepted before at.
 	OnConfirmed func(at time.Time)
-	// Lost and Regained tell of the source itself.
+	// OnLost is called with the first error when requests to the source start to fail,
+	// OnRegained with the length of the failure when one succeeds again.
 	OnLost     func(err error)
 	OnRegained func(after time.Duration)
 }
 
-// Follower keeps the copy. Run is called once.
+// Follower maintains the copy. Run is called once.
 type Follower[T any] struct {
 	opts         Options[T]
 	objects      map[string]Object[T]
 	revision     Revision
 	listed       bool
-	failingSince time.Time // since; zero: not
+	failingSince time.Time // zero: the last request succeeded
 	failures     int
 	history      history[T]
 }
@@ -97,34 +103,35 @@
 	return f
 }
 
-// Bounds of the pause after a failed call. The first is short so that a single
-// lost answer costs little; the last keeps a fleet that waits for a store from
-// spending the store's rate when it returns.
+// Bounds of the backoff after a failed request. The minimum is short so that a single lost
+// response costs little time; the maximum keeps a fleet that waits for the object API from
+// exhausting the API's rate limit when it recovers.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Run follows until ctx ends.
+// Run follows the source until ctx ends.
 func (f *Follower[T]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
-		began := f.opts.Clock.Now()
+		started := f.opts.Clock.Now()
 		if err := f.step(ctx); err != nil && ctx.Err() == nil {
 			f.recordFailure(err)
-			f.backOff(ctx, began)
+			f.backOff(ctx, started)
 		}
 	}
 	return nil
 }
 
+// step sends one list or watch request and applies its response.
 func (f *Follower[T]) step(ctx context.Context) error {
 	sent := f.opts.Clock.Now()
 	if !f.listed {
 		return f.list(ctx, sent)
 	}
-	bounded, cancel := context.WithTimeout(ctx, f.opts.WatchWait+f.opts.ResponseTimeout)
+	watchCtx, cancel := context.WithTimeout(ctx, f.opts.WatchWait+f.opts.ResponseTimeout)
 	defer cancel()
-	a, err := f.opts.Source.Watch(bounded, f.revision, f.opts.WatchWait)
+	resp, err := f.opts.Source.Watch(watchCtx, f.revision, f.opts.WatchWait)
 	if errors.Is(err, ErrHistoryGone) {
 		f.listed = false
 		return nil
@@ -132,39 +139,39 @@
 	if err != nil {
 		return err
 	}
-	proved := sent.Add(-a.Age)
-	if len(a.Objects) > 0 {
-		f.applyChanges(a, proved)
+	confirmedAt := sent.Add(-resp.Age)
+	if len(resp.Objects) > 0 {
+		f.applyChanges(resp, confirmedAt)
 	}
-	f.recordSuccess(proved)
-	if len(a.Objects) > 0 && f.opts.CoalesceDelay > 0 {
+	f.recordSuccess(confirmedAt)
+	if len(resp.Objects) > 0 && f.opts.CoalesceDelay > 0 {
 		f.sleep(ctx, f.opts.CoalesceDelay)
 	}
 	return nil
 }
 
-// change takes the changes that a watch brought.
-func (f *Follower[T]) applyChanges(a Response[T], proved time.Time) {
-	// The watch goes on from the last answer that held changes, never from the
-	// state that an empty answer names: a watch to which a disturbed store
-	// delivered nothing would otherwise skip the changes made meanwhile for good.
-	for _, c := range a.Objects {
+// applyChanges applies the changes in a watch response.
+func (f *Follower[T]) applyChanges(resp Response[T], confirmedAt time.Time) {
+	// The next watch continues from the last response with changes, never from the
+	// revision of an empty response: a watch to which a failing store delivered nothing
+	// would otherwise skip the changes made meanwhile forever.
+	for _, c := range resp.Objects {
 		f.applyChange(c)
 	}
-	f.revision = max(f.revision, a.AsOf)
-	f.history.add(a.Objects, f.revision, proved)
+	f.revision = max(f.revision, resp.AsOf)
+	f.history.add(resp.Objects, f.revision, confirmedAt)
 	f.opts.OnChange(f.objects, "watch")
 }
 
-// pages reads a list to its end. A page that was refused is asked for again:
-// beginning anew would cost all pages before it once more. AsOf is that of the
-// oldest page: changes between the pages come again with the watch.
+// listAllPages requests all pages of a list. A refused page is requested again, because a
+// new list would repeat all pages before it. AsOf is that of the oldest page: the watch
+// delivers changes between the pages again.
 func (f *Follower[T]) listAllPages(ctx context.Context) (all Response[T], err error) {
-	after, refused := "", 0
+	after, retries := "", 0
 	for first := true; ; first = false {
 		page, err := f.listPage(ctx, after)
-		if errors.Is(err, ErrRefused) && !first && refused < maxPageRetries {
-			refused++
+		if errors.Is(err, ErrRefused) && !first && retries < maxPageRetries {
+			retries++
 			f.sleep(ctx, pageRetryDelay)
 			continue
 		}
@@ -182,6 +189,7 @@
 	}
 }
 
+// listPage requests one page of a list with a timeout of its own.
 func (f *Follower[T]) listPage(ctx context.Context, after string) (Response[T], error) {
 	ctx, cancel := context.WithTimeout(ctx, pageTimeout)
 	defer cancel()
@@ -189,69 +197,73 @@
 }
 
 const (
-	// pageBound is the time for one page, of up to 1 MB, or for a list by way of
-	// another host, which many may ask at once.
+	// pageTimeout is the time for one page of up to 1 MB, or for a list through a reader,
+	// which many hosts may request at once.
 	pageTimeout    = 2500 * time.Millisecond
 	pageRetryDelay = 150 * time.Millisecond
 	maxPageRetries = 8
 )
 
-// listBound is the time for a whole list, of many pages where a fleet starts at
-// once and the store spreads its answers.
+// listTimeout is the time for a whole list. It has many pages if a fleet starts at once
+// and the store delays its responses.
 const listTimeout = 8 * time.Second
 
+// list replaces the copy by a new list.
 func (f *Follower[T]) list(ctx context.Context, sent time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
-	a, err := f.listAllPages(ctx)
+	resp, err := f.listAllPages(ctx)
 	if err != nil {
 		return err
 	}
-	if a.AsOf < f.revision {
-		// By way of another host; taking it would bring back what has gone. The copy here
-		// is newer and stays: that host may list no more for as long as nothing changes.
+	if resp.AsOf < f.revision {
+		// The list comes from a reader that is behind, and would restore deleted objects.
+		// The newer copy here is kept and watched further: that reader may not list again
+		// for as long as nothing changes.
 		f.listed = true
 		return errOlderList
 	}
-	before, again, proved := f.objects, f.revision > 0, sent.Add(-a.Age)
-	f.objects = make(map[string]Object[T], len(a.Objects))
-	for _, o := range a.Objects {
+	before, relisted, confirmedAt := f.objects, f.revision > 0, sent.Add(-resp.Age)
+	f.objects = make(map[string]Object[T], len(resp.Objects))
+	for _, o := range resp.Objects {
 		f.objects[o.Name] = o
 	}
-	f.revision = a.AsOf
+	f.revision = resp.AsOf
 	f.listed = true
-	if again {
-		f.history.add(diff(before, f.objects, f.revision), f.revision, proved)
+	if relisted {
+		f.history.add(diff(before, f.objects, f.revision), f.revision, confirmedAt)
 	} else {
-		f.history.reset(a.Objects, f.revision, proved)
+		f.history.reset(resp.Objects, f.revision, confirmedAt)
 	}
 	f.opts.OnChange(f.objects, "list")
-	f.recordSuccess(proved)
+	f.recordSuccess(confirmedAt)
 	return nil
 }
 
-// changes are what made one copy into a later one of a revision. Hosts that ask this one
-// get these after lost history, and not the whole list again.
-func diff[T any](before, after map[string]Object[T], at Revision) []Object[T] {
+// diff returns the changes between two copies; deletions get the given revision. Hosts
+// that follow through this one receive these changes after this host had to list again, in
+// place of the whole list.
+func diff[T any](before, after map[string]Object[T], revision Revision) []Object[T] {
 	var out []Object[T]
 	for name, o := range after {
-		if had, ok := before[name]; !ok || had.Revision != o.Revision {
+		if old, ok := before[name]; !ok || old.Revision != o.Revision {
 			out = append(out, o)
 		}
 	}
 	for name := range before {
 		if _, ok := after[name]; !ok {
-			out = append(out, Object[T]{Name: name, Revision: at, Deleted: true})
+			out = append(out, Object[T]{Name: name, Revision: revision, Deleted: true})
 		}
 	}
 	return out
 }
 
+// applyChange applies one change unless the copy holds a newer revision of the object.
 func (f *Follower[T]) applyChange(c Object[T]) {
 	if c.Revision > f.revision {
 		f.revision = c.Revision
 	}
-	if have, ok := f.objects[c.Name]; ok && have.Revision > c.Revision {
+	if current, ok := f.objects[c.Name]; ok && current.Revision > c.Revision {
 		return
 	}
 	if c.Deleted {
@@ -261,16 +273,19 @@
 	f.objects[c.Name] = c
 }
 
-func (f *Follower[T]) recordSuccess(proved time.Time) {
+// recordSuccess ends a failure of the source and records that the copy was complete at
+// confirmedAt.
+func (f *Follower[T]) recordSuccess(confirmedAt time.Time) {
 	f.failures = 0
 	if !f.failingSince.IsZero() {
 		f.opts.OnRegained(f.opts.Clock.Now().Sub(f.failingSince))
 		f.failingSince = time.Time{}
 	}
-	f.history.confirm(proved)
-	f.opts.OnConfirmed(proved)
+	f.history.confirm(confirmedAt)
+	f.opts.OnConfirmed(confirmedAt)
 }
 
+// recordFailure counts a failed step and reports the first one.
 func (f *Follower[T]) recordFailure(err error) {
 	f.failures++
 	if f.failingSince.IsZero() {
@@ -279,15 +294,17 @@
 	}
 }
 
-// pause keeps failed steps apart. A step that waited for its failure has been kept
-// apart by that: whoever it waited for tells as soon as there is news.
-func (f *Follower[T]) backOff(ctx context.Context, began time.Time) {
+// backOff waits between failed steps, including the time that the step itself took. A step
+// that failed only after waiting needs no further pause, because its source responds as
+// soon as there are changes.
+func (f *Follower[T]) backOff(ctx context.Context, started time.Time) {
 	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minBackoff<<min(f.failures, 5), maxBackoff)))
-	if left := d - f.opts.Clock.Now().Sub(began); left > 0 {
-		f.sleep(ctx, left)
+	if remaining := d - f.opts.Clock.Now().Sub(started); remaining > 0 {
+		f.sleep(ctx, remaining)
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func (f *Follower[T]) sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/process/follow/follow_test.go
+++ b/process/follow/follow_test.go
@@ -11,8 +11,8 @@
 	"bilberrydale/process/clock"
 )
 
-// script is a Source that gives prepared answers in turn and then ends the
-// test's context.
+// script is a Source that returns the given responses in turn and then cancels the test's
+// context.
 type script struct {
 	steps  []step
 	calls  []string
@@ -51,14 +51,16 @@
 	return Response[string]{Objects: x.objects, AsOf: max(x.asOf, 0)}, x.err
 }
 
-// wanted is the revision from which the next watch has to go on.
+// expectWatchFrom is a step that fails unless the watch continues from the given revision.
 func expectWatchFrom(from Revision) step { return step{asOf: -from} }
 
 func object(name string, rev Revision, value string) Object[string] {
 	return Object[string]{Name: name, Revision: rev, Value: value}
 }
 
-func follow(t *testing.T, steps ...step) (s *script, copies []map[string]string, proved int, lost []error) {
+// follow runs a follower over the steps and returns the copies, the number of
+// confirmations and the reported failures.
+func follow(t *testing.T, steps ...step) (s *script, copies []map[string]string, confirmed int, lost []error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	s = &script{steps: steps, cancel: cancel}
@@ -71,27 +73,29 @@
 			}
 			copies = append(copies, c)
 		},
-		OnConfirmed: func(time.Time) { proved++ }, OnLost: func(err error) { lost = append(lost, err) },
+		OnConfirmed: func(time.Time) { confirmed++ }, OnLost: func(err error) { lost = append(lost, err) },
 		OnRegained: func(time.Duration) {},
 	})
 	NewWithT(t).Expect(f.Run(ctx)).To(Succeed())
-	return s, copies, proved, lost
+	return s, copies, confirmed, lost
 }
 
+// Guards against changes and deletions that are applied out of order, and against watches
+// that repeat changes.
 func TestChangesAreAppliedInOrder(t *testing.T) {
 	g := NewWithT(t)
-	_, copies, proved, _ := follow(t,
+	_, copies, confirmed, _ := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1"), object("b", 4, "1")}, asOf: 10},
 		step{objects: []Object[string]{object("a", 11, "2"), {Name: "b", Revision: 4, Deleted: true}}, asOf: 12},
 		expectWatchFrom(12),
 	)
 	g.Expect(copies).To(Equal([]map[string]string{{"a": "1", "b": "1"}, {"a": "2"}}))
-	g.Expect(proved).To(Equal(3))
+	g.Expect(confirmed).To(Equal(3))
 }
 
-// A watch that the store kept from delivering ends without changes and names a newer
-// state. The next one has to go on from the last change that was seen, or what
-// changed meanwhile would be missed for good.
+// A watch to which the store delivered nothing ends without changes and with a newer
+// revision. Guards against continuing from that revision: changes made meanwhile would be
+// missed forever.
 func TestEmptyWatchDoesNotAdvanceRevision(t *testing.T) {
 	g := NewWithT(t)
 	_, copies, _, lost := follow(t,
@@ -104,8 +108,8 @@
 	g.Expect(copies[len(copies)-1]).To(Equal(map[string]string{"a": "2"}))
 }
 
-// The history is gone: everything is listed again, and what was deleted
-// meanwhile goes.
+// The history is gone. Guards against objects that stay in the copy after they were
+// deleted meanwhile: everything is listed again.
 func TestHistoryGoneCausesRelist(t *testing.T) {
 	g := NewWithT(t)
 	s, copies, _, lost := follow(t,
@@ -118,22 +122,22 @@
 	g.Expect(lost).To(BeEmpty())
 }
 
-// The source fails and comes back. The copy stays meanwhile, nothing counts as
-// proved, and the loss is told once.
+// The source fails and recovers. Guards against losing the copy meanwhile, confirming it
+// while the source fails, and reporting the failure more than once.
 func TestCopyIsKeptWhileSourceFails(t *testing.T) {
 	g := NewWithT(t)
 	down := errors.New("down")
-	_, copies, proved, lost := follow(t,
+	_, copies, confirmed, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10},
 		step{err: down}, step{err: down},
 		step{objects: []Object[string]{object("a", 11, "2")}, asOf: 11},
 	)
 	g.Expect(copies).To(HaveLen(2))
-	g.Expect(proved).To(Equal(2))
+	g.Expect(confirmed).To(Equal(2))
 	g.Expect(lost).To(Equal([]error{down}))
 }
 
-// A change that is older than what is known comes late. It does not go back.
+// Guards against a late change that replaces a newer revision of its object.
 func TestOlderChangeIsIgnored(t *testing.T) {
 	g := NewWithT(t)
 	_, copies, _, _ := follow(t,
@@ -143,9 +147,9 @@
 	g.Expect(copies[len(copies)-1]).To(Equal(map[string]string{"a": "new"}))
 }
 
-// The list has several pages and the store refuses the second for its rate, as
-// when a whole fleet lists. That page is asked for again, not the whole list; a
-// change between the pages comes with the watch.
+// A list has several pages and the store refuses the second one because of its rate limit,
+// as when a whole fleet lists. Guards against starting the list again: only that page is
+// repeated, and the watch delivers changes between the pages.
 func TestRefusedPageIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	s, copies, _, lost := follow(t,
@@ -159,12 +163,12 @@
 	g.Expect(lost).To(BeEmpty())
 }
 
-// The pattern: a whole region starts again, and a host that listed at one reader finds
-// another in its place that listed a moment before. Guards against asking that one for
-// lists for as long as nothing changes, with keys that cannot be confirmed meanwhile.
+// A whole region restarts, and a host that listed at one reader finds another in its place
+// that listed a moment earlier. Guards against repeating the list at that reader for as
+// long as nothing changes, while keys cannot be confirmed.
 func TestNewerCopyIsKeptOverOlderList(t *testing.T) {
 	g := NewWithT(t)
-	s, copies, proved, lost := follow(t,
+	s, copies, confirmed, lost := follow(t,
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 10},
 		step{err: ErrHistoryGone},
 		step{objects: []Object[string]{object("a", 3, "1")}, asOf: 8},
@@ -173,5 +177,5 @@
 	g.Expect(s.calls[:4]).To(Equal([]string{"list", "watch", "list", "watch"}))
 	g.Expect(copies).To(HaveLen(1))
 	g.Expect(lost).To(Equal([]error{errOlderList}))
-	g.Expect(proved).To(Equal(2))
+	g.Expect(confirmed).To(Equal(2))
 }
--- a/process/follow/history.go
+++ b/process/follow/history.go
@@ -5,38 +5,42 @@
 	"time"
 )
 
-// history is what a follower tells others: its copy, the changes of late, and
-// when it last made sure of them.
+// history is what a follower serves to other hosts: its copy, the recent changes, and the
+// time of the last confirmation.
 type history[T any] struct {
 	mu          sync.Mutex
 	objects     map[string]Object[T]
-	version     uint64 // how often objects changed
+	version     uint64 // incremented with each change of objects
 	compressed  compressedList
 	revision    Revision
 	batches     []batch[T]
-	trimmedTo   Revision // changes up to here are no longer kept
+	trimmedTo   Revision // changes up to this revision are no longer kept
 	confirmedAt time.Time
 	changed     chan struct{} // closed at each change
 	listed      chan struct{} // closed at the first list
 }
 
+// batch holds the changes of one response and the revision that they lead to.
 type batch[T any] struct {
 	revision Revision
 	objects  []Object[T]
 }
 
-// staleAfter without a proof tells a lost source from the pace of the watches.
+// staleAfter is the time without confirmation that indicates a lost source; the normal
+// interval between watch responses is shorter.
 const staleAfter = time.Second
 
-// keptBatches bounds the changes of late; who needs older ones lists again.
+// maxBatches is the number of recent batches that are kept. A host that needs older
+// changes has to list again.
 const maxBatches = 256
 
-// reset and add take the proof along: a host that is told of a list or a change without
-// it would hold that for as old as the proof before, and turn to the object API itself.
-func (h *history[T]) reset(objects []Object[T], from Revision, proved time.Time) {
+// reset replaces the copy. Like add, it stores the time of confirmation in the same step:
+// a host that received a list or change without it would consider the data as old as the
+// previous confirmation and turn to the object API.
+func (h *history[T]) reset(objects []Object[T], revision Revision, confirmedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.confirmedAt = later(h.confirmedAt, proved)
+	h.confirmedAt = later(h.confirmedAt, confirmedAt)
 	h.objects = make(map[string]Object[T], len(objects))
 	for _, o := range objects {
 		h.objects[o.Name] = o
@@ -46,15 +50,16 @@
 	default:
 		close(h.listed)
 	}
-	h.revision, h.trimmedTo, h.batches = from, from, nil
+	h.revision, h.trimmedTo, h.batches = revision, revision, nil
 	h.version++
 	h.notify()
 }
 
-func (h *history[T]) add(objects []Object[T], at Revision, proved time.Time) {
+// add applies a batch of changes that leads to a revision.
+func (h *history[T]) add(objects []Object[T], revision Revision, confirmedAt time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.confirmedAt = later(h.confirmedAt, proved)
+	h.confirmedAt = later(h.confirmedAt, confirmedAt)
 	for _, o := range objects {
 		if o.Deleted {
 			delete(h.objects, o.Name)
@@ -62,9 +67,9 @@
 			h.objects[o.Name] = o
 		}
 	}
-	h.revision = at
+	h.revision = revision
 	h.version++
-	h.batches = append(h.batches, batch[T]{at, objects})
+	h.batches = append(h.batches, batch[T]{revision, objects})
 	if len(h.batches) > maxBatches {
 		h.trimmedTo = h.batches[0].revision
 		h.batches = h.batches[1:]
@@ -72,21 +77,23 @@
 	h.notify()
 }
 
-// wake is called with h.mu held.
+// notify wakes all waiting requests. It has to be called with h.mu held.
 func (h *history[T]) notify() {
 	close(h.changed)
 	h.changed = make(chan struct{})
 }
 
+// confirm records a confirmation of the copy.
 func (h *history[T]) confirm(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if at.Sub(h.confirmedAt) > staleAfter {
-		h.notify() // other hosts may wait for just this
+		h.notify() // hosts may be waiting for a fresh confirmation
 	}
 	h.confirmedAt = later(h.confirmedAt, at)
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if b.After(a) {
 		return b
@@ -94,14 +101,15 @@
 	return a
 }
 
-// list returns the copy; ok is false before the first list.
-func (h *history[T]) list() (objects []Object[T], from Revision, proved time.Time, ok bool) {
+// list returns the copy and the time of its confirmation; ok is false before the first
+// list.
+func (h *history[T]) list() (objects []Object[T], revision Revision, confirmedAt time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.snapshot(), h.revision, h.confirmedAt, h.objects != nil
 }
 
-// all is called with h.mu held.
+// snapshot returns all objects. It has to be called with h.mu held.
 func (h *history[T]) snapshot() (objects []Object[T]) {
 	for _, o := range h.objects {
 		objects = append(objects, o)
@@ -109,25 +117,26 @@
 	return objects
 }
 
-// news is what a history tells of the time after a revision.
+// update holds the changes after a revision.
 type update[T any] struct {
 	objects     []Object[T]
 	revision    Revision
 	confirmedAt time.Time
 	changed     chan struct{} // closed at the next change
-	listed      bool          // false: nothing is known yet
-	trimmed     bool          // the changes are no longer kept
+	listed      bool          // false: the first list has not arrived yet
+	trimmed     bool          // changes after the requested revision are no longer kept
 }
 
+// since returns the changes after a revision.
 func (h *history[T]) since(from Revision) update[T] {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := update[T]{revision: h.revision, confirmedAt: h.confirmedAt, changed: h.changed, listed: h.objects != nil}
-	n.trimmed = n.listed && from < h.trimmedTo
+	u := update[T]{revision: h.revision, confirmedAt: h.confirmedAt, changed: h.changed, listed: h.objects != nil}
+	u.trimmed = u.listed && from < h.trimmedTo
 	for _, b := range h.batches {
 		if b.revision > from {
-			n.objects = append(n.objects, b.objects...)
+			u.objects = append(u.objects, b.objects...)
 		}
 	}
-	return n
+	return u
 }
--- a/process/follow/initiallist.go
+++ b/process/follow/initiallist.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// Begin returns a source that takes its first list from one source and all else from
-// another. A process that has just begun can do with a list that is cheap and some
-// seconds old, as it watches for changes from there.
-func WithInitialList[T any](first, then Source[T]) Source[T] {
-	return &initialList[T]{initial: first, next: then}
+// WithInitialList returns a source that takes its first list from initial and everything
+// else from next. A process that has just started may use a list that is cheaper and some
+// seconds old, because it watches for changes from there.
+func WithInitialList[T any](initial, next Source[T]) Source[T] {
+	return &initialList[T]{initial: initial, next: next}
 }
 
+// initialList implements WithInitialList. Only a complete list counts as the first one.
 type initialList[T any] struct {
 	initial, next Source[T]
 	listed        atomic.Bool
 }
 
 // List implements Source.
-func (b *initialList[T]) List(ctx context.Context, after string) (Response[T], error) {
-	if b.listed.Load() {
-		return b.next.List(ctx, after)
+func (s *initialList[T]) List(ctx context.Context, after string) (Response[T], error) {
+	if s.listed.Load() {
+		return s.next.List(ctx, after)
 	}
-	a, err := b.initial.List(ctx, after)
-	if err == nil && a.ContinueAfter == "" {
-		b.listed.Store(true)
+	resp, err := s.initial.List(ctx, after)
+	if err == nil && resp.ContinueAfter == "" {
+		s.listed.Store(true)
 	}
-	return a, err
+	return resp, err
 }
 
 // Watch implements Source.
-func (b *initialList[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
-	return b.next.Watch(ctx, from, wait)
+func (s *initialList[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
+	return s.next.Watch(ctx, from, wait)
 }
--- a/process/follow/initiallist_test.go
+++ b/process/follow/initiallist_test.go
@@ -10,52 +10,52 @@
 	"bilberrydale/process/clock"
 )
 
-// Guards against a fleet that starts together and has each host list thousands of
-// servers at the platform, beyond its rate: they wait at their reader, which is about to
-// list them.
+// Guards against a fleet that starts at once and in which each host lists thousands of
+// servers at the platform, beyond its rate limit: the hosts wait at their reader, which is
+// about to list.
 func TestStartingFleetListsOnce(t *testing.T) {
 	const hosts = 100
 	r := newPeerFixture(t)
-	answers := make(chan Response[string], hosts)
+	responses := make(chan Response[string], hosts)
 	for range hosts {
 		relay := *r.source
 		go func() {
 			a, err := relay.List(context.Background(), "")
 			if err != nil {
-				t.Errorf("list by way of the reader: %v", err)
+				t.Errorf("list through the reader: %v", err)
 			}
-			answers <- a
+			responses <- a
 		}()
 	}
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	for range hosts {
-		r.g.Expect((<-answers).Objects).To(Equal([]Object[string]{object("a", 5, "1")}))
+		r.g.Expect((<-responses).Objects).To(Equal([]Object[string]{object("a", 5, "1")}))
 	}
 	r.g.Expect(r.api.count()).To(Equal(1))
 }
 
-// Guards against hosts that hold a list or a change for too old and ask the platform
-// themselves, as they were told of it before they were told how new it is.
+// Guards against hosts that receive a list or change before the time of its confirmation,
+// consider it too old, and send requests to the platform themselves.
 func TestChangesArriveWithConfirmationTime(t *testing.T) {
 	r := newPeerFixture(t)
-	asked, seen := 0, []string{}
+	requests, seen := 0, []string{}
 	r.reader.opts.OnChange = func(map[string]Object[string], string) {
 		a, err := r.source.List(t.Context(), "")
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.g.Expect(a.Age).To(BeZero())
-		asked, seen = r.api.count(), append(seen, a.Objects[0].Value)
+		requests, seen = r.api.count(), append(seen, a.Objects[0].Value)
 	}
 	r.g.Expect(r.step(r.reader)).To(Succeed())
-	r.g.Expect(asked).To(Equal(1), "the reader's own list")
+	r.g.Expect(requests).To(Equal(1), "the reader's own list")
 	r.api.value, r.api.rev = "2", 6
 	r.now.Advance(maxAge + time.Millisecond)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
-	r.g.Expect(asked).To(Equal(2), "and its watch")
+	r.g.Expect(requests).To(Equal(2), "the reader's own watch")
 	r.g.Expect(seen).To(Equal([]string{"1", "2"}))
 }
 
-// Guards against a process that begins at the full price of a list, and against taking
-// later lists, which have to be exact, from some seconds ago.
+// Guards against the cost of a consistent list at each start of a process, and against
+// using a list that is some seconds old later, when it has to be exact.
 func TestOnlyInitialListMayBeStale(t *testing.T) {
 	g := NewWithT(t)
 	old, exact := &api{value: "old", rev: 3}, &api{value: "new", rev: 9}
@@ -66,15 +66,15 @@
 	g.Expect(f.step(t.Context())).To(Succeed())
 	g.Expect(f.objects["a"].Value).To(Equal("new"))
 
-	f.listed = false // as after lost history
+	f.listed = false // as after ErrHistoryGone
 	g.Expect(f.step(t.Context())).To(Succeed())
 	g.Expect(f.objects["a"].Value).To(Equal("new"))
 	g.Expect(old.count()).To(Equal(1))
 	g.Expect(exact.count()).To(Equal(2))
 }
 
-// Guards against missing the changes between two pages that came from copies of the
-// store which were not equally far.
+// Guards against missing the changes between two pages from replicas of the store with
+// different revisions.
 func TestListIsAsOldAsItsOldestPage(t *testing.T) {
 	g := NewWithT(t)
 	_, _, _, lost := follow(t,
@@ -85,7 +85,7 @@
 	g.Expect(lost).To(BeEmpty())
 }
 
-// Guards against an answer of the platform for each of dozens of servers that are
+// Guards against a response of the platform for each of dozens of servers that are
 // replaced one after the other.
 func TestChangesWithinCoalesceDelayShareOneResponse(t *testing.T) {
 	g := NewWithT(t)
--- a/process/follow/monitored.go
+++ b/process/follow/monitored.go
@@ -8,13 +8,13 @@
 	"bilberrydale/process/reach"
 )
 
-// errUnheard has the follower list again.
-var errWatchTimeout = fmt.Errorf("%w: the watch was not answered in time", ErrHistoryGone)
+// errWatchTimeout wraps ErrHistoryGone, so that the follower lists again.
+var errWatchTimeout = fmt.Errorf("%w: no response to the watch in time", ErrHistoryGone)
 
-// Through returns a source that asks s as reach.Call does: its questions wait while
-// the object API is silent. After a list that was lost in the silence another is asked
-// for, and after a watch the follower lists again.
-func Monitored[T any](r *reach.Monitor, s Source[T]) Source[T] { return monitored[T]{r, s} }
+// Monitored returns a source that sends the requests of s by way of reach.Call: they wait
+// while the object API is unresponsive. A list that was lost in an outage is sent again;
+// after a lost watch the follower lists again.
+func Monitored[T any](m *reach.Monitor, s Source[T]) Source[T] { return monitored[T]{m, s} }
 
 type monitored[T any] struct {
 	monitor *reach.Monitor
@@ -22,18 +22,18 @@
 }
 
 // List implements Source.
-func (t monitored[T]) List(ctx context.Context, after string) (Response[T], error) {
-	return reach.Call(ctx, t.monitor, 0, func(ctx context.Context, _ bool) (Response[T], error) { return t.source.List(ctx, after) })
+func (m monitored[T]) List(ctx context.Context, after string) (Response[T], error) {
+	return reach.Call(ctx, m.monitor, 0, func(ctx context.Context, _ bool) (Response[T], error) { return m.source.List(ctx, after) })
 }
 
 // Watch implements Source.
-func (t monitored[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
-	return reach.Call(ctx, t.monitor, wait, func(ctx context.Context, late bool) (Response[T], error) {
-		if late {
-			// What matters now is the proof that nothing has changed. A store that loses
-			// its history may leave watches unanswered for seconds, and answers a list.
+func (m monitored[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
+	return reach.Call(ctx, m.monitor, wait, func(ctx context.Context, recovered bool) (Response[T], error) {
+		if recovered {
+			// The confirmation that nothing has changed is needed soon. A store that loses
+			// its history may leave watches without a response for seconds, but responds to lists.
 			return Response[T]{}, errWatchTimeout
 		}
-		return t.source.Watch(ctx, from, wait)
+		return m.source.Watch(ctx, from, wait)
 	})
 }
--- a/process/follow/monitored_test.go
+++ b/process/follow/monitored_test.go
@@ -12,7 +12,7 @@
 	"bilberrydale/process/reach"
 )
 
-// deaf is a source that answers lists and leaves watches unanswered, as a store does that
+// noWatchSource responds to lists and leaves watches without a response, as a store does that
 // loses its history.
 type noWatchSource struct{ api }
 
@@ -21,9 +21,9 @@
 	return Response[string]{}, ctx.Err()
 }
 
-// Guards against knowledge that grows too old while a store answers all but watches: the
-// reader of a region asked for watches that were not answered, and all its hosts refused
-// their keys.
+// Guards against a copy that becomes too old while the store responds to everything but
+// watches: the reader of a region repeated watches that got no response, and all its hosts
+// rejected their keys.
 func TestUnansweredWatchIsFollowedByList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
@@ -36,11 +36,11 @@
 		source := &noWatchSource{api: api{value: "1", rev: 5}}
 		f := newFollower(Monitored[string](r, source), clock.System{})
 		g.Expect(f.step(ctx)).To(Succeed())
-		began := time.Now()
+		started := time.Now()
 		for source.count() < 2 {
 			g.Expect(f.step(ctx)).To(Succeed())
 		}
-		g.Expect(time.Since(began)).To(BeNumerically("<", f.opts.WatchWait+time.Second/2), "in simulated time")
+		g.Expect(time.Since(started)).To(BeNumerically("<", f.opts.WatchWait+time.Second/2), "in simulated time")
 		stop()
 		synctest.Wait()
 	})
--- a/process/follow/peersource.go
+++ b/process/follow/peersource.go
@@ -10,162 +10,172 @@
 	"bilberrydale/process/peer"
 )
 
-// Relay is a Source that asks another host first, so that the calls to the
-// object API do not grow with the fleet. That host's answer counts as old as
-// its own knowledge; when it cannot answer or has not made sure of late, the
-// object API is asked itself.
+// PeerSource is a Source that sends its requests to a reader first: another host that
+// follows the object API. With it the number of requests to the API does not grow with the
+// fleet. The age of the reader's copy is added to its responses. If no reader responds
+// with a copy that is recent enough, the request goes to the object API.
+//
+// It serves one Follower, and is not safe for concurrent use.
 type PeerSource[T any] struct {
+	// Kind names the objects in the method between hosts, and Direct reads them from the
+	// object API.
 	Kind   string
 	Link   peer.Link
 	Direct Source[T]
 	Clock  clock.Clock
-	// MaxAge of the other host's knowledge. What a watch proves is as old as the
-	// watch when that is answered, and twice as old before the next one is.
+	// MaxAge is the maximum age of a reader's copy. What a watch confirms is as old as the
+	// watch when its response arrives, and twice as old before the next response arrives.
 	MaxAge time.Duration
-	// Silent reports whether the object API is known not to answer this host.
+	// APIUnresponsive reports whether the object API is known not to respond to this host.
 	APIUnresponsive func() bool
-	// Readers returns the hosts to ask, the best one first; this host is not
-	// among them. None: this host is the one that asks the object API.
+	// Readers returns the hosts to send requests to, in order of preference, without this
+	// host. If there is none, this host reads from the object API itself.
 	Readers func() []string
 
-	skipped           map[string]skippedHost // hosts that could not tell
-	waitingSince      map[string]time.Time   // hosts that know nothing yet, and since when they are waited for
-	directPausedUntil time.Time              // the object API is not asked before
-	// standsIn is set while the object API answers this host in place of the readers.
+	skipped           map[string]skippedHost // by reader, after failures
+	waitingSince      map[string]time.Time   // by reader without a usable copy: time of the first failed request
+	directPausedUntil time.Time              // no request to the object API before
+	// usingDirect is set while the object API serves this host in place of the readers.
 	usingDirect bool
 }
 
-// passedOver is a host that is not asked for a while.
+// skippedHost is a reader that gets no requests for a while after a failure.
 type skippedHost struct {
 	until        time.Time
-	unresponsive int // 1: it did not answer
+	unresponsive int // 1: it did not respond, 0: it had no usable copy
 }
 
 const (
-	// maxUnheard: where so many hosts do not answer, the next ones are not tried: this
-	// host is cut off, most likely, and each would take a second to find that out.
+	// maxUnresponsive is the number of unresponsive readers after which no further one is
+	// tried: this host is most likely isolated, and each further reader would take a
+	// second until its timeout.
 	maxUnresponsive = 2
-	// relayPassOver is how long a host that could not answer is passed over.
+	// skipTime is how long a reader is skipped after a failure.
 	skipTime = 2 * time.Second
-	// relayAnswerTime is the time for another host's answer beyond the wait that it
-	// was asked for: the way there and back between regions, ten times over.
-	// What is left of a question's time is for the object API.
+	// peerResponseTimeout is the time for a reader's response beyond the requested wait:
+	// ten times the round trip between regions. The rest of the request's time is left for
+	// the object API.
 	peerResponseTimeout = 400 * time.Millisecond
-	// substituteWait is how long each further host in order is waited for that may take
-	// the place of one without the object API: it finds that out at the same time as
-	// this one, and one question later it knows.
+	// substituteWait is the waiting time, for each host that precedes this one in the
+	// order of readers, before this host turns to the object API in place of a stale
+	// reader. A substitute detects the failure at the same time as this host, and has a
+	// recent copy one request later.
 	substituteWait = 300 * time.Millisecond
-	// directPause is kept between direct questions while both the other host and
-	// the object API fail: a whole fleet that asks a store which is down, or back
-	// just now, costs it its rate. The other host goes on asking and tells.
+	// directRetryDelay is the pause between requests to the object API while both the
+	// readers and the API fail. A whole fleet that sends requests to an API that is down,
+	// or has just recovered, would exhaust its rate limit. The reader goes on trying and
+	// responds once it succeeds.
 	directRetryDelay = 2 * time.Second
-	// unreadyWait is how long a host that knows nothing yet is waited for: it has
-	// just started, as a whole fleet may have. If all turned to the store then,
-	// hundreds would list thousands of servers beyond its rate, and none would
-	// end soon.
+	// firstListWait is how long a reader that has not listed yet is waited for. It has
+	// just started, possibly with the whole fleet. If all hosts turned to the object API
+	// then, hundreds would list thousands of servers beyond its rate limit, and none would
+	// finish soon.
 	firstListWait = 1500 * time.Millisecond
 )
 
 var (
-	errPeer      = errors.New("follow: the other host cannot tell")
-	errNotListed = errors.New("it knows nothing yet")
-	errStale     = errors.New("its knowledge is too old")
-	errNoReader  = errors.New("no other host can tell")
-	errNoSource  = errors.New("follow: neither the other hosts nor the object API can tell")
+	errPeer      = errors.New("follow: no usable response from reader")
+	errNotListed = errors.New("it has not listed the objects yet")
+	errStale     = errors.New("its copy is too old")
+	errNoReader  = errors.New("no reader has a usable copy")
+	errNoSource  = errors.New("follow: no reader has a usable copy and the object API does not respond")
 )
 
 // List implements Source.
-func (r *PeerSource[T]) List(ctx context.Context, after string) (Response[T], error) {
+func (s *PeerSource[T]) List(ctx context.Context, after string) (Response[T], error) {
 	if after != "" {
-		return r.Direct.List(ctx, after) // only the object API gives a part of a list
+		return s.Direct.List(ctx, after) // only the object API divides lists into pages
 	}
-	q := peerRequest{List: true, WaitMS: firstListWait.Milliseconds(), AcceptsCompressed: true}
-	return r.request(ctx, q, func(ctx context.Context, _ time.Duration, _ bool) (Response[T], error) {
-		return r.Direct.List(ctx, after)
+	req := peerRequest{List: true, WaitMS: firstListWait.Milliseconds(), AcceptsCompressed: true}
+	return s.request(ctx, req, func(ctx context.Context, _ time.Duration, _ bool) (Response[T], error) {
+		return s.Direct.List(ctx, after)
 	})
 }
 
 // Watch implements Source.
-func (r *PeerSource[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
-	q := peerRequest{From: from, WaitMS: wait.Milliseconds(), MaxAgeUS: r.MaxAge.Microseconds()}
-	return r.request(ctx, q, func(ctx context.Context, spent time.Duration, atOnce bool) (Response[T], error) {
-		left := max(wait-spent, 0)
-		if atOnce {
-			left = 0
+func (s *PeerSource[T]) Watch(ctx context.Context, from Revision, wait time.Duration) (Response[T], error) {
+	req := peerRequest{From: from, WaitMS: wait.Milliseconds(), MaxAgeUS: s.MaxAge.Microseconds()}
+	return s.request(ctx, req, func(ctx context.Context, elapsed time.Duration, immediate bool) (Response[T], error) {
+		remaining := max(wait-elapsed, 0)
+		if immediate {
+			remaining = 0
 		}
-		return r.Direct.Watch(ctx, from, left)
+		return s.Direct.Watch(ctx, from, remaining)
 	})
 }
 
-// direct asks the object API itself. spent is the time that went to others; with atOnce
-// the answer has to come without a wait for changes.
-type directRequest[T any] func(ctx context.Context, spent time.Duration, atOnce bool) (Response[T], error)
+// directRequest sends a request to the object API. elapsed is the time already spent on
+// readers; with immediate set, the response must not wait for changes.
+type directRequest[T any] func(ctx context.Context, elapsed time.Duration, immediate bool) (Response[T], error)
 
-// ask asks the readers, or the object API while none of them can answer.
-func (r *PeerSource[T]) request(ctx context.Context, q peerRequest, direct directRequest[T]) (Response[T], error) {
-	readers := r.Readers()
+// request sends a request to the readers, or to the object API if none of them has a
+// usable copy.
+func (s *PeerSource[T]) request(ctx context.Context, req peerRequest, direct directRequest[T]) (Response[T], error) {
+	readers := s.Readers()
 	if len(readers) == 0 {
 		return direct(ctx, 0, false)
 	}
-	asked := r.Clock.Now()
-	// While nobody else can be asked, the reader tells when it knows again.
-	q.WaitUntilFresh = asked.Before(r.directPausedUntil)
-	a, err := r.queryReaders(ctx, readers, q, asked)
+	started := s.Clock.Now()
+	// While no other source may be used, the reader responds as soon as its copy is recent
+	// again.
+	req.WaitUntilFresh = started.Before(s.directPausedUntil)
+	resp, err := s.queryReaders(ctx, readers, req, started)
 	switch {
 	case err == nil || errors.Is(err, ErrHistoryGone):
-		// They know again: the next question waits for changes as usual.
-		clear(r.waitingSince)
-		r.directPausedUntil, r.usingDirect = time.Time{}, false
-		return a, err
+		// A reader has a recent copy again: the next request waits for changes as usual.
+		clear(s.waitingSince)
+		s.directPausedUntil, s.usingDirect = time.Time{}, false
+		return resp, err
 	case errors.Is(err, errNoReader):
-		return r.queryDirect(ctx, r.Clock.Now().Sub(asked), direct)
+		return s.queryDirect(ctx, s.Clock.Now().Sub(started), direct)
 	}
-	return a, err
+	return resp, err
 }
 
-// askReaders asks the readers in turn; errNobody: none of them can tell, and none is
-// waited for.
-func (r *PeerSource[T]) queryReaders(ctx context.Context, readers []string, q peerRequest, asked time.Time) (a Response[T], err error) {
-	waiting := errNoReader
-	unheard := 0 // hosts that did not answer at all
+// queryReaders sends the request to each reader in turn. It returns errNoReader if none of
+// them has a usable copy and none is worth waiting for.
+func (s *PeerSource[T]) queryReaders(ctx context.Context, readers []string, req peerRequest, started time.Time) (resp Response[T], err error) {
+	pending := errNoReader
+	unresponsive := 0 // readers that did not respond at all
 	for i, host := range readers {
-		if over := r.skipped[host]; asked.Before(over.until) {
-			unheard += over.unresponsive
+		if skipped := s.skipped[host]; started.Before(skipped.until) {
+			unresponsive += skipped.unresponsive
 			continue
 		}
-		if unheard >= maxUnresponsive {
+		if unresponsive >= maxUnresponsive {
 			break
 		}
-		a, err := r.queryReader(ctx, host, q)
-		if err == nil || errors.Is(err, ErrHistoryGone) || ctx.Err() != nil || r.Clock.Now().Before(r.directPausedUntil) {
-			return a, err
+		resp, err := s.queryReader(ctx, host, req)
+		if err == nil || errors.Is(err, ErrHistoryGone) || ctx.Err() != nil || s.Clock.Now().Before(s.directPausedUntil) {
+			return resp, err
 		}
-		if r.keepWaiting(host, maxWait(err, i, len(readers)), asked) {
-			waiting = err
+		if s.keepWaiting(host, maxWait(err, i, len(readers)), started) {
+			pending = err
 		} else {
-			unheard += r.skip(host, err)
+			unresponsive += s.skip(host, err)
 		}
 		if errors.Is(err, errNotListed) {
-			break // the next ones have begun no sooner; a wait for each would be too long
+			break // later readers started no earlier; waiting for each would take too long
 		}
 	}
-	return a, waiting
+	return resp, pending
 }
 
-// passOver has a host that could not answer passed over for a while. It returns 1 if the
-// host did not answer at all.
-func (r *PeerSource[T]) skip(host string, cause error) (unheard int) {
+// skip excludes a reader for skipTime. It returns 1 if the reader did not respond at all,
+// 0 otherwise.
+func (s *PeerSource[T]) skip(host string, cause error) (unresponsive int) {
 	if !errors.Is(cause, errStale) && !errors.Is(cause, errNotListed) {
-		unheard = 1
+		unresponsive = 1
 	}
-	delete(r.waitingSince, host)
-	setEntry(&r.skipped, host, skippedHost{r.Clock.Now().Add(skipTime), unheard})
-	return unheard
+	delete(s.waitingSince, host)
+	setEntry(&s.skipped, host, skippedHost{s.Clock.Now().Add(skipTime), unresponsive})
+	return unresponsive
 }
 
-// patience is how long the i-th of some readers is waited for that could not answer.
-// The further a host is behind in their order, the longer it waits: each of those
-// before it gets its moment to ask the object API for all.
+// maxWait returns how long to wait for reader i of the given number after a failure. The
+// readers of a host precede it in a common order, so the wait for stale readers grows with
+// the host's position: each host before it has time to read from the object API on behalf
+// of the others. A stale first reader is not waited for.
 func maxWait(cause error, i, readers int) time.Duration {
 	switch {
 	case errors.Is(cause, errNotListed):
@@ -176,72 +186,76 @@
 	return 0
 }
 
-// waitFor tells whether a host that could not answer a question of some time is still
-// waited for.
-func (r *PeerSource[T]) keepWaiting(host string, patience time.Duration, asked time.Time) bool {
-	if patience == 0 {
+// keepWaiting reports whether a reader that failed a request sent at started is still
+// waited for, which is the case until limit has passed since its first failure.
+func (s *PeerSource[T]) keepWaiting(host string, limit time.Duration, started time.Time) bool {
+	if limit == 0 {
 		return false
 	}
-	since, waiting := r.waitingSince[host]
-	if !waiting {
-		since = asked
-		setEntry(&r.waitingSince, host, asked)
+	since, known := s.waitingSince[host]
+	if !known {
+		since = started
+		setEntry(&s.waitingSince, host, started)
 	}
-	return r.Clock.Now().Sub(since) < patience
+	return s.Clock.Now().Sub(since) < limit
 }
 
-func setEntry[T any](m *map[string]T, host string, what T) {
+// setEntry sets a map entry and creates the map if necessary.
+func setEntry[T any](m *map[string]T, host string, value T) {
 	if *m == nil {
 		*m = map[string]T{}
 	}
-	(*m)[host] = what
+	(*m)[host] = value
 }
 
-// askDirect asks the object API; if that fails, the other hosts come first again.
-func (r *PeerSource[T]) queryDirect(ctx context.Context, spent time.Duration, direct directRequest[T]) (a Response[T], err error) {
-	if r.APIUnresponsive() {
-		// Waiting for its return here would leave the readers unheard, and have
-		// the whole fleet ask it at once.
+// queryDirect sends the request to the object API. If that fails, the readers are tried
+// again first.
+func (s *PeerSource[T]) queryDirect(ctx context.Context, elapsed time.Duration, direct directRequest[T]) (resp Response[T], err error) {
+	if s.APIUnresponsive() {
+		// A request that waited for the API's recovery here would stop this host from
+		// trying the readers, and have the whole fleet send requests at once when the API
+		// recovers.
 		err = errNoSource
 	} else {
-		// The first time, what is known here is as old as what the readers know, and others
-		// may wait for this host: it needs a proof, not the next change.
-		a, err = direct(ctx, spent, !r.usingDirect)
+		// The first time, the copy here is as old as those of the readers, and other hosts
+		// may wait for this one: it needs a confirmation at once, not the next change.
+		resp, err = direct(ctx, elapsed, !s.usingDirect)
 	}
-	r.usingDirect = err == nil
+	s.usingDirect = err == nil
 	if err != nil && !errors.Is(err, ErrHistoryGone) {
-		clear(r.skipped)
-		r.directPausedUntil = r.Clock.Now().Add(directRetryDelay)
+		clear(s.skipped)
+		s.directPausedUntil = s.Clock.Now().Add(directRetryDelay)
 	}
-	return a, err
+	return resp, err
 }
 
-func (r *PeerSource[T]) queryReader(ctx context.Context, reader string, q peerRequest) (a Response[T], err error) {
-	if !q.List {
-		limited, cancel := context.WithTimeout(ctx, time.Duration(q.WaitMS)*time.Millisecond+peerResponseTimeout)
+// queryReader sends the request to one reader and checks the age of its copy.
+func (s *PeerSource[T]) queryReader(ctx context.Context, reader string, req peerRequest) (resp Response[T], err error) {
+	if !req.List {
+		watchCtx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMS)*time.Millisecond+peerResponseTimeout)
 		defer cancel()
-		ctx = limited
+		ctx = watchCtx
 	}
-	var got peerResponse[T]
-	err = r.Link.Call(ctx, reader, peerMethod(r.Kind), q, &got)
-	if err == nil && got.HistoryGone {
-		return a, ErrHistoryGone
+	var reply peerResponse[T]
+	err = s.Link.Call(ctx, reader, peerMethod(s.Kind), req, &reply)
+	if err == nil && reply.HistoryGone {
+		return resp, ErrHistoryGone
 	}
-	if err == nil && len(got.Compressed) > 0 {
-		got.Objects, err = decompress[T](got.Compressed)
+	if err == nil && len(reply.Compressed) > 0 {
+		reply.Objects, err = decompress[T](reply.Compressed)
 	}
-	age := time.Duration(got.AgeUS) * time.Microsecond
+	age := time.Duration(reply.AgeUS) * time.Microsecond
 	switch {
 	case err != nil:
-	case !got.Listed:
+	case !reply.Listed:
 		err = errNotListed
-	case age > r.MaxAge:
+	case age > s.MaxAge:
 		err = fmt.Errorf("%w: %s", errStale, age)
 	default:
-		// From the question's arrival there, not from the answer: the wait in between is
-		// no part of how old the knowledge is.
-		before := time.Duration(got.AgeAtRequestUS) * time.Microsecond
-		return Response[T]{Objects: decode(got.Objects), AsOf: got.AsOf, Age: before}, nil
+		// The age counts from the arrival of the request, not from the response: the time
+		// that the request waited there does not make the copy older.
+		ageAtRequest := time.Duration(reply.AgeAtRequestUS) * time.Microsecond
+		return Response[T]{Objects: decode(reply.Objects), AsOf: reply.AsOf, Age: ageAtRequest}, nil
 	}
-	return a, fmt.Errorf("%w: %s: %w", errPeer, reader, err)
+	return resp, fmt.Errorf("%w: %s: %w", errPeer, reader, err)
 }
--- a/process/follow/peersource_test.go
+++ b/process/follow/peersource_test.go
@@ -14,12 +14,12 @@
 	"bilberrydale/process/peer"
 )
 
-// wire is a link between one reader and one asking host in memory.
+// memoryLink is an in-memory link between one requesting host and one reader.
 type memoryLink struct {
 	handlers      map[peer.Method]peer.Handler
 	err           error
-	onCall        func()       // runs with each call
-	responseBytes atomic.Int64 // bytes of the last answer
+	onCall        func()       // called with each request
+	responseBytes atomic.Int64 // size of the last response
 }
 
 func (w *memoryLink) Self() peer.Identity                  { return peer.Identity{Host: "asking"} }
@@ -36,15 +36,15 @@
 	if err != nil {
 		return err
 	}
-	answer, err := w.handlers[m](ctx, peer.Identity{}, payload)
+	response, err := w.handlers[m](ctx, peer.Identity{}, payload)
 	if err != nil {
 		return err
 	}
-	w.responseBytes.Store(int64(len(answer)))
-	return peer.Unmarshal(answer, out)
+	w.responseBytes.Store(int64(len(response)))
+	return peer.Unmarshal(response, out)
 }
 
-// api is a Source that holds one value and counts its calls.
+// api is a Source that holds one object and counts the requests to it.
 type api struct {
 	mu    sync.Mutex
 	value string
@@ -109,6 +109,8 @@
 
 func (r *peerFixture) step(f *Follower[string]) error { return f.step(context.Background()) }
 
+// Guards against requests to the platform by hosts whose reader has a recent copy, and
+// against an age other than that of the reader's copy.
 func TestReaderServesOtherHosts(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -125,12 +127,12 @@
 	a, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
 	r.g.Expect(a.Objects[0].Value).To(Equal("2"))
-	r.g.Expect(a.Age).To(Equal(200*time.Millisecond), "as old as the reader's own knowledge")
-	r.g.Expect(r.api.count()).To(Equal(calls+1), "the reader's own")
+	r.g.Expect(a.Age).To(Equal(200*time.Millisecond), "as old as the reader's copy")
+	r.g.Expect(r.api.count()).To(Equal(calls+1), "the reader's own request")
 }
 
-// The reader has lost the platform, or itself been stopped for a while. What it
-// says is too old: the asking host turns to the platform.
+// The reader has lost the platform, or was suspended for a while. Its copy is too old: the
+// requesting host turns to the platform, and to the reader again after skipTime.
 func TestStaleReaderIsSkipped(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -140,14 +142,16 @@
 	r.g.Expect(err).NotTo(HaveOccurred())
 	_, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(r.api.count()).To(Equal(calls+2), "asked itself, at once and again")
+	r.g.Expect(r.api.count()).To(Equal(calls+2), "two requests of this host, without delay")
 	r.now.Advance(skipTime)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	_, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(r.api.count()).To(Equal(calls+3), "the reader is asked again")
+	r.g.Expect(r.api.count()).To(Equal(calls+3), "the reader gets the request")
 }
 
+// Guards against a list that fails because the reader cannot be reached: the platform gets
+// the request.
 func TestUnreachableReaderIsSkipped(t *testing.T) {
 	r := newPeerFixture(t)
 	r.link.err = errors.New("down")
@@ -157,12 +161,12 @@
 	r.g.Expect(r.api.count()).To(Equal(1))
 }
 
-// The reader does not answer in the time for a question. What is left of it is
-// used to ask the platform: at once the first time, since what is known has grown old,
-// and later with a watch that is shorter by what was spent.
+// The reader does not respond within the time for a request. The rest of that time is used
+// for a request to the platform: the first one without a wait, because the copy has become
+// old, and later ones with a watch that is shorter by the time spent.
 func TestUnresponsiveReaderLeavesTimeForObjectAPI(t *testing.T) {
 	r := newPeerFixture(t)
-	r.link.err = errors.New("no answer")
+	r.link.err = errors.New("no response")
 	r.link.onCall = func() { r.now.Advance(700 * time.Millisecond) }
 	for range 2 {
 		_, err := r.source.Watch(t.Context(), 5, time.Second)
@@ -172,12 +176,12 @@
 	r.g.Expect(r.api.waits).To(Equal([]time.Duration{0, 300 * time.Millisecond}))
 }
 
-// The reader answers only after all the time for the question, or never. The
-// next question goes to the platform.
+// The reader uses up the whole time for the request or never responds. The next request
+// goes to the platform.
 func TestReaderThatExceedsDeadlineIsSkipped(t *testing.T) {
 	r := newPeerFixture(t)
 	ctx, cancel := context.WithCancel(t.Context())
-	r.link.err, r.link.onCall = errors.New("no answer"), cancel
+	r.link.err, r.link.onCall = errors.New("no response"), cancel
 	_, err := r.source.List(ctx, "")
 	r.g.Expect(err).To(MatchError(errPeer))
 	_, err = r.source.List(t.Context(), "")
@@ -185,14 +189,14 @@
 	r.g.Expect(r.api.count()).To(Equal(1))
 }
 
-// The reader loses the platform while a watch of another host waits at it. A
-// server that leaves now is learned of only when that host turns elsewhere, so
-// the reader answers as soon as its knowledge is too old, not when the wait ends.
+// The reader loses the platform while another host's watch waits there. That host learns
+// of a server that leaves only after it turns to another source, so the reader responds as
+// soon as its copy is too old, not when the wait ends.
 func TestWaitAtReaderEndsWhenItsCopyIsStale(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(maxAge - 100*time.Millisecond)
-	r.api.value, r.api.rev = "2", 6 // which the reader does not see
+	r.api.value, r.api.rev = "2", 6 // not seen by the reader
 	got := make(chan Response[string], 1)
 	go func() {
 		a, _ := r.source.Watch(context.Background(), 5, time.Hour)
@@ -205,10 +209,10 @@
 	r.g.Expect(a.Objects).To(HaveLen(1), "from the platform")
 }
 
-// The reader has lost the platform. The other hosts turn to the next one in
-// order, which asks the platform for them: a third of a fleet that is cut off
-// would otherwise bring all of the rest to the store. The substitute finds out at
-// the same time as they do and is given a moment.
+// The reader has lost the platform. The other hosts turn to the next one in order, which
+// reads from the platform on their behalf: if a third of a fleet is disconnected, all the
+// rest would otherwise send requests to the store. The substitute detects the failure at
+// the same time as they do, and they wait for it briefly.
 func TestNextReaderReplacesStaleReader(t *testing.T) {
 	r := newPeerFixture(t)
 	second := newFollower(r.api, r.now)
@@ -222,12 +226,12 @@
 	calls := r.api.count()
 
 	_, err := r.source.Watch(t.Context(), 5, 0)
-	r.g.Expect(err).To(MatchError(errStale), "both are asked, the second is waited for")
+	r.g.Expect(err).To(MatchError(errStale), "both are stale, the second is waited for")
 	r.now.Advance(substituteWait / 2)
 	r.g.Expect(r.step(second)).To(Succeed())
 	_, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(r.api.count()).To(Equal(calls+1), "the second host's own")
+	r.g.Expect(r.api.count()).To(Equal(calls+1), "the second host's own request")
 
 	r.now.Advance(maxAge + time.Millisecond)
 	_, err = r.source.Watch(t.Context(), 5, 0)
@@ -235,10 +239,10 @@
 	r.now.Advance(substituteWait)
 	_, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(r.api.count()).To(Equal(calls+2), "asked itself: the second cannot tell, either")
+	r.g.Expect(r.api.count()).To(Equal(calls+2), "this host's own request: the second is stale, too")
 }
 
-// byHost is a link to several hosts.
+// linksByHost is a link to several hosts.
 type linksByHost map[string]*memoryLink
 
 func (b linksByHost) Self() peer.Identity              { return peer.Identity{Host: "asking"} }
@@ -248,8 +252,8 @@
 	return b[host].Call(ctx, host, m, in, out)
 }
 
-// The reader has just started, as all others have, and knows nothing yet. It is
-// waited for; the platform is asked only when that takes long.
+// The reader has just started, as all other hosts have, and has no list yet. The host
+// waits for it and turns to the platform only after firstListWait.
 func TestUnlistedReaderIsWaitedFor(t *testing.T) {
 	r := newPeerFixture(t)
 	listed := make(chan error, 1)
@@ -271,43 +275,43 @@
 	r.g.Expect(r.api.count()).To(Equal(2), "the reader's own list")
 }
 
-// A host lists by way of a reader that has not heard from the platform for a while.
-// What the list proves is as old as the reader's knowledge: a key that was taken
-// away since would be honoured for too long otherwise.
+// A host lists through a reader that has had no response from the platform for a while.
+// The list is confirmed as of the reader's copy: a key that was revoked since would
+// otherwise be accepted for too long.
 func TestListIsConfirmedAsOfCopyOfReader(t *testing.T) {
 	r := newPeerFixture(t)
-	known := r.now.Now()
+	confirmedAt := r.now.Now()
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(1500 * time.Millisecond)
-	var proved []time.Time
+	var confirmed []time.Time
 	f := newFollower(r.source, r.now)
-	f.opts.OnConfirmed = func(at time.Time) { proved = append(proved, at) }
+	f.opts.OnConfirmed = func(at time.Time) { confirmed = append(confirmed, at) }
 	r.g.Expect(r.step(f)).To(Succeed())
-	r.g.Expect(proved).To(HaveLen(1))
-	r.g.Expect(proved[0]).To(BeTemporally("~", known, time.Millisecond))
+	r.g.Expect(confirmed).To(HaveLen(1))
+	r.g.Expect(confirmed[0]).To(BeTemporally("~", confirmedAt, time.Millisecond))
 }
 
-// A watch by way of a reader brings a change. It proves what the reader knew when
-// it answered, which is older than the question.
+// A watch through a reader returns a change. It is confirmed as of the reader's copy at
+// the time of the response, which is older than the request.
 func TestWatchIsConfirmedAsOfCopyOfReader(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	f := newFollower(r.source, r.now)
 	r.g.Expect(r.step(f)).To(Succeed())
 	r.api.value, r.api.rev = "2", 6
-	known := r.now.Now()
+	confirmedAt := r.now.Now()
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(1500 * time.Millisecond)
-	var proved []time.Time
-	f.opts.OnConfirmed = func(at time.Time) { proved = append(proved, at) }
+	var confirmed []time.Time
+	f.opts.OnConfirmed = func(at time.Time) { confirmed = append(confirmed, at) }
 	r.g.Expect(r.step(f)).To(Succeed())
 	r.g.Expect(f.objects["a"].Value).To(Equal("2"))
-	r.g.Expect(proved).To(HaveLen(1))
-	r.g.Expect(proved[0]).To(BeTemporally("~", known, time.Millisecond))
+	r.g.Expect(confirmed).To(HaveLen(1))
+	r.g.Expect(confirmed[0]).To(BeTemporally("~", confirmedAt, time.Millisecond))
 }
 
-// The asking host has seen a newer state than the reader has. A list of the
-// reader would bring back what has gone.
+// The requesting host has a newer state than the reader. A list of the reader would
+// restore deleted objects.
 func TestOlderListIsRejected(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -316,7 +320,7 @@
 	r.g.Expect(r.step(f)).To(MatchError(errOlderList))
 }
 
-// More changes came than the reader keeps. The asking host lists again.
+// There were more changes than the reader keeps. The requesting host has to list again.
 func TestTrimmedChangesCauseRelist(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -328,8 +332,8 @@
 	r.g.Expect(err).To(MatchError(ErrHistoryGone))
 }
 
-// The platform is down, for the reader as well. The asking host tries it itself
-// once and then leaves it to the reader, which tells when it is back.
+// The platform is unavailable to the reader as well. The requesting host tries it once and
+// then leaves it to the reader, which responds when the platform has recovered.
 func TestUnavailableObjectAPIIsLeftToReader(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -359,9 +363,9 @@
 	return Response[string]{}, f.err
 }
 
-// The pattern: the platform is away for the reader as for all, and back after some
-// seconds in which nothing changed. A host that waits at the reader is told by the
-// reader's first proof, and not when its wait is over.
+// The platform is unavailable to all hosts and recovers after some seconds without
+// changes. A host that waits at the reader gets a response with the reader's first
+// confirmation, not when its wait ends.
 func TestReaderReportsRecoveryAtOnce(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -384,18 +388,19 @@
 	r.g.Eventually(done, "10s").Should(Receive(&got))
 	r.g.Expect(got.err).NotTo(HaveOccurred())
 	r.g.Expect(got.a.Age).To(BeZero())
-	// From then on it waits for changes again: answers without news at each question
-	// would keep both hosts busy with each other.
+	// From then on a watch waits for changes again: immediate responses without changes
+	// would keep both hosts busy.
 	go func() {
 		a, err := r.source.Watch(t.Context(), 5, time.Hour)
 		done <- result{a, err}
 	}()
-	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(2), "beside the wait that was ended by the proof")
+	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(2), "besides the wait that the confirmation ended")
 	r.g.Expect(done).NotTo(Receive())
 }
 
-// The platform is silent for all hosts. One that has a reader sends nothing into the
-// silence: it stays with the reader, and a fleet does not ask at once on its return.
+// The platform is unresponsive for all hosts. A host with a reader sends no request to it:
+// it stays with the reader, so that a fleet does not send requests all at once on
+// recovery.
 func TestUnresponsiveObjectAPIIsLeftToReader(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
--- a/process/follow/readers_test.go
+++ b/process/follow/readers_test.go
@@ -11,8 +11,8 @@
 	"bilberrydale/process/peer"
 )
 
-// Guards against a wait for each of the readers of a fleet that has just begun: the
-// platform is asked once the first of them had its time.
+// Guards against waiting for each reader of a fleet that has just started: the platform
+// gets the request once the first reader's time is over.
 func TestOnlyOneUnlistedReaderIsWaitedFor(t *testing.T) {
 	r := newPeerFixture(t)
 	r.source.Link = linksByHost{"first": r.link, "second": r.link, "third": r.link}
@@ -28,9 +28,9 @@
 	r.g.Expect(r.api.count()).To(Equal(1))
 }
 
-// The pattern: the platform turns a third of the hosts away, among them the first readers
-// of a region. Guards against all other hosts bringing their questions to it: the third
-// reader asks for them while they still wait.
+// The platform rejects a third of the hosts, among them the first readers of a region.
+// Guards against requests of all other hosts to the platform: the third reader sends them
+// on behalf of the others, which still wait for it.
 func TestThirdReaderReplacesFirstTwo(t *testing.T) {
 	r := newPeerFixture(t)
 	third := newFollower(r.api, r.now)
@@ -50,7 +50,7 @@
 	r.g.Expect(err).To(MatchError(errStale))
 	r.now.Advance(2*substituteWait - time.Millisecond)
 	_, err = r.source.Watch(t.Context(), 5, 0)
-	r.g.Expect(err).To(MatchError(errStale), "the third still has its moment")
+	r.g.Expect(err).To(MatchError(errStale), "the third reader is still waited for")
 	r.g.Expect(r.api.count()).To(Equal(calls))
 	r.g.Expect(r.step(third)).To(Succeed())
 	_, err = r.source.Watch(t.Context(), 5, 0)
@@ -58,25 +58,25 @@
 	r.g.Expect(r.api.count()).To(Equal(calls+1), "the third host's own")
 }
 
-// Guards against a host that is cut off from its region finding that out from each of four
-// readers, one second after the other, while its keys grow too old.
+// Guards against a host that is disconnected from its region and waits for the timeout of
+// each of four readers, one second each, while its keys become too old.
 func TestIsolatedHostUsesObjectAPI(t *testing.T) {
 	r := newPeerFixture(t)
-	asked := 0
-	r.link.err, r.link.onCall = errors.New("cut"), func() { asked++ }
+	requests := 0
+	r.link.err, r.link.onCall = errors.New("cut"), func() { requests++ }
 	r.source.Readers = func() []string { return []string{"reader", "second", "third", "fourth"} }
 	r.source.Link = linksByHost{"reader": r.link, "second": r.link, "third": r.link, "fourth": r.link}
 	for range 2 {
 		_, err := r.source.Watch(t.Context(), 5, 0)
 		r.g.Expect(err).NotTo(HaveOccurred())
 	}
-	r.g.Expect(asked).To(Equal(maxUnresponsive))
+	r.g.Expect(requests).To(Equal(maxUnresponsive))
 	r.g.Expect(r.api.count()).To(Equal(2))
 }
 
-// The pattern: the reader of a region is cut off, and the next host takes its place for a
-// hundred others. Guards against its first question waiting a second or two for a change,
-// while all of them find its knowledge too old and turn to the platform.
+// The reader of a region is disconnected, and the next host replaces it for a hundred
+// others. Guards against a first watch that waits one or two seconds for a change, while
+// all the others find its copy too old and turn to the platform.
 func TestFirstDirectWatchReturnsAtOnce(t *testing.T) {
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
--- a/process/follow/serve.go
+++ b/process/follow/serve.go
@@ -8,20 +8,22 @@
 	"bilberrydale/process/peer"
 )
 
-// relayRequest asks another host for what it follows.
+// peerRequest requests a list or the changes from another host's follower.
 type peerRequest struct {
 	List bool
 	From Revision
-	// WaitMS bounds the wait for a change, or for the first list.
+	// WaitMS limits the wait for a change, or for the first list.
 	WaitMS int64
-	// MaxAgeUS ends the wait as soon as the answering host's knowledge is older. With
-	// UntilFresh the wait ends as soon as it is not.
+	// MaxAgeUS ends the wait as soon as the age of the responding host's copy exceeds it.
+	// With WaitUntilFresh the wait ends as soon as the age does not exceed it.
 	MaxAgeUS       int64
 	WaitUntilFresh bool
-	// Packs tells that the asking host takes a list in Packed; earlier versions do not.
+	// AcceptsCompressed reports that the requesting host decodes Compressed; hosts of
+	// earlier versions do not.
 	AcceptsCompressed bool
 }
 
+// peerObject is the encoded form of an Object.
 type peerObject[T any] struct {
 	Name     string
 	Revision Revision
@@ -30,85 +32,89 @@
 	Error    string
 }
 
+// peerResponse is the response to a peerRequest.
 type peerResponse[T any] struct {
 	Objects []peerObject[T]
 	AsOf    Revision
-	AgeUS   int64 // of the answering host's own knowledge, as it answers
-	// BeforeUS is from the last proof of that knowledge to the question's arrival; below 0:
-	// the proof came later. It does not depend on when the answer leaves: the host may be
-	// suspended meanwhile.
+	AgeUS   int64 // of the responding host's copy when it responds
+	// AgeAtRequestUS is the time from the last confirmation of the copy to the arrival of
+	// the request; it is negative if the copy was confirmed later. It does not depend on
+	// when the response is sent, because the host may be suspended in between.
 	AgeAtRequestUS int64
 	HistoryGone    bool
 	Listed         bool
-	Compressed     []byte // a list, in place of Objects
+	Compressed     []byte // a compressed list, in place of Objects
 }
 
+// peerMethod returns the method between hosts for a kind of objects.
 func peerMethod(kind string) peer.Method { return peer.Method("follow." + kind) }
 
-// Serve answers other hosts from this follower's copy. It is called before the
-// link starts.
+// Serve answers requests of other hosts from this follower's copy. It has to be called
+// before the link starts.
 func (f *Follower[T]) Serve(link peer.Link, kind string) {
 	link.Handle(peerMethod(kind), func(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
-		var q peerRequest
-		if err := peer.Unmarshal(payload, &q); err != nil {
+		var req peerRequest
+		if err := peer.Unmarshal(payload, &req); err != nil {
 			return nil, err
 		}
-		arrived := f.opts.Clock.Now()
-		answer := f.serveWatch
-		if q.List {
-			answer = f.serveList
+		receivedAt := f.opts.Clock.Now()
+		serve := f.serveWatch
+		if req.List {
+			serve = f.serveList
 		}
-		a, proved, err := answer(ctx, q)
+		resp, confirmedAt, err := serve(ctx, req)
 		if err != nil {
 			return nil, err
 		}
-		a.AgeUS = f.ageMicroseconds(proved)
-		a.AgeAtRequestUS = arrived.Sub(proved).Microseconds()
-		return peer.Marshal(a)
+		resp.AgeUS = f.ageMicroseconds(confirmedAt)
+		resp.AgeAtRequestUS = receivedAt.Sub(confirmedAt).Microseconds()
+		return peer.Marshal(resp)
 	})
 }
 
-// relayList waits for the first list: a fleet that starts together asks its readers
-// before they know anything.
-func (f *Follower[T]) serveList(ctx context.Context, q peerRequest) (a peerResponse[T], proved time.Time, err error) {
+// serveList waits for the first list if necessary: the hosts of a fleet that starts at
+// once send their requests before their readers have a list.
+func (f *Follower[T]) serveList(ctx context.Context, req peerRequest) (resp peerResponse[T], confirmedAt time.Time, err error) {
 	select {
 	case <-f.history.listed:
-	case <-f.opts.Clock.After(time.Duration(q.WaitMS) * time.Millisecond):
+	case <-f.opts.Clock.After(time.Duration(req.WaitMS) * time.Millisecond):
 	case <-ctx.Done():
 	}
-	if q.AcceptsCompressed {
-		list, from, proved, ok, err := f.history.compressedList()
-		return peerResponse[T]{Compressed: list, AsOf: from, Listed: ok}, proved, err
+	if req.AcceptsCompressed {
+		list, revision, confirmedAt, ok, err := f.history.compressedList()
+		return peerResponse[T]{Compressed: list, AsOf: revision, Listed: ok}, confirmedAt, err
 	}
-	objects, from, proved, ok := f.history.list()
-	return peerResponse[T]{Objects: encode(objects), AsOf: from, Listed: ok}, proved, nil
+	objects, revision, confirmedAt, ok := f.history.list()
+	return peerResponse[T]{Objects: encode(objects), AsOf: revision, Listed: ok}, confirmedAt, nil
 }
 
-func (f *Follower[T]) serveWatch(ctx context.Context, q peerRequest) (a peerResponse[T], proved time.Time, err error) {
-	end := f.opts.Clock.Now().Add(time.Duration(q.WaitMS) * time.Millisecond)
+// serveWatch waits for changes after req.From.
+func (f *Follower[T]) serveWatch(ctx context.Context, req peerRequest) (resp peerResponse[T], confirmedAt time.Time, err error) {
+	end := f.opts.Clock.Now().Add(time.Duration(req.WaitMS) * time.Millisecond)
 	for {
-		n := f.history.since(q.From)
+		u := f.history.since(req.From)
 		now, until := f.opts.Clock.Now(), end
-		stale := n.confirmedAt.Add(time.Duration(q.MaxAgeUS+1) * time.Microsecond)
+		staleAt := u.confirmedAt.Add(time.Duration(req.MaxAgeUS+1) * time.Microsecond)
 		switch {
-		case !n.listed: // it is about to know
-		case !q.WaitUntilFresh:
-			until = earlier(end, stale)
-		case stale.After(now):
+		case !u.listed: // the first list is expected soon
+		case !req.WaitUntilFresh:
+			until = earlier(end, staleAt)
+		case staleAt.After(now):
 			until = now
 		}
-		if len(n.objects) > 0 || n.trimmed || !now.Before(until) {
-			return peerResponse[T]{Objects: encode(n.objects), AsOf: n.revision, HistoryGone: n.trimmed, Listed: n.listed}, n.confirmedAt, nil
+		if len(u.objects) > 0 || u.trimmed || !now.Before(until) {
+			return peerResponse[T]{Objects: encode(u.objects), AsOf: u.revision, HistoryGone: u.trimmed, Listed: u.listed}, u.confirmedAt, nil
 		}
 		select {
-		case <-n.changed:
+		case <-u.changed:
 		case <-f.opts.Clock.After(until.Sub(now)):
 		case <-ctx.Done():
-			return peerResponse[T]{}, n.confirmedAt, nil
+			return peerResponse[T]{}, u.confirmedAt, nil
 		}
 	}
 }
 
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if b.Before(a) {
 		return b
@@ -116,10 +122,12 @@
 	return a
 }
 
-func (f *Follower[T]) ageMicroseconds(proved time.Time) int64 {
-	return f.opts.Clock.Now().Sub(proved).Microseconds()
+// ageMicroseconds returns the time since confirmedAt.
+func (f *Follower[T]) ageMicroseconds(confirmedAt time.Time) int64 {
+	return f.opts.Clock.Now().Sub(confirmedAt).Microseconds()
 }
 
+// encode converts objects to their encoded form; an error becomes its text.
 func encode[T any](objects []Object[T]) []peerObject[T] {
 	out := make([]peerObject[T], len(objects))
 	for i, o := range objects {
@@ -131,6 +139,7 @@
 	return out
 }
 
+// decode reverses encode.
 func decode[T any](objects []peerObject[T]) []Object[T] {
 	out := make([]Object[T], len(objects))
 	for i, o := range objects {
