--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -110,7 +110,7 @@
 	address     string
 	tcp         *net.TCPConn
 	reader      *bufio.Reader
-	served      int           // responses received on the connection
+	responses   int           // responses received on the connection
 	idleSince   time.Time     // start of the current idle period
 	idleTimeout time.Duration // after which an idle connection is not used any more
 	closed      atomic.Bool
@@ -300,7 +300,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k.served++
+	k.responses++
 	resp := &Response{
 		Status: httpResp.StatusCode, Header: httpResp.Header, ContentLength: httpResp.ContentLength,
 		conn: k, body: httpResp.Body, writeResult: writeResult,
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -136,7 +136,7 @@
 	h.coldStart = coldstart.New(settings.Host, h.knownHosts)
 	h.gateway = gateway.New(gateway.Options{
 		Domain: settings.Domain, OneWayLatency: h.delayTo, Plan: &h.plan, Directory: h.directory, Upstream: h.upstream, Headers: platform.Headers{},
-		Pool: h.stages, Budget: h.retryLimiter, ColdStart: h.coldStart, Clock: h.clock, Rand: h.rand, KeysFresh: h.keysFresh,
+		Pool: h.stages, RetryLimiter: h.retryLimiter, ColdStart: h.coldStart, Clock: h.clock, Rand: h.rand, KeysFresh: h.keysFresh,
 		ShuttingDown: h.stopping.Load, RefuseStreams: h.refuseStreams.Load,
 		ShutdownStarted: h.stopRequested, ShutdownDeadline: func() time.Time { return *h.stopDeadline.Load() }, Log: h.logRequest,
 	})
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -60,8 +60,8 @@
 		timer = time.AfterFunc(firstByteTimeout, cancel)
 	}
 	s.InFlight.Add(1)
-	x.entry.Attempts++
-	x.entry.Server = s.ID
+	x.logEntry.Attempts++
+	x.logEntry.Server = s.ID
 	response, err := x.opts.Upstream.Do(ctx, s.Address, req)
 	if timer != nil && !timer.Stop() && err == nil {
 		response.Discard()
--- a/request/gateway/buffered.go
+++ b/request/gateway/buffered.go
@@ -53,7 +53,7 @@
 	}
 	// An attempt that reached no server has not added to the load of the servers, so
 	// that its repetition needs no retry budget.
-	if x.reachedServer && !x.opts.Budget.AllowRetry(x.service) {
+	if x.reachedServer && !x.opts.RetryLimiter.AllowRetry(x.service) {
 		hist.lastErr = fmt.Errorf("no further attempt within the retry budget: %w", hist.lastErr)
 		return nil
 	}
@@ -176,8 +176,8 @@
 	x.setResponseHeaders(h, r.header)
 	h["Content-Length"] = []string{strconv.Itoa(len(r.body))}
 	x.headSent = true
-	x.entry.Status, x.entry.Ran = r.status, kind.RanYes
-	x.entry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
+	x.logEntry.Status, x.logEntry.Ran = r.status, kind.RanYes
+	x.logEntry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
 	x.w.WriteHeader(r.status)
 	if _, err := x.w.Write(r.body); err != nil {
 		x.abort = true
--- a/request/gateway/choose.go
+++ b/request/gateway/choose.go
@@ -51,7 +51,7 @@
 	now, cold := x.opts.Clock.Now(), x.coldStartLimit()
 	return balance.Query{
 		Servers: x.candidates(), OneWayLatency: x.opts.OneWayLatency,
-		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.tokenTimes.estimate(x.service), InputDomain: x.inputDomain, InputBytes: x.inputDomainBytes,
+		AffinityKey: affinity, PrefixTokens: tokens, PrefillTimePerToken: x.prefillTimes.estimate(x.service), InputDomain: x.inputDomain, InputBytes: x.inputDomainBytes,
 		Exclude: func(s *directory.Server) bool { return tried[s.ID] || !x.opts.ColdStart.WouldAllow(s, cold, now) }, Now: now,
 	}
 }
--- a/request/gateway/errors.go
+++ b/request/gateway/errors.go
@@ -22,7 +22,7 @@
 // writeError writes the error response of a request that has no other response.
 func (x *exchange) writeError(e *kind.Error) {
 	advice := kind.Lookup(e.Kind)
-	x.entry.Kind, x.entry.Ran, x.entry.Detail = e.Kind, e.Ran(), e.Detail
+	x.logEntry.Kind, x.logEntry.Ran, x.logEntry.Detail = e.Kind, e.Ran(), e.Detail
 	if x.headSent || x.abort {
 		x.abort = true
 		return
@@ -37,11 +37,11 @@
 	h["Content-Type"] = []string{"application/problem+json"}
 	x.opts.Headers.SetAttemptID(h, x.client.AttemptID)
 	if wait := e.Wait(); wait > 0 && impliesNotRun(status) {
-		x.entry.RetryAfter = wait
+		x.logEntry.RetryAfter = wait
 		x.opts.Headers.SetRetryAfter(h, wait)
 	}
 	x.closeIfShuttingDown(h)
-	x.entry.Status = status
+	x.logEntry.Status = status
 	x.w.WriteHeader(status)
 	// A write error only means that the client has disconnected.
 	_, _ = fmt.Fprintf(x.w, `{"kind":%q,"ran":%q,"title":%q}`, e.Kind, e.Ran(), advice.Title)
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -33,7 +33,7 @@
 	Upstream      *upstream.Client
 	Headers       wire.Headers // header format of the platform
 	Pool          *stages.Pool
-	Budget        RetryBudget
+	RetryLimiter  RetryLimiter
 	ColdStart     *coldstart.Limiter
 	Clock         clock.Clock
 	Rand          clock.Rand
@@ -54,11 +54,11 @@
 	Log func(*LogEntry)
 }
 
-// RetryBudget limits, per service, the attempts of requests beyond the first.
-type RetryBudget interface {
-	// RecordRequest counts a new request, which adds to the budget.
+// RetryLimiter limits, per service, the attempts of requests beyond the first.
+type RetryLimiter interface {
+	// RecordRequest counts a new request, which adds to the retry budget.
 	RecordRequest(service string)
-	// AllowRetry consumes a retry from the budget and reports whether one was left.
+	// AllowRetry consumes a retry from the retry budget and reports whether one was left.
 	AllowRetry(service string) bool
 }
 
@@ -66,7 +66,7 @@
 type Gateway struct {
 	opts            Options
 	streamDurations streamDurations
-	tokenTimes      tokenTimes
+	prefillTimes    prefillTimes
 }
 
 // New returns a Gateway with the given options.
@@ -117,7 +117,7 @@
 	kvSource         string         // ID of a server that has the KV cache of the shared prompt prefix; empty: unknown
 	inputDomain      string         // failure domain that holds most of the input bytes
 	inputDomainBytes int64
-	entry            LogEntry
+	logEntry         LogEntry
 	headSent         bool      // the response headers have been written
 	abort            bool      // the connection has to be aborted, as the response is incomplete
 	mayHaveRun       bool      // a backend server may have run the request
@@ -129,24 +129,24 @@
 // cannot be completed.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClientRequest(r.Header)}
-	x.entry.ID = x.client.AttemptID
+	x.logEntry.ID = x.client.AttemptID
 	if err := x.serve(); err != nil {
 		x.writeError(kind.From(err))
 	}
 	x.freeResults()
-	x.entry.Duration = g.opts.Clock.Now().Sub(x.start)
+	x.logEntry.Duration = g.opts.Clock.Now().Sub(x.start)
 	if !x.deadline.IsZero() {
-		x.entry.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
+		x.logEntry.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
 	}
-	g.opts.Log(&x.entry)
+	g.opts.Log(&x.logEntry)
 	if x.abort {
 		// A normal return would mark the response as complete.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// serve handles the request up to the end of the response. A non-nil error has not been
-// reported to the client yet.
+// serve handles the request up to the end of the response. The caller reports a non-nil error
+// to the client.
 func (x *exchange) serve() error {
 	if err := x.admit(); err != nil {
 		return err
@@ -175,12 +175,12 @@
 	if p == nil {
 		return kind.New(kind.NotReady, "no configuration yet")
 	}
-	x.plan, x.entry.PlanVersion = p, p.Version
+	x.plan, x.logEntry.PlanVersion = p, p.Version
 	x.route = p.Match(x.r.Host, x.r.URL.Path)
 	if x.route == nil {
 		return kind.New(kind.NoRoute, "no route for host %q and path %q", x.r.Host, x.r.URL.Path)
 	}
-	x.entry.Route = x.route.Name
+	x.logEntry.Route = x.route.Name
 	if x.route.Kind == plan.Stream && x.opts.RefuseStreams() {
 		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetryAfter}
 	}
@@ -202,8 +202,8 @@
 	x.deadline = x.start.Add(timeout)
 	x.targetTime = x.start.Add(x.route.TargetLatency)
 	x.service = x.route.PickService(x.opts.Rand.Float64())
-	x.entry.Service = x.service
-	x.opts.Budget.RecordRequest(x.service)
+	x.logEntry.Service = x.service
+	x.opts.RetryLimiter.RecordRequest(x.service)
 	return nil
 }
 
@@ -218,7 +218,7 @@
 		return nil
 	}
 	fresh, age := x.opts.KeysFresh()
-	x.entry.KeyAge = age
+	x.logEntry.KeyAge = age
 	if !fresh {
 		return kind.New(kind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
 	}
@@ -226,7 +226,7 @@
 	if a == nil {
 		return kind.New(kind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
-	x.account, x.entry.Account = a.Name, a.Name
+	x.account, x.logEntry.Account = a.Name, a.Name
 	x.allowed.AccountRegions = a.Regions
 	if a.HasPriority {
 		x.priority = a.Priority
--- a/request/gateway/placement_test.go
+++ b/request/gateway/placement_test.go
@@ -20,11 +20,11 @@
 	"bilberrydale/version/plan"
 )
 
-// unlimitedBudget allows every retry.
-type unlimitedBudget struct{}
+// unlimitedRetries is a RetryLimiter that allows every retry.
+type unlimitedRetries struct{}
 
-func (unlimitedBudget) RecordRequest(string)   {}
-func (unlimitedBudget) AllowRetry(string) bool { return true }
+func (unlimitedRetries) RecordRequest(string)   {}
+func (unlimitedRetries) AllowRetry(string) bool { return true }
 
 // noPeers is the peer link of a host without peers.
 type noPeers struct{ stages.Link }
@@ -34,7 +34,7 @@
 // newExchange returns a request for service "s", to be served by the servers in dir.
 func newExchange(dir *directory.Directory, now time.Time, allowed residency.Set) *exchange {
 	gw := New(Options{
-		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), Budget: unlimitedBudget{},
+		Domain: "r0-a", Directory: dir, Clock: clock.NewManual(now), Rand: clock.NewSeeded(1), RetryLimiter: unlimitedRetries{},
 		OneWayLatency: func(string) time.Duration { return time.Millisecond }, ColdStart: coldstart.New("h", func() []string { return []string{"h"} }),
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
@@ -80,7 +80,7 @@
 			if !allowed(s) {
 				t.Fatalf("%+v may not run on %+v", x.allowed, s.Entry)
 			}
-			x.entry.Attempts++
+			x.logEntry.Attempts++
 		}
 		r := &stages.Request{}
 		x.setTargets(r)
--- a/request/gateway/tokentime.go
+++ b/request/gateway/prefilltime.go
@@ -5,43 +5,44 @@
 	"time"
 )
 
-// tokenTimes estimates the prefill time per prompt token for the engines of each service, by
-// a regression of the time to the first event on the number of uncached prompt tokens.
-type tokenTimes struct {
+// prefillTimes estimates the prefill time per prompt token for the engines of each service, by
+// a regression of the time to the first event on the number of uncached prompt tokens. Load
+// balancing derives the benefit of a cached prompt prefix from it.
+type prefillTimes struct {
 	mu        sync.Mutex
 	byService map[string]regression
 }
 
 const (
-	// initialTokenTime is the estimate before any stream was observed: engines process
+	// initialPrefillTimePerToken is the estimate before any stream was observed: engines process
 	// 30 to 60 prompt tokens per millisecond.
-	initialTokenTime = 20 * time.Microsecond
+	initialPrefillTimePerToken = 20 * time.Microsecond
 	// Bounds of the estimate: a regression over few streams can have any slope.
-	minTokenTime = 5 * time.Microsecond
-	maxTokenTime = 200 * time.Microsecond
+	minPrefillTimePerToken = 5 * time.Microsecond
+	maxPrefillTimePerToken = 200 * time.Microsecond
 	// regressionWeight is the weight of the latest stream. The wait for the prefill of
 	// other prompts varies more than the prefill itself, which averages out over a few
 	// hundred streams.
 	regressionWeight = 0.01
-	// initialTokenDeviation is the standard deviation of prompt lengths, in tokens, with
-	// which initialTokenTime enters the regression.
-	initialTokenDeviation = 1000
+	// initialTokenStdDev is the standard deviation of prompt lengths, in tokens, with
+	// which initialPrefillTimePerToken enters the regression.
+	initialTokenStdDev = 1000
 )
 
 // estimate returns the prefill time of one prompt token.
-func (t *tokenTimes) estimate(service string) time.Duration {
+func (t *prefillTimes) estimate(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	reg, ok := t.byService[service]
 	if !ok {
-		return initialTokenTime
+		return initialPrefillTimePerToken
 	}
-	return min(max(time.Duration(reg.slope()*float64(time.Second)), minTokenTime), maxTokenTime)
+	return min(max(time.Duration(reg.slope()*float64(time.Second)), minPrefillTimePerToken), maxPrefillTimePerToken)
 }
 
 // observe adds a stream whose engine had to process the given number of uncached tokens
 // before the first event.
-func (t *tokenTimes) observe(service string, tokens int, toFirstEvent time.Duration) {
+func (t *prefillTimes) observe(service string, tokens int, toFirstEvent time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.byService == nil {
@@ -49,8 +50,8 @@
 	}
 	reg, ok := t.byService[service]
 	if !ok {
-		variance := float64(initialTokenDeviation * initialTokenDeviation)
-		reg = regression{meanX: float64(tokens), meanY: toFirstEvent.Seconds(), varX: variance, covXY: variance * initialTokenTime.Seconds()}
+		variance := float64(initialTokenStdDev * initialTokenStdDev)
+		reg = regression{meanX: float64(tokens), meanY: toFirstEvent.Seconds(), varX: variance, covXY: variance * initialPrefillTimePerToken.Seconds()}
 	}
 	reg.observe(float64(tokens), toFirstEvent.Seconds())
 	t.byService[service] = reg
--- a/request/gateway/retry_test.go
+++ b/request/gateway/retry_test.go
@@ -12,10 +12,10 @@
 	"bilberrydale/process/residency"
 )
 
-// exhaustedBudget is a retry budget that allows no retry.
-type exhaustedBudget struct{ unlimitedBudget }
+// exhaustedRetries is a RetryLimiter whose budget is used up.
+type exhaustedRetries struct{ unlimitedRetries }
 
-func (exhaustedBudget) AllowRetry(string) bool { return false }
+func (exhaustedRetries) AllowRetry(string) bool { return false }
 
 // A quarter of the engines crash at once, and each host has more failed connections than its
 // share of the retry budget. Guards against refusing a request that has reached no server
@@ -26,13 +26,13 @@
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "a", Service: "s"}, {ID: "b", Service: "s"}, {ID: "c", Service: "s"}}, now)
 	x := newExchange(dir, now, residency.Set{})
-	x.opts.Budget, x.r = exhaustedBudget{}, httptest.NewRequest("GET", "/", nil)
+	x.opts.RetryLimiter, x.r = exhaustedRetries{}, httptest.NewRequest("GET", "/", nil)
 	hist := &attemptHistory{tried: serverSet{}}
 	for range 2 {
 		s := x.nextServer(t.Context(), hist)
 		g.Expect(s).NotTo(BeNil())
 		hist.record(x.handleSendError(s, now, &upstream.Error{DialFailed: true}))
-		x.entry.Attempts++
+		x.logEntry.Attempts++
 	}
 	s := x.nextServer(t.Context(), hist)
 	g.Expect(s).NotTo(BeNil())
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -23,7 +23,7 @@
 	ctx, stopWatch := x.cancelBeforeShutdown(ctx)
 	defer stopWatch()
 	results, err := x.opts.Pool.Run(ctx, r)
-	x.entry.StageDuration = x.opts.Clock.Now().Sub(x.start)
+	x.logEntry.StageDuration = x.opts.Clock.Now().Sub(x.start)
 	if err != nil && errors.Is(context.Cause(ctx), errShutdown) {
 		return &kind.Error{Kind: kind.Draining, Detail: errShutdown.Error(), RetryAfter: drainingRetryAfter, Cause: err}
 	}
@@ -136,7 +136,7 @@
 func (x *exchange) predictedDomain() string {
 	q := x.balanceQuery(nil)
 	share := 2 * x.opts.Rand.Float64()
-	costs := map[string]time.Duration{} // of the few domains, for many servers
+	costs := map[string]time.Duration{} // by failure domain, which many servers share
 	q.QueueingCost = func(domain string) time.Duration {
 		cost, known := costs[domain]
 		if !known {
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -94,7 +94,7 @@
 	a.close(err == nil)
 	if err != nil {
 		x.recordTruncatedResponse(a)
-		x.entry.StreamInterruptions++
+		x.logEntry.StreamInterruptions++
 		return fmt.Errorf("%w: %s after event %q: %w", errInvalidResponse, a.server.ID, progress.lastEventID, err)
 	}
 	now := x.opts.Clock.Now()
@@ -106,15 +106,15 @@
 	return nil
 }
 
-// observeTimes updates the estimates of stream durations and token times from a stream that
+// observeTimes updates the estimates of stream durations and prefill times from a stream that
 // ended at end.
 func (x *exchange) observeTimes(end time.Time) {
-	first := x.firstEventAt.Sub(x.start) - x.entry.StageDuration
+	first := x.firstEventAt.Sub(x.start) - x.logEntry.StageDuration
 	x.streamDurations.observe(x.route.Name, streamDuration{toFirstEvent: first, afterFirstEvent: end.Sub(x.firstEventAt)})
-	if x.client.InputTokens > 0 && x.entry.Attempts == 1 {
+	if x.client.InputTokens > 0 && x.logEntry.Attempts == 1 {
 		// The shared prefix is usually in the KV cache already.
 		_, shared := x.sharedPrefix()
-		x.tokenTimes.observe(x.service, max(x.client.InputTokens-shared, 0), first)
+		x.prefillTimes.observe(x.service, max(x.client.InputTokens-shared, 0), first)
 	}
 }
 
@@ -200,9 +200,9 @@
 func (x *exchange) writeHead(a *attempt) {
 	x.setResponseHeaders(x.w.Header(), a.response.Header)
 	x.headSent = true
-	x.entry.Status, x.entry.Ran = a.response.Status, kind.RanYes
+	x.logEntry.Status, x.logEntry.Ran = a.response.Status, kind.RanYes
 	now := x.opts.Clock.Now()
-	x.entry.TimeToFirstByte = now.Sub(x.start)
+	x.logEntry.TimeToFirstByte = now.Sub(x.start)
 	x.firstEventAt = now
 	x.w.WriteHeader(a.response.Status)
 	// The engine has read its inputs before it generates the first event.
