--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -142,7 +142,7 @@
 }
 
 // errServerBusy is the result of a call that the server refused because of its load.
-var errServerBusy = errors.New("the server has too much work")
+var errServerBusy = errors.New("backend server refused the stage call: too much load")
 
 // recordLoad stores the load that a server reports in its response header.
 func (b *stageBackend) recordLoad(s *directory.Server, status int, header http.Header) {
