--- a/process/balance/balance.go
+++ b/process/balance/balance.go
@@ -36,9 +36,9 @@
 }
 
 const (
-	// reportMaxAge is the age from which a server's own load report is ignored. The load
+	// maxReportAge is the age from which a server's own load report is ignored. The load
 	// of short requests changes within a few hundred milliseconds.
-	reportMaxAge = 500 * time.Millisecond
+	maxReportAge = 500 * time.Millisecond
 	// queuedRequestCost is the cost of each request beyond a server's slots, about the
 	// time until a slot becomes free at a plain (non-engine) service.
 	queuedRequestCost = 20 * time.Millisecond
@@ -187,7 +187,7 @@
 // is recent enough.
 func EstimatedLoad(s *directory.Server, now time.Time) int {
 	load := int(s.InFlight.Load())
-	if running, waiting, age := s.ReportedLoad(now); age < reportMaxAge {
+	if running, waiting, age := s.ReportedLoad(now); age < maxReportAge {
 		load = max(load, running+waiting)
 	}
 	return load
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -52,7 +52,7 @@
 	// running and waiting are the requests in the server's last load report.
 	running, waiting    atomic.Int64
 	reportedAt          atomic.Int64 // Unix nanoseconds of the caller's clock; 0: never
-	backoffUntil        atomic.Int64
+	backoffUntil        atomic.Int64 // Unix nanoseconds; 0: no backoff
 	lastFailureAt       atomic.Int64 // Unix nanoseconds; 0: never
 	coldUntil           atomic.Int64 // Unix nanoseconds, from the list; 0: not cold
 	consecutiveFailures atomic.Int64 // since the last success
--- a/process/follow/follow.go
+++ b/process/follow/follow.go
@@ -65,8 +65,8 @@
 	Clock  clock.Clock
 	Rand   clock.Rand
 	// WatchWait is the maximum time for which a watch waits for changes, and so bounds the
-	// age of the copy in normal operation: a response to a watch confirms that nothing
-	// else changed before it was sent.
+	// age of the copy in normal operation: a response confirms that the copy contains
+	// every change made before the watch was sent.
 	WatchWait time.Duration
 	// ResponseTimeout is the time for the response to a watch beyond WatchWait.
 	ResponseTimeout time.Duration
@@ -74,7 +74,7 @@
 	// succession arrive in one response; 0: none.
 	CoalesceDelay time.Duration
 	// OnChange is called with the whole copy after each list or change. origin is "list"
-	// or "watch". The callee must not modify the map.
+	// or "watch". The callee must not modify or retain the map.
 	OnChange func(objects map[string]Object[T], origin string)
 	// OnConfirmed is called when a response has confirmed that the copy contains every
 	// change that was accepted before at.
