--- a/entryhost/admin.go
+++ b/entryhost/admin.go
@@ -38,7 +38,7 @@
 		Release: rel.Number, Hash: rel.Hash,
 		Completed: h.requests.counters.Completed.Load(), Refused: h.requests.counters.Refused.Load(), Failed: h.requests.counters.Failed.Load(),
 	}
-	if err := h.releases.follower.LastError(); err != nil {
+	if err := h.releases.follower.Err(); err != nil {
 		s.LastError = err.Error()
 	}
 	return s
--- a/entryhost/path_test.go
+++ b/entryhost/path_test.go
@@ -63,7 +63,7 @@
 	set := release.ChangeSet{Author: author}
 	for key, data := range rows {
 		old, _ := head.Row(key)
-		set.Changes = append(set.Changes, release.Change{Key: key, Data: data, Base: old.Version})
+		set.Changes = append(set.Changes, release.Change{Key: key, Data: data, BaseVersion: old.Version})
 	}
 	rel, err := pub.Apply(context.Background(), set)
 	Expect(err).NotTo(HaveOccurred())
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -21,7 +21,7 @@
 
 func defaultReleaseOptions() ReleaseOptions {
 	return ReleaseOptions{
-		Hold: release.DefaultHold, Watchers: release.DefaultWatchers, Poll: release.DefaultPoll, Loaded: .5,
+		Hold: release.DefaultActivationDelay, Watchers: release.DefaultWatchers, Poll: release.DefaultSyncInterval, Loaded: .5,
 	}
 }
 
@@ -35,7 +35,7 @@
 // releasesPart keeps this entry host on the newest accepted release.
 type releasesPart struct {
 	follower *release.Follower
-	spread   *release.Spread
+	spread   *release.Distributor
 	models   modelGate
 }
 
@@ -46,13 +46,13 @@
 	p, opts := &h.releases, h.opts.Releases
 	p.models.share = opts.Loaded
 	p.follower = release.NewFollower(release.FollowerOptions{
-		Host: h.opts.Name, Store: h.store, Clock: h.clock, Rand: h.rand, Compile: h.compile, Hold: opts.Hold,
+		Host: h.opts.Name, Store: h.store, Clock: h.clock, Rand: h.rand, Compile: h.compile, ActivationDelay: opts.Hold,
 	})
-	p.spread = release.NewSpread(release.SpreadOptions{
-		Follower: p.follower, Link: h.members.link, View: h.members.view, ExpectPeers: h.opts.Peers != "",
-		Watchers: opts.Watchers, Poll: opts.Poll,
+	p.spread = release.NewDistributor(release.DistributorOptions{
+		Follower: p.follower, Link: h.members.link, View: h.members.view, PeersConfigured: h.opts.Peers != "",
+		Watchers: opts.Watchers, SyncInterval: opts.Poll,
 	})
-	h.members.monitor.Attach("release", p.spread.HeartbeatPart, p.spread.OnHeartbeatPart)
+	h.members.monitor.Attach("release", p.spread.HeartbeatPayload, p.spread.OnHeartbeatPayload)
 	h.add("releases", p.spread.Run)
 	h.add("model gate", h.openModels)
 	releasesVars.Set(h.opts.Name, expvar.Func(func() any { return h.releaseVars() }))
--- a/entryhost/releases_bench_test.go
+++ b/entryhost/releases_bench_test.go
@@ -98,7 +98,7 @@
 	set := release.ChangeSet{Author: "ada"}
 	for key, data := range rows {
 		old, _ := head.Row(key)
-		set.Changes = append(set.Changes, release.Change{Key: key, Data: data, Base: old.Version})
+		set.Changes = append(set.Changes, release.Change{Key: key, Data: data, BaseVersion: old.Version})
 	}
 	rel, err := p.Apply(context.Background(), set)
 	Expect(err).NotTo(HaveOccurred())
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -42,7 +42,7 @@
 // find returns the base of an edit in dir.
 func (f *baseFlags) find(ctx context.Context, pub *release.Publisher, dir string, head release.Release) (*Base, error) {
 	if f.number > 0 {
-		rel, err := pub.At(ctx, uint64(f.number))
+		rel, err := pub.ByNumber(ctx, uint64(f.number))
 		if err != nil {
 			return nil, fmt.Errorf("--base: %w", err)
 		}
@@ -87,7 +87,7 @@
 	var out []release.Change
 	for key, row := range base.Rows {
 		if _, kept := want[key]; !kept {
-			out = append(out, release.Change{Key: key, Delete: true, Base: row.Version})
+			out = append(out, release.Change{Key: key, Delete: true, BaseVersion: row.Version})
 		}
 	}
 	for key, data := range want {
@@ -95,7 +95,7 @@
 		if known && sameJSON(row.Data, data) {
 			continue
 		}
-		out = append(out, release.Change{Key: key, Data: data, Base: row.Version})
+		out = append(out, release.Change{Key: key, Data: data, BaseVersion: row.Version})
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Key < out[j].Key })
 	return out
@@ -115,7 +115,7 @@
 	out := map[string]release.Row{}
 	for _, c := range x.set.Changes {
 		row, _ := x.head.Row(c.Key)
-		if row.Version != c.Base && !sameJSON(row.Data, c.Data) {
+		if row.Version != c.BaseVersion && !sameJSON(row.Data, c.Data) {
 			out[c.Key] = row
 		}
 	}
--- a/process/release/chain.go
+++ b/process/release/chain.go
@@ -49,7 +49,7 @@
 func readRecord(ctx context.Context, store objectapi.Store, ref Ref) (Head, error) {
 	obj, err := store.Get(ctx, recordKey(ref))
 	if errors.Is(err, objectapi.ErrNotFound) {
-		return Head{}, fmt.Errorf("%w: release %d", ErrNotKept, ref.Number)
+		return Head{}, fmt.Errorf("%w: release %d", ErrNotRetained, ref.Number)
 	}
 	if err != nil {
 		return Head{}, fmt.Errorf("read record of release %d: %w", ref.Number, err)
@@ -93,7 +93,7 @@
 		return r.Number > number
 	})
 	if err == nil && found.Number == 0 {
-		err = fmt.Errorf("%w: release %d", ErrNotKept, number)
+		err = fmt.Errorf("%w: release %d", ErrNotRetained, number)
 	}
 	return found, err
 }
@@ -111,14 +111,14 @@
 		}
 		return len(refs) < n
 	})
-	if errors.Is(err, ErrNotKept) {
+	if errors.Is(err, ErrNotRetained) {
 		err = nil
 	}
 	return refs, err
 }
 
 // At returns the accepted release of the given number with its rows.
-func (p *Publisher) At(ctx context.Context, number uint64) (Release, error) {
+func (p *Publisher) ByNumber(ctx context.Context, number uint64) (Release, error) {
 	head, _, err := readHead(ctx, p.store())
 	if err != nil {
 		return Release{}, err
@@ -145,7 +145,7 @@
 // number. The numbers rise as always; a row that somebody changes meanwhile is
 // a conflict.
 func (p *Publisher) Rollback(ctx context.Context, number uint64, author string) (Release, error) {
-	old, err := p.At(ctx, number)
+	old, err := p.ByNumber(ctx, number)
 	if err != nil {
 		return Release{}, err
 	}
@@ -153,13 +153,13 @@
 	if err != nil {
 		return Release{}, err
 	}
-	set := Difference(now, old.Rows)
+	set := ChangesBetween(now, old.Rows)
 	set.Author, set.Note = author, fmt.Sprintf("rollback to release %d", number)
 	return p.Apply(ctx, set)
 }
 
 // Difference returns the changes that turn the rows of from into want.
-func Difference(from Release, want []Row) ChangeSet {
+func ChangesBetween(from Release, want []Row) ChangeSet {
 	var set ChangeSet
 	left := make(map[string]Row, len(want))
 	for _, r := range want {
@@ -169,9 +169,9 @@
 		r, stays := left[cur.Key]
 		delete(left, cur.Key)
 		if !stays {
-			set.Changes = append(set.Changes, Change{Key: cur.Key, Delete: true, Base: cur.Version})
+			set.Changes = append(set.Changes, Change{Key: cur.Key, Delete: true, BaseVersion: cur.Version})
 		} else if string(r.Data) != string(cur.Data) {
-			set.Changes = append(set.Changes, Change{Key: cur.Key, Data: r.Data, Base: cur.Version})
+			set.Changes = append(set.Changes, Change{Key: cur.Key, Data: r.Data, BaseVersion: cur.Version})
 		}
 	}
 	for _, r := range sorted(left) {
--- a/process/release/commit.go
+++ b/process/release/commit.go
@@ -92,17 +92,17 @@
 	}
 	rows := g.draft.sorted()
 	rel := Release{
-		Number: g.draft.number, ID: uuid.NewString(), Hash: HashRows(rows), Previous: b.rel.Hash,
+		Number: g.draft.number, ID: uuid.NewString(), Hash: HashRows(rows), PreviousHash: b.rel.Hash,
 		Author: authors(g.accepted), Note: notes(g.accepted), Time: p.Clock.Now(),
-		Rows: rows, Removed: g.draft.newestRemoved(),
+		Rows: rows, RecentDeletions: g.draft.newestRemoved(),
 	}
-	head := Head{Release: rel, Recent: recent(b.head), Swept: max(b.head.Swept, 1)}
+	head := Head{Release: rel, Recent: recent(b.head), FirstUncollected: max(b.head.FirstUncollected, 1)}
 	head.Rows = nil
 	if d := diffRows(b.rel.Rows, rows); d.size() <= maxHeadDelta {
 		head.Delta = &d
 	}
 	for _, s := range g.accepted {
-		head.Sets = append(head.Sets, s.ID)
+		head.ChangeSetIDs = append(head.ChangeSetIDs, s.ID)
 	}
 	return rel, p.write(ctx, b, rel, head)
 }
@@ -113,9 +113,9 @@
 		if err := p.putNew(ctx, key, part); err != nil {
 			return err
 		}
-		head.Parts = append(head.Parts, key)
+		head.PartKeys = append(head.PartKeys, key)
 	}
-	head.Swept = p.collect(ctx, head.Swept, rel.Number)
+	head.FirstUncollected = p.collect(ctx, head.FirstUncollected, rel.Number)
 	if err := p.putNew(ctx, recordKey(rel.Ref()), head); err != nil {
 		return err
 	}
@@ -197,7 +197,7 @@
 	if rel.Number == 0 {
 		return rel, nil
 	}
-	for _, key := range head.Parts {
+	for _, key := range head.PartKeys {
 		part, err := store.Get(ctx, key)
 		if err != nil {
 			return Release{}, fmt.Errorf("read %s: %w", key, err)
--- a/process/release/delta.go
+++ b/process/release/delta.go
@@ -7,7 +7,7 @@
 // Delta holds the rows that differ between two releases.
 type Delta struct {
 	Changed []Row    `json:"changed,omitempty"` // by key
-	Gone    []string `json:"gone,omitempty"`
+	Deleted []string `json:"gone,omitempty"`
 }
 
 // diffRows returns what leads from rows to want; both are sorted by key.
@@ -16,7 +16,7 @@
 	i := 0
 	for _, w := range want {
 		for i < len(rows) && rows[i].Key < w.Key {
-			d.Gone = append(d.Gone, rows[i].Key)
+			d.Deleted = append(d.Deleted, rows[i].Key)
 			i++
 		}
 		if i < len(rows) && rows[i].Key == w.Key {
@@ -29,7 +29,7 @@
 		d.Changed = append(d.Changed, w)
 	}
 	for ; i < len(rows); i++ {
-		d.Gone = append(d.Gone, rows[i].Key)
+		d.Deleted = append(d.Deleted, rows[i].Key)
 	}
 	return d
 }
@@ -40,7 +40,7 @@
 	for _, r := range rows {
 		out[r.Key] = r
 	}
-	for _, key := range d.Gone {
+	for _, key := range d.Deleted {
 		delete(out, key)
 	}
 	for _, r := range d.Changed {
@@ -54,7 +54,7 @@
 	for _, r := range d.Changed {
 		n += len(r.Key) + len(r.Data)
 	}
-	for _, key := range d.Gone {
+	for _, key := range d.Deleted {
 		n += len(key)
 	}
 	return n
@@ -64,7 +64,7 @@
 // hash tells whether the result is right; otherwise the whole release is read.
 func (f *Follower) fromDelta(rel Release, d *Delta) (Release, bool) {
 	base := f.held.Load()
-	if d == nil || base == nil || base.Number+1 != rel.Number || base.Hash != rel.Previous {
+	if d == nil || base == nil || base.Number+1 != rel.Number || base.Hash != rel.PreviousHash {
 		return Release{}, false
 	}
 	rel.Rows = d.apply(base.Rows)
--- a/process/release/fleet_test.go
+++ b/process/release/fleet_test.go
@@ -37,7 +37,7 @@
 
 type fleetHost struct {
 	f      *Follower
-	s      *Spread
+	s      *Distributor
 	line   *line
 	log    sync.Map // release number -> time of the switch
 	domain string
@@ -168,7 +168,7 @@
 func newFleet(g *WithT) *fleet {
 	return &fleet{
 		g: g, objects: standin.New(), net: peertest.NewNetwork(), hosts: map[string]*fleetHost{}, poll: 100 * time.Millisecond, silence: 400 * time.Millisecond,
-		opts: FollowerOptions{WatchWait: 500 * time.Millisecond, CheckEvery: 100 * time.Millisecond},
+		opts: FollowerOptions{WatchTimeout: 500 * time.Millisecond, PollInterval: 100 * time.Millisecond},
 	}
 }
 
@@ -196,7 +196,7 @@
 		l.delay = fl.delay(domain, "")
 		over = delayedLink{link, fl.delay}
 	}
-	h.s = NewSpread(SpreadOptions{Follower: h.f, Link: over, View: fleetView{fl, link}, Poll: fl.poll, Silence: fl.silence})
+	h.s = NewDistributor(DistributorOptions{Follower: h.f, Link: over, View: fleetView{fl, link}, SyncInterval: fl.poll, WatcherTimeout: fl.silence})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = h.s.Run(ctx) }()
--- a/process/release/floor.go
+++ b/process/release/floor.go
@@ -13,29 +13,29 @@
 
 // Floor is what entry hosts report when they have a release in force that the
 // platform's head does not know: its state was restored from an earlier one.
-type Floor struct {
+type HighWaterMark struct {
 	Number uint64 `json:"number"` // highest release in force on a host
 	Hash   string `json:"hash"`
 	Host   string `json:"host"`
 }
 
-func readFloor(ctx context.Context, store objectapi.Store) (Floor, uint64, error) {
-	obj, err := store.Get(ctx, FloorKey)
+func readFloor(ctx context.Context, store objectapi.Store) (HighWaterMark, uint64, error) {
+	obj, err := store.Get(ctx, HighWaterMarkKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
-		return Floor{}, 0, nil
+		return HighWaterMark{}, 0, nil
 	}
 	if err != nil {
-		return Floor{}, 0, fmt.Errorf("read floor: %w", err)
+		return HighWaterMark{}, 0, fmt.Errorf("read floor: %w", err)
 	}
-	var f Floor
+	var f HighWaterMark
 	if err := json.Unmarshal(obj.Value, &f); err != nil {
-		return Floor{}, 0, fmt.Errorf("decode floor: %w", err)
+		return HighWaterMark{}, 0, fmt.Errorf("decode floor: %w", err)
 	}
 	return f, obj.Version, nil
 }
 
 // raiseFloor records f unless a floor at least as high is there.
-func raiseFloor(ctx context.Context, store objectapi.Store, f Floor) error {
+func raiseFloor(ctx context.Context, store objectapi.Store, f HighWaterMark) error {
 	cur, version, err := readFloor(ctx, store)
 	if err != nil || cur.Number >= f.Number {
 		return err
@@ -44,7 +44,7 @@
 	if err != nil {
 		return fmt.Errorf("encode floor: %w", err)
 	}
-	_, err = store.Put(ctx, FloorKey, data, version)
+	_, err = store.Put(ctx, HighWaterMarkKey, data, version)
 	return err
 }
 
@@ -58,7 +58,7 @@
 	}
 	if head.Number < f.Number || (head.Number == f.Number && head.Hash != f.Hash) {
 		return fmt.Errorf("%w: head is release %d, host %s has release %d (hash %s) in force; recover from its tables first",
-			ErrBehind, head.Number, f.Host, f.Number, f.Hash)
+			ErrPlatformBehind, head.Number, f.Host, f.Number, f.Hash)
 	}
 	return nil
 }
@@ -85,8 +85,8 @@
 	next.Number = max(head.Number, floor.Number, rel.Number) + 1
 	next.ID, next.Author, next.Time = uuid.NewString(), author, p.Clock.Now()
 	next.Note = fmt.Sprintf("recovered from release %d (hash %s)", rel.Number, rel.Hash)
-	next.Previous = rel.Hash
-	h := Head{Release: next, Recent: recent(head), Swept: max(head.Swept, 1)}
+	next.PreviousHash = rel.Hash
+	h := Head{Release: next, Recent: recent(head), FirstUncollected: max(head.FirstUncollected, 1)}
 	h.Rows = nil
 	return next, p.write(ctx, base{head: head, obj: obj}, next, h)
 }
--- a/process/release/follow.go
+++ b/process/release/follow.go
@@ -30,15 +30,15 @@
 	// delays of messages, and the switch to it, in which it spreads to the others
 	// (prepare-then-switch).
 	// 0: switch on arrival. A host that learns of it later switches at once.
-	Hold time.Duration
+	ActivationDelay time.Duration
 	// WatchWait is how long one watch of the platform waits; default 20 s.
-	WatchWait time.Duration
+	WatchTimeout time.Duration
 	// CheckEvery is the period of the reads that back the watch up; default 5 s.
-	CheckEvery time.Duration
+	PollInterval time.Duration
 }
 
 // DefaultHold is the time in which a release spreads before the switch.
-const DefaultHold = 100 * time.Millisecond
+const DefaultActivationDelay = 100 * time.Millisecond
 
 const (
 	defaultWatchWait  = 20 * time.Second
@@ -54,42 +54,42 @@
 	opts FollowerOptions
 	kick chan struct{} // a release waits for its switch
 
-	held atomic.Pointer[Held] // newest prepared, read without the lock
+	held atomic.Pointer[PreparedRelease] // newest prepared, read without the lock
 
 	mu      sync.Mutex
 	current Release
-	closed  bool     // nothing is put in force yet: see close
-	next    *Held    // prepared, not yet in force
-	switchF func()   // puts next in force
-	recent  []*Held  // newest last
-	refused Ref      // newest release that did not compile
-	faults  faultSet // what operators have to know
+	closed  bool               // nothing is put in force yet: see close
+	next    *PreparedRelease   // prepared, not yet in force
+	switchF func()             // puts next in force
+	recent  []*PreparedRelease // newest last
+	refused Ref                // newest release that did not compile
+	faults  faultSet           // what operators have to know
 	watch   watchState
-	changed []func(*Held)
+	changed []func(*PreparedRelease)
 }
 
 // Held is a release that is prepared on this host.
-type Held struct {
+type PreparedRelease struct {
 	Release
 	// Origin is when the release was accepted, on this host's clock, estimated
 	// from the delays of the messages that brought it.
-	Origin time.Time
+	AcceptedAt time.Time
 }
 
 // NewFollower returns a follower of the platform's head object.
 func NewFollower(opts FollowerOptions) *Follower {
-	if opts.WatchWait <= 0 {
-		opts.WatchWait = defaultWatchWait
+	if opts.WatchTimeout <= 0 {
+		opts.WatchTimeout = defaultWatchWait
 	}
-	if opts.CheckEvery <= 0 {
-		opts.CheckEvery = defaultCheckEvery
+	if opts.PollInterval <= 0 {
+		opts.PollInterval = defaultCheckEvery
 	}
 	return &Follower{opts: opts, kick: make(chan struct{}, 1)}
 }
 
 // OnPrepared registers f, which is called after a release was prepared here,
 // outside the follower's lock. It is called before the follower runs.
-func (f *Follower) OnPrepared(fn func(*Held)) { f.changed = append(f.changed, fn) }
+func (f *Follower) OnPrepared(fn func(*PreparedRelease)) { f.changed = append(f.changed, fn) }
 
 // Current returns the release in force and whether there is one.
 func (f *Follower) Current() (Release, bool) {
@@ -100,7 +100,7 @@
 
 // Newest returns the newest release prepared here, in force or about to be, or
 // nil. What engines have to load is read from it, before it is in force.
-func (f *Follower) Newest() *Held { return f.held.Load() }
+func (f *Follower) Newest() *PreparedRelease { return f.held.Load() }
 
 // Summary returns number and hash of the newest release prepared here, for
 // heartbeats. It takes no lock.
@@ -114,7 +114,7 @@
 // Wants reports whether a release with this number and hash should be fetched.
 // A number that is in force here with another hash is a fault that operators
 // are told of: see faultDiverged.
-func (f *Follower) Wants(number uint64, hash, source string) bool {
+func (f *Follower) Needs(number uint64, hash, source string) bool {
 	have, haveHash := f.Summary()
 	if number == have && number > 0 && hash != haveHash {
 		f.setFault(faultDiverged, fmt.Errorf("%s has release %d with hash %s, here it is in force with hash %s; accept a new release or recover",
@@ -133,7 +133,7 @@
 // offers a lower number: it is ignored, so that an accepted configuration never
 // reverts on this host. age is the time since rel was accepted.
 func (f *Follower) Offer(rel Release, age time.Duration, source string) error {
-	if !f.Wants(rel.Number, rel.Hash, source) {
+	if !f.Needs(rel.Number, rel.Hash, source) {
 		return nil
 	}
 	held, err := f.prepare(rel, age)
@@ -146,7 +146,7 @@
 	return nil
 }
 
-func (f *Follower) prepare(rel Release, age time.Duration) (*Held, error) {
+func (f *Follower) prepare(rel Release, age time.Duration) (*PreparedRelease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if have, _ := f.Summary(); rel.Number <= have {
@@ -166,14 +166,14 @@
 		f.faults.clear(k)
 	}
 	f.checkLineage(rel)
-	held := &Held{Release: rel, Origin: f.opts.Clock.Now().Add(-age)}
+	held := &PreparedRelease{Release: rel, AcceptedAt: f.opts.Clock.Now().Add(-age)}
 	f.recent = append(f.recent, held)
 	if len(f.recent) > recentReleases {
 		f.recent = f.recent[1:]
 	}
-	if f.next != nil && f.next.Origin.Before(held.Origin) {
+	if f.next != nil && f.next.AcceptedAt.Before(held.AcceptedAt) {
 		// A stream of releases must not put the switch off again and again.
-		held.Origin = f.next.Origin
+		held.AcceptedAt = f.next.AcceptedAt
 	}
 	f.next, f.switchF = held, switchF
 	f.held.Store(held)
@@ -189,7 +189,7 @@
 // that it replaces, as after the restore of the platform: edits are lost.
 func (f *Follower) checkLineage(rel Release) {
 	have, hash := f.Summary()
-	if have == 0 || rel.Previous == "" || rel.Number != have+1 || rel.Previous == hash {
+	if have == 0 || rel.PreviousHash == "" || rel.Number != have+1 || rel.PreviousHash == hash {
 		return
 	}
 	f.faults.set(faultReplaced, fmt.Errorf("release %d was not built on release %d (hash %s), which was in force here", rel.Number, have, hash))
@@ -230,7 +230,7 @@
 // untilDue returns the time until next may be put in force. Called with the
 // lock held.
 func (f *Follower) untilDue() time.Duration {
-	return f.opts.Hold - f.opts.Clock.Now().Sub(f.next.Origin)
+	return f.opts.ActivationDelay - f.opts.Clock.Now().Sub(f.next.AcceptedAt)
 }
 
 func (f *Follower) switchNow() {
@@ -239,7 +239,7 @@
 }
 
 // Switch puts prepared releases in force when they are due, until ctx ends.
-func (f *Follower) Switch(ctx context.Context) error {
+func (f *Follower) RunActivation(ctx context.Context) error {
 	for {
 		var timer <-chan time.Time
 		f.mu.Lock()
@@ -278,7 +278,7 @@
 }
 
 // remembered returns the release if this host held it lately, or nil.
-func (f *Follower) remembered(number uint64, hash string) *Held {
+func (f *Follower) remembered(number uint64, hash string) *PreparedRelease {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range f.recent {
@@ -291,7 +291,7 @@
 
 // LastError returns what keeps this host from the newest release or what an
 // operator has to mend, or nil.
-func (f *Follower) LastError() error {
+func (f *Follower) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return errors.Join(f.faults.all()...)
--- a/process/release/follow_test.go
+++ b/process/release/follow_test.go
@@ -42,12 +42,12 @@
 	now := clock.NewManual(time.Unix(1000, 0))
 	var inForce atomic.Uint64
 	f := NewFollower(FollowerOptions{
-		Clock: now, Rand: clock.NewSeeded(1), Hold: 100 * time.Millisecond,
+		Clock: now, Rand: clock.NewSeeded(1), ActivationDelay: 100 * time.Millisecond,
 		Compile: func(r Release) (func(), error) { return func() { inForce.Store(r.Number) }, nil },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	go func() { _ = f.Switch(ctx) }()
+	go func() { _ = f.RunActivation(ctx) }()
 	g.Expect(f.Offer(numbered(1, "a"), 0, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(1), "the first one has nothing to wait for")
 
@@ -78,10 +78,10 @@
 	g.Expect(f.Offer(bad, 0, "x")).NotTo(Succeed())
 	cur, _ := f.Current()
 	g.Expect(cur.Number).To(BeEquivalentTo(1))
-	g.Expect(f.LastError()).To(MatchError(ContainSubstring("unknown field")))
-	g.Expect(f.Wants(2, bad.Hash, "x")).To(BeFalse())
+	g.Expect(f.Err()).To(MatchError(ContainSubstring("unknown field")))
+	g.Expect(f.Needs(2, bad.Hash, "x")).To(BeFalse())
 	g.Expect(f.Offer(numbered(3, "c"), 0, "x")).To(Succeed())
-	g.Expect(f.LastError()).NotTo(HaveOccurred())
+	g.Expect(f.Err()).NotTo(HaveOccurred())
 }
 
 // The release in force is compiled again, as when a model has been loaded, while
@@ -90,7 +90,7 @@
 func TestRecompileLeavesTheNewerReleaseLast(t *testing.T) {
 	g := NewWithT(t)
 	var compiled []uint64
-	f := NewFollower(FollowerOptions{Clock: clock.NewManual(time.Unix(1000, 0)), Hold: time.Second, Compile: func(r Release) (func(), error) {
+	f := NewFollower(FollowerOptions{Clock: clock.NewManual(time.Unix(1000, 0)), ActivationDelay: time.Second, Compile: func(r Release) (func(), error) {
 		compiled = append(compiled, r.Number)
 		return func() {}, nil
 	}})
--- a/process/release/merge.go
+++ b/process/release/merge.go
@@ -12,11 +12,11 @@
 
 // RowConflict is one conflicting row.
 type RowConflict struct {
-	Key     string
-	Base    uint64 // the version the edit was made from
-	Current uint64 // the version now in the head
-	Author  string // who changed it
-	Deleted bool   // the row is gone
+	Key            string
+	BaseVersion    uint64 // the version the edit was made from
+	CurrentVersion uint64 // the version now in the head
+	Author         string // who changed it
+	Deleted        bool   // the row is gone
 }
 
 // Error implements error.
@@ -27,7 +27,7 @@
 		if c.Deleted {
 			now = "deleted in"
 		}
-		parts[i] = fmt.Sprintf("%s (edited from version %d, %s %d by %s)", c.Key, c.Base, now, c.Current, c.Author)
+		parts[i] = fmt.Sprintf("%s (edited from version %d, %s %d by %s)", c.Key, c.BaseVersion, now, c.CurrentVersion, c.Author)
 	}
 	return ErrRowConflict.Error() + ": " + strings.Join(parts, ", ")
 }
@@ -62,7 +62,7 @@
 	for _, r := range base.Rows {
 		d.rows[r.Key] = r
 	}
-	for _, r := range base.Removed {
+	for _, r := range base.RecentDeletions {
 		d.removed[r.Key] = r
 	}
 	return d
@@ -73,7 +73,7 @@
 	var conflicts []RowConflict
 	for _, c := range set.Changes {
 		cur, exists := d.rows[c.Key]
-		if !sameContent(cur, exists, c) && cur.Version != c.Base {
+		if !sameContent(cur, exists, c) && cur.Version != c.BaseVersion {
 			conflicts = append(conflicts, d.conflict(c, cur, exists))
 		}
 	}
@@ -90,7 +90,7 @@
 	if !exists {
 		cur = d.removed[c.Key]
 	}
-	return RowConflict{Key: c.Key, Base: c.Base, Current: cur.Version, Author: cur.Author, Deleted: !exists}
+	return RowConflict{Key: c.Key, BaseVersion: c.BaseVersion, CurrentVersion: cur.Version, Author: cur.Author, Deleted: !exists}
 }
 
 func (d *draft) change(c Change, author string) {
--- a/process/release/notice.go
+++ b/process/release/notice.go
@@ -23,7 +23,7 @@
 
 // prepared starts a notice in this host's domain for a release that came from
 // the platform or from another domain. One from this domain has its root there.
-func (s *Spread) prepared(h *Held) {
+func (s *Distributor) prepared(h *PreparedRelease) {
 	s.mu.Lock()
 	near := s.pullingNear[h.Number]
 	s.mu.Unlock()
@@ -37,7 +37,7 @@
 // onNotice fetches the release if it is new here and passes the notice on. The
 // notice is passed on also when the release is known: the tree of another root
 // may have lost a host half-way.
-func (s *Spread) onNotice(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
+func (s *Distributor) onNotice(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var n notice
 	if err := msgpack.Unmarshal(payload, &n); err != nil {
 		return nil, fmt.Errorf("decode notice: %w", err)
@@ -47,8 +47,8 @@
 	return msgpack.Marshal(&summary{Number: number, Hash: hash, Platform: s.platformAge()})
 }
 
-func (s *Spread) take(ctx context.Context, from peer.Identity, n notice) {
-	if s.f.Wants(n.Number, n.Hash, from.Host) && s.pullFromAny(ctx, from, n) != nil {
+func (s *Distributor) take(ctx context.Context, from peer.Identity, n notice) {
+	if s.f.Needs(n.Number, n.Hash, from.Host) && s.pullFromAny(ctx, from, n) != nil {
 		return // comparing with peers mends it
 	}
 	s.forward(ctx, n)
@@ -57,7 +57,7 @@
 // pullFromAny tries the sender, the root and then random hosts of the domain. A
 // host that gave up at the first lost connection would leave all hosts behind it
 // in the tree to find out by comparing, which takes seconds.
-func (s *Spread) pullFromAny(ctx context.Context, from peer.Identity, n notice) error {
+func (s *Distributor) pullFromAny(ctx context.Context, from peer.Identity, n notice) error {
 	root := from
 	root.Host = n.Root
 	sources := []peer.Identity{from, root}
@@ -75,7 +75,7 @@
 			return err
 		}
 		err = s.pull(ctx, sources[0], n.Number)
-		if err == nil || !s.f.Wants(n.Number, n.Hash, from.Host) {
+		if err == nil || !s.f.Needs(n.Number, n.Hash, from.Host) {
 			return err
 		}
 		sources, failures = sources[1:], failures+1
@@ -83,7 +83,7 @@
 	return err
 }
 
-func (s *Spread) shuffle(peers []peer.Identity) {
+func (s *Distributor) shuffle(peers []peer.Identity) {
 	for i := len(peers) - 1; i > 0; i-- {
 		j := s.f.opts.Rand.IntN(i + 1)
 		peers[i], peers[j] = peers[j], peers[i]
@@ -91,7 +91,7 @@
 }
 
 // forward notifies this host's children in the tree of the notice's root, once.
-func (s *Spread) forward(ctx context.Context, n notice) {
+func (s *Distributor) forward(ctx context.Context, n notice) {
 	s.mu.Lock()
 	seen := s.sent[n.Root] >= n.Number
 	if !seen {
@@ -116,7 +116,7 @@
 // notify tells the children of the host at position i. Those of a child that
 // does not answer are told directly: a host that died must not cut off the
 // hosts behind it.
-func (s *Spread) notify(ctx context.Context, hosts []string, i int, n notice) {
+func (s *Distributor) notify(ctx context.Context, hosts []string, i int, n notice) {
 	var g errgroup.Group
 	for child := fanout*i + 1; child <= fanout*i+fanout && child < len(hosts); child++ {
 		g.Go(func() error {
@@ -135,7 +135,7 @@
 // tree lays out the hosts of this domain: root first, the others by rank, so
 // that all hosts with the same view agree on it. Suspected hosts are in it: most
 // are merely slow, and one that is dead is passed over.
-func (s *Spread) tree(root string) []string {
+func (s *Distributor) tree(root string) []string {
 	hosts := []string{root}
 	for _, h := range s.ranked(member.Suspect) {
 		if h != root {
--- a/process/release/publish.go
+++ b/process/release/publish.go
@@ -23,7 +23,7 @@
 	Clock    clock.Clock
 	Rand     clock.Rand
 	// Attempts bounds the conditional updates tried for one change set.
-	Attempts int
+	MaxAttempts int
 }
 
 const (
@@ -108,7 +108,7 @@
 			return base{}, errors.Join(err, last)
 		}
 		b, err := p.read(ctx)
-		if err == nil || errors.Is(err, ErrBehind) {
+		if err == nil || errors.Is(err, ErrPlatformBehind) {
 			return b, err
 		}
 		last = err
@@ -117,8 +117,8 @@
 }
 
 func (p *Publisher) attempts() int {
-	if p.Attempts > 0 {
-		return p.Attempts
+	if p.MaxAttempts > 0 {
+		return p.MaxAttempts
 	}
 	return defaultAttempts
 }
@@ -160,7 +160,7 @@
 			continue
 		}
 		accepted, err := find(ctx, p.store(), head, ref.Number)
-		if errors.Is(err, ErrNotKept) {
+		if errors.Is(err, ErrNotRetained) {
 			return fmt.Errorf("%w: %w", cause, err)
 		}
 		if err != nil {
--- a/process/release/publish_test.go
+++ b/process/release/publish_test.go
@@ -38,11 +38,11 @@
 
 func put(author, key, text string, base uint64) ChangeSet {
 	data, _ := json.Marshal(text)
-	return ChangeSet{Author: author, Changes: []Change{{Key: key, Data: data, Base: base}}}
+	return ChangeSet{Author: author, Changes: []Change{{Key: key, Data: data, BaseVersion: base}}}
 }
 
 func remove(author, key string, base uint64) ChangeSet {
-	return ChangeSet{Author: author, Changes: []Change{{Key: key, Delete: true, Base: base}}}
+	return ChangeSet{Author: author, Changes: []Change{{Key: key, Delete: true, BaseVersion: base}}}
 }
 
 func must(g *WithT) func(Release, error) Release {
@@ -179,7 +179,7 @@
 			continue
 		}
 		g.Expect(errors.As(err, &conflict)).To(BeTrue(), fmt.Sprint(err))
-		g.Expect(conflict.Rows).To(Equal([]RowConflict{{Key: "pools/a", Base: 1, Current: row.Version, Author: row.Author}}))
+		g.Expect(conflict.Rows).To(Equal([]RowConflict{{Key: "pools/a", BaseVersion: 1, CurrentVersion: row.Version, Author: row.Author}}))
 	}
 	g.Expect(won).To(Equal(1))
 }
@@ -303,11 +303,11 @@
 	must(g)(publisher(objects, 1).Apply(ctx, set))
 	head, _, err := readHead(ctx, objects)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(len(head.Parts)).To(BeNumerically(">", 2))
+	g.Expect(len(head.PartKeys)).To(BeNumerically(">", 2))
 	g.Expect(must(g)(objects2head(ctx, objects)).Rows).To(HaveLen(5))
 
 	dead := publisher(&dying{Store: objects, key: HeadKey}, 1)
-	dead.Attempts = 2
+	dead.MaxAttempts = 2
 	_, err = dead.Apply(ctx, put("ada", "pools/0", "small", 1))
 	g.Expect(err).To(HaveOccurred())
 	g.Expect(must(g)(objects2head(ctx, objects)).Number).To(BeEquivalentTo(1))
@@ -344,10 +344,10 @@
 	}
 	back := must(g)(p.Rollback(ctx, 3, "bo"))
 	g.Expect(back.Number).To(BeEquivalentTo(n + 1))
-	old := must(g)(p.At(ctx, 3))
+	old := must(g)(p.ByNumber(ctx, 3))
 	g.Expect(back.Hash).To(Equal(old.Hash))
 	_, err = p.Rollback(ctx, 4711, "bo")
-	g.Expect(err).To(MatchError(ErrNotKept))
+	g.Expect(err).To(MatchError(ErrNotRetained))
 }
 
 // Objects of writers that lost a race or died go when the release of their
@@ -376,10 +376,10 @@
 	must(g)(p.Apply(ctx, put("ada", "pools/a", "old", 0)))
 	inForce := Release{Number: 5, Rows: []Row{{Key: "pools/a", Data: []byte(`"new"`), Version: 5}}}
 	inForce.Hash = HashRows(inForce.Rows)
-	g.Expect(raiseFloor(ctx, objects, Floor{Number: 5, Hash: inForce.Hash, Host: "e1"})).To(Succeed())
+	g.Expect(raiseFloor(ctx, objects, HighWaterMark{Number: 5, Hash: inForce.Hash, Host: "e1"})).To(Succeed())
 
 	_, err := p.Apply(ctx, put("bo", "pools/b", "1", 0))
-	g.Expect(err).To(MatchError(ErrBehind))
+	g.Expect(err).To(MatchError(ErrPlatformBehind))
 	rel := must(g)(p.Recover(ctx, inForce, "bo"))
 	g.Expect(rel.Number).To(BeEquivalentTo(6))
 	next := must(g)(p.Apply(ctx, put("bo", "pools/b", "1", 0)))
--- a/process/release/queue.go
+++ b/process/release/queue.go
@@ -104,7 +104,7 @@
 		return Release{}, false, objectapi.ErrConflict
 	}
 	b, err := q.p.complete(ctx, head, obj)
-	if errors.Is(err, ErrBehind) {
+	if errors.Is(err, ErrPlatformBehind) {
 		return q.withdraw(ctx, err)
 	}
 	if err != nil {
@@ -199,7 +199,7 @@
 				return nil, err
 			}
 		}
-		for _, id := range record.Sets {
+		for _, id := range record.ChangeSetIDs {
 			done[id] = ref.Number
 		}
 	}
--- a/process/release/release.go
+++ b/process/release/release.go
@@ -18,10 +18,10 @@
 
 // Keys on the platform.
 const (
-	HeadKey     = "bilberry/head"
-	FloorKey    = "bilberry/floor"
-	queuePrefix = "bilberry/queue/"
-	partPrefix  = "bilberry/releases/"
+	HeadKey          = "bilberry/head"
+	HighWaterMarkKey = "bilberry/floor"
+	queuePrefix      = "bilberry/queue/"
+	partPrefix       = "bilberry/releases/"
 	// maxPart leaves room below objectapi.MaxValue for the JSON around rows.
 	maxPart = 690 << 10
 )
@@ -36,10 +36,10 @@
 	// ErrCorrupt: content read back does not have the hash it was stored under.
 	ErrCorrupt = errors.New("release: content does not match its hash")
 	// ErrNotKept: the release is older than the history that is kept.
-	ErrNotKept = errors.New("release: no longer kept")
+	ErrNotRetained = errors.New("release: no longer kept")
 	// ErrBehind: entry hosts have a release in force that the platform does
 	// not know, so it was restored to an earlier state. See Publisher.Recover.
-	ErrBehind = errors.New("release: the platform is behind the entry hosts")
+	ErrPlatformBehind = errors.New("release: the platform is behind the entry hosts")
 	// ErrNoRelease: a host has started and found no release to serve.
 	ErrNoRelease = errors.New("release: neither the platform nor a peer has given one")
 	// ErrPending: the change set is still queued and may yet be accepted.
@@ -64,25 +64,25 @@
 	Note   string    `json:"note,omitempty"`
 	Time   time.Time `json:"time"`
 	// Previous is the hash of the release numbered one lower.
-	Previous string `json:"previous,omitempty"`
-	Rows     []Row  `json:"rows,omitempty"` // by key
+	PreviousHash string `json:"previous,omitempty"`
+	Rows         []Row  `json:"rows,omitempty"` // by key
 	// Removed holds key, version and author of the newest deletions, so that a
 	// conflict with a deletion names its author.
-	Removed []Row `json:"removed,omitempty"`
+	RecentDeletions []Row `json:"removed,omitempty"`
 }
 
 // Head is the value of the head object and of each release's record: the
 // release without rows, and what a writer needs to look back.
 type Head struct {
 	Release
-	Parts []string `json:"parts"`          // keys of the objects that hold the rows
-	Sets  []string `json:"sets,omitempty"` // change sets accepted by this release
+	PartKeys     []string `json:"parts"`          // keys of the objects that hold the rows
+	ChangeSetIDs []string `json:"sets,omitempty"` // change sets accepted by this release
 	// Delta leads from the release before to this one; nil when it is large.
 	Delta *Delta `json:"delta,omitempty"`
 	// Recent are the releases before this one, newest first, up to recentRefs.
 	Recent []Ref `json:"recent,omitempty"`
 	// Swept is the lowest number whose objects may still exist.
-	Swept uint64 `json:"swept,omitempty"`
+	FirstUncollected uint64 `json:"swept,omitempty"`
 }
 
 // Ref names one accepted release.
@@ -103,10 +103,10 @@
 // Change is one row as an operator wants it. Base is the row version that the
 // edit was made from (0: the row did not exist).
 type Change struct {
-	Key    string          `json:"key"`
-	Data   json.RawMessage `json:"data,omitempty"`
-	Delete bool            `json:"delete,omitempty"`
-	Base   uint64          `json:"base"`
+	Key         string          `json:"key"`
+	Data        json.RawMessage `json:"data,omitempty"`
+	Delete      bool            `json:"delete,omitempty"`
+	BaseVersion uint64          `json:"base"`
 }
 
 // ChangeSet is one operator's edit; it is accepted whole or refused whole.
--- a/process/release/role.go
+++ b/process/release/role.go
@@ -23,7 +23,7 @@
 )
 
 // live returns the other entry hosts whose state is not beyond worst.
-func (s *Spread) live(worst member.State) []peer.Identity {
+func (s *Distributor) live(worst member.State) []peer.Identity {
 	if s.opts.View == nil {
 		return s.opts.Link.Peers()
 	}
@@ -37,7 +37,7 @@
 }
 
 // near returns the live hosts of this domain without this one.
-func (s *Spread) near(worst member.State) []peer.Identity {
+func (s *Distributor) near(worst member.State) []peer.Identity {
 	var out []peer.Identity
 	for _, p := range s.live(worst) {
 		if p.Domain == s.opts.Link.Self().Domain {
@@ -50,7 +50,7 @@
 // ranked returns the live hosts of this domain, this one included, by
 // rendezvous hashing: all hosts agree on the order without asking each other,
 // and a host that comes or goes moves no other.
-func (s *Spread) ranked(worst member.State) []string {
+func (s *Distributor) ranked(worst member.State) []string {
 	self := s.opts.Link.Self()
 	hosts := []string{self.Host}
 	for _, p := range s.near(worst) {
@@ -67,7 +67,7 @@
 
 // keepRole watches the platform while this host is among the chosen of its
 // domain, or while the chosen ones are silent.
-func (s *Spread) keepRole(ctx context.Context) error {
+func (s *Distributor) keepRole(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	changed := make(chan struct{}, 1)
 	if s.opts.View != nil {
@@ -105,7 +105,7 @@
 }
 
 // shouldWatch reports whether this host is to watch the platform.
-func (s *Spread) shouldWatch(ctx context.Context, watching bool) bool {
+func (s *Distributor) shouldWatch(ctx context.Context, watching bool) bool {
 	hosts := s.ranked(member.Alive)
 	for i, h := range hosts {
 		if h == s.opts.Link.Self().Host && i < s.opts.Watchers {
@@ -126,16 +126,16 @@
 
 // heardLately reports whether some other host of the domain has reached the
 // platform lately, by what peers tell.
-func (s *Spread) heardLately() bool {
+func (s *Distributor) heardLately() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return !s.heardOf.IsZero() && s.f.opts.Clock.Now().Sub(s.heardOf) < s.opts.Silence
+	return !s.heardOf.IsZero() && s.f.opts.Clock.Now().Sub(s.heardOf) < s.opts.WatcherTimeout
 }
 
 // compare asks one random peer in each period what it has.
-func (s *Spread) compare(ctx context.Context) error {
+func (s *Distributor) compare(ctx context.Context) error {
 	for {
-		wait := time.Duration((0.75 + 0.5*s.f.opts.Rand.Float64()) * float64(s.opts.Poll))
+		wait := time.Duration((0.75 + 0.5*s.f.opts.Rand.Float64()) * float64(s.opts.SyncInterval))
 		if s.cutOff() {
 			wait /= 2
 		}
@@ -152,7 +152,7 @@
 
 // partner draws the peer to compare with: mostly one of this domain, now and
 // then one of another, and every second time when the platform is out of reach.
-func (s *Spread) partner() (peer.Identity, bool) {
+func (s *Distributor) partner() (peer.Identity, bool) {
 	var near, far []peer.Identity
 	for _, p := range s.live(member.Alive) {
 		if p.Domain == s.opts.Link.Self().Domain {
@@ -176,7 +176,7 @@
 }
 
 // ask compares with one peer and fetches what it has more.
-func (s *Spread) ask(ctx context.Context, p peer.Identity) error {
+func (s *Distributor) ask(ctx context.Context, p peer.Identity) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var a summary
@@ -186,13 +186,13 @@
 	}
 	s.measured(p.Host, s.f.opts.Clock.Now().Sub(asked))
 	s.notePlatform(p, &a)
-	if s.f.Wants(a.Number, a.Hash, p.Host) {
+	if s.f.Needs(a.Number, a.Hash, p.Host) {
 		return s.pull(ctx, p, a.Number)
 	}
 	return nil
 }
 
-func (s *Spread) heardPlatform(age time.Duration) {
+func (s *Distributor) heardPlatform(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if at := s.f.opts.Clock.Now().Add(-age); at.After(s.heardOf) {
@@ -202,7 +202,7 @@
 
 // join asks the platform once and the peers, first those of this domain, which
 // release they have.
-func (s *Spread) join(ctx context.Context) error {
+func (s *Distributor) join(ctx context.Context) error {
 	defer s.joined.Store(true)
 	defer s.f.open()
 	callCtx, cancel := context.WithTimeout(ctx, joinTimeout)
@@ -232,9 +232,9 @@
 
 // expectPeers returns the peers to ask: those of this domain, or all others if
 // there are none.
-func (s *Spread) expectPeers(ctx context.Context) []peer.Identity {
+func (s *Distributor) expectPeers(ctx context.Context) []peer.Identity {
 	for range 20 {
-		if len(s.opts.Link.Peers()) > 0 || !s.opts.ExpectPeers {
+		if len(s.opts.Link.Peers()) > 0 || !s.opts.PeersConfigured {
 			break
 		}
 		select {
--- a/process/release/spread.go
+++ b/process/release/spread.go
@@ -15,26 +15,26 @@
 )
 
 // SpreadOptions configure a Spread; zero values get defaults.
-type SpreadOptions struct {
+type DistributorOptions struct {
 	Follower *Follower
 	Link     peer.Link   // nil: the host runs alone
 	View     member.View // nil: every peer of the link counts as live
 	// Watchers is how many hosts of a domain watch the platform; default 2.
 	Watchers int
 	// Poll is the period in which a host compares with one peer; default 2 s.
-	Poll time.Duration
+	SyncInterval time.Duration
 	// Silence is how old the newest news of the platform may get before hosts
 	// other than the chosen ones try the platform; default 20 s.
-	Silence time.Duration
+	WatcherTimeout time.Duration
 	// ExpectPeers says that peers are configured, so that a host which starts
 	// waits a moment for the link to know them.
-	ExpectPeers bool
+	PeersConfigured bool
 }
 
 // Defaults of SpreadOptions.
 const (
-	DefaultWatchers = 2
-	DefaultPoll     = 2 * time.Second
+	DefaultWatchers     = 2
+	DefaultSyncInterval = 2 * time.Second
 )
 
 const (
@@ -51,8 +51,8 @@
 // watch the platform, the others hear of a release from them and fetch the rows
 // that changed, and every host compares with a peer now and then, which mends
 // whatever was lost on the way.
-type Spread struct {
-	opts     SpreadOptions
+type Distributor struct {
+	opts     DistributorOptions
 	f        *Follower
 	joined   atomic.Bool
 	watching atomic.Bool                     // this host watches the platform
@@ -67,17 +67,17 @@
 }
 
 // NewSpread registers the peer methods; it is called before the link starts.
-func NewSpread(opts SpreadOptions) *Spread {
+func NewDistributor(opts DistributorOptions) *Distributor {
 	if opts.Watchers <= 0 {
 		opts.Watchers = DefaultWatchers
 	}
-	if opts.Poll <= 0 {
-		opts.Poll = DefaultPoll
+	if opts.SyncInterval <= 0 {
+		opts.SyncInterval = DefaultSyncInterval
 	}
-	if opts.Silence <= 0 {
-		opts.Silence = defaultSilence
+	if opts.WatcherTimeout <= 0 {
+		opts.WatcherTimeout = defaultSilence
 	}
-	s := &Spread{opts: opts, f: opts.Follower, sent: map[string]uint64{}, pulling: map[uint64]chan struct{}{}, pullingNear: map[uint64]bool{}, trips: map[string]roundTrip{}}
+	s := &Distributor{opts: opts, f: opts.Follower, sent: map[string]uint64{}, pulling: map[uint64]chan struct{}{}, pullingNear: map[uint64]bool{}, trips: map[string]roundTrip{}}
 	if opts.Link == nil {
 		return s
 	}
@@ -90,11 +90,11 @@
 }
 
 // Run follows releases until ctx ends.
-func (s *Spread) Run(ctx context.Context) error {
+func (s *Distributor) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	s.ctx.Store(&ctx)
 	s.heardPlatform(0) // the chosen watchers get the time of Silence to be heard of
-	g.Go(func() error { return s.f.Switch(ctx) })
+	g.Go(func() error { return s.f.RunActivation(ctx) })
 	if s.opts.Link == nil {
 		s.joined.Store(true)
 		g.Go(func() error { return s.f.Watch(ctx) })
@@ -110,28 +110,28 @@
 // started. Until then it may know less than its callers have seen already: a
 // host that restarts while the platform is down or behind must not serve an
 // earlier release than it did before.
-func (s *Spread) Joined() bool { return s.joined.Load() }
+func (s *Distributor) Joined() bool { return s.joined.Load() }
 
 // Summary returns number and hash of the newest release here, for heartbeats.
-func (s *Spread) Summary() (number uint64, hash string) { return s.f.Summary() }
+func (s *Distributor) Summary() (number uint64, hash string) { return s.f.Summary() }
 
 // Heard takes what a peer says it has, from a heartbeat or an answer. It returns
 // at once; a newer release is fetched in the background.
-func (s *Spread) Heard(from peer.Identity, number uint64, hash string) {
-	if !s.f.Wants(number, hash, from.Host) {
+func (s *Distributor) ObservePeerRelease(from peer.Identity, number uint64, hash string) {
+	if !s.f.Needs(number, hash, from.Host) {
 		return
 	}
 	s.background(func(ctx context.Context) { _ = s.pull(ctx, from, number) })
 }
 
-func (s *Spread) background(f func(context.Context)) {
+func (s *Distributor) background(f func(context.Context)) {
 	if ctx := s.ctx.Load(); ctx != nil && (*ctx).Err() == nil {
 		go f(*ctx)
 	}
 }
 
 // pull fetches the newest release of from. One pull of a number runs at a time.
-func (s *Spread) pull(ctx context.Context, from peer.Identity, number uint64) error {
+func (s *Distributor) pull(ctx context.Context, from peer.Identity, number uint64) error {
 	s.mu.Lock()
 	if other, busy := s.pulling[number]; busy {
 		s.mu.Unlock()
@@ -160,12 +160,12 @@
 		return err
 	}
 	if have, _ := s.f.Summary(); have < number {
-		return fmt.Errorf("%w: %s does not have release %d", ErrNotKept, from.Host, number)
+		return fmt.Errorf("%w: %s does not have release %d", ErrNotRetained, from.Host, number)
 	}
 	return nil
 }
 
-func (s *Spread) fetch(ctx context.Context, host string) error {
+func (s *Distributor) fetch(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	base := s.f.Newest()
@@ -196,7 +196,7 @@
 // measured takes the time of one call to host and returns the estimate of a
 // message's way. The smoothed lowest time counts and not this one: on a loaded
 // host a call waits for a processor, and its half would switch the host early.
-func (s *Spread) measured(host string, d time.Duration) time.Duration {
+func (s *Distributor) measured(host string, d time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.trips) >= tripsKept {
@@ -208,14 +208,14 @@
 	return min(trip.oneWay(), d/2)
 }
 
-func (s *Spread) onFetch(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
+func (s *Distributor) onFetch(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var ask fetch
 	if err := msgpack.Unmarshal(payload, &ask); err != nil {
 		return nil, fmt.Errorf("decode fetch: %w", err)
 	}
 	held := s.f.Newest()
 	if held == nil {
-		return nil, ErrNotKept
+		return nil, ErrNotRetained
 	}
 	asked := s.f.opts.Clock.Now()
 	t, err := newTransfer(held, s.f.remembered(ask.Number, ask.Hash))
@@ -223,17 +223,17 @@
 		return nil, err
 	}
 	now := s.f.opts.Clock.Now()
-	t.Age, t.Spent = now.Sub(held.Origin).Microseconds(), now.Sub(asked).Microseconds()
+	t.Age, t.Spent = now.Sub(held.AcceptedAt).Microseconds(), now.Sub(asked).Microseconds()
 	return msgpack.Marshal(&t)
 }
 
-func (s *Spread) onSummary(context.Context, peer.Identity, []byte) ([]byte, error) {
+func (s *Distributor) onSummary(context.Context, peer.Identity, []byte) ([]byte, error) {
 	number, hash := s.f.Summary()
 	return msgpack.Marshal(&summary{Number: number, Hash: hash, Platform: s.platformAge()})
 }
 
 // HeartbeatPart returns what a heartbeat says of this host's releases.
-func (s *Spread) HeartbeatPart() []byte {
+func (s *Distributor) HeartbeatPayload() []byte {
 	data, err := s.onSummary(context.Background(), peer.Identity{}, nil)
 	if err != nil {
 		return nil // comparing with peers goes on without
@@ -242,18 +242,18 @@
 }
 
 // OnHeartbeatPart takes what HeartbeatPart returned at from. It returns at once.
-func (s *Spread) OnHeartbeatPart(from peer.Identity, data []byte) {
+func (s *Distributor) OnHeartbeatPayload(from peer.Identity, data []byte) {
 	var a summary
 	if msgpack.Unmarshal(data, &a) != nil {
 		return
 	}
 	s.notePlatform(from, &a)
-	s.Heard(from, a.Number, a.Hash)
+	s.ObservePeerRelease(from, a.Number, a.Hash)
 }
 
 // notePlatform records how the peer stands with the platform: watchers of a domain
 // speak for all of it.
-func (s *Spread) notePlatform(from peer.Identity, a *summary) {
+func (s *Distributor) notePlatform(from peer.Identity, a *summary) {
 	if a.Platform >= 0 && from.Domain == s.opts.Link.Self().Domain {
 		s.heardPlatform(time.Duration(a.Platform) * time.Millisecond)
 	}
@@ -261,7 +261,7 @@
 
 // platformAge is the age of the newest news of the platform in this domain in
 // milliseconds; below 0: none.
-func (s *Spread) platformAge() int64 {
+func (s *Distributor) platformAge() int64 {
 	s.mu.Lock()
 	at := s.heardOf
 	s.mu.Unlock()
@@ -275,10 +275,10 @@
 }
 
 // cutOff reports whether peers are this host's only source of releases now.
-func (s *Spread) cutOff() bool {
+func (s *Distributor) cutOff() bool {
 	if s.watching.Load() && s.f.platformAnsweredAt().IsZero() {
 		return true
 	}
 	age := s.platformAge()
-	return age < 0 || age >= s.opts.Silence.Milliseconds()
+	return age < 0 || age >= s.opts.WatcherTimeout.Milliseconds()
 }
--- a/process/release/spread_bench_test.go
+++ b/process/release/spread_bench_test.go
@@ -91,7 +91,7 @@
 	set := ChangeSet{Author: "ada"}
 	for _, c := range largeTables(serial) {
 		row, _ := head.Row(c.Key)
-		c.Base = row.Version
+		c.BaseVersion = row.Version
 		set.Changes = append(set.Changes, c)
 	}
 	return must(fl.g)(p.Apply(context.Background(), set)), store.at
@@ -110,8 +110,8 @@
 
 func benchFleet(b *testing.B, n int, hold time.Duration) *fleet {
 	fl := newFleet(NewWithT(b))
-	fl.delay, fl.poll, fl.silence = regions, DefaultPoll, defaultSilence
-	fl.opts = FollowerOptions{Hold: hold}
+	fl.delay, fl.poll, fl.silence = regions, DefaultSyncInterval, defaultSilence
+	fl.opts = FollowerOptions{ActivationDelay: hold}
 	fl.start(b, domains, n/domains)
 	rel, _ := fl.change(0)
 	fl.inForce(rel)
@@ -190,7 +190,7 @@
 func BenchmarkHeal(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			fl := benchFleet(b, n, DefaultHold)
+			fl := benchFleet(b, n, DefaultActivationDelay)
 			var all [][]time.Duration
 			for i := range b.N {
 				for _, h := range fl.hosts {
@@ -217,7 +217,7 @@
 func BenchmarkCutDomain(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			fl := benchFleet(b, n, DefaultHold)
+			fl := benchFleet(b, n, DefaultActivationDelay)
 			for _, h := range fl.domain("d1") {
 				h.line.cut()
 			}
@@ -243,7 +243,7 @@
 func BenchmarkKilledWatcher(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			fl := benchFleet(b, n, DefaultHold)
+			fl := benchFleet(b, n, DefaultActivationDelay)
 			var all [][]time.Duration
 			for i := range b.N {
 				name := fl.domain("d0")[0].s.ranked(member.Alive)[0]
@@ -268,7 +268,7 @@
 	const period = 10 * time.Second
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			fl := benchFleet(b, n, DefaultHold)
+			fl := benchFleet(b, n, DefaultActivationDelay)
 			calls0, bytes0, most0 := fl.traffic()
 			cpu0 := processorTime()
 			for range b.N {
@@ -297,8 +297,8 @@
 		rel.Hash = HashRows(rel.Rows)
 		return rel
 	}
-	base, next := &Held{Release: rows(0, 1)}, &Held{Release: rows(15, 2)}
-	for _, from := range []*Held{nil, base} {
+	base, next := &PreparedRelease{Release: rows(0, 1)}, &PreparedRelease{Release: rows(15, 2)}
+	for _, from := range []*PreparedRelease{nil, base} {
 		name := "whole"
 		if from != nil {
 			name = "changed"
@@ -321,7 +321,7 @@
 	}
 }
 
-func diffRowsFrom(base, next *Held) Delta {
+func diffRowsFrom(base, next *PreparedRelease) Delta {
 	if base == nil {
 		return Delta{Changed: next.Rows}
 	}
--- a/process/release/spread_test.go
+++ b/process/release/spread_test.go
@@ -187,7 +187,7 @@
 	alone := newFleet(g)
 	alone.objects.SetFaults(standin.Faults{Down: true})
 	h := alone.host(t, "d0-0", "d0", newLine(alone.objects))
-	g.Eventually(h.f.LastError, 5*time.Second).Should(MatchError(ErrNoRelease))
+	g.Eventually(h.f.Err, 5*time.Second).Should(MatchError(ErrNoRelease))
 	_, ok := h.f.Current()
 	g.Expect(ok).To(BeFalse())
 }
@@ -206,17 +206,17 @@
 	fl.objects.Restore(early)
 
 	watcher := fl.hosts[fl.hosts["d0-0"].s.ranked(member.Alive)[0]]
-	g.Eventually(watcher.f.LastError, 5*time.Second).Should(MatchError(ErrBehind))
+	g.Eventually(watcher.f.Err, 5*time.Second).Should(MatchError(ErrPlatformBehind))
 	p := publisher(fl.objects, 1)
 	g.Eventually(func() error {
 		_, err := p.Apply(context.Background(), put("bo", "pools/b", "1", 0))
 		return err
-	}, 5*time.Second).Should(MatchError(ErrBehind))
+	}, 5*time.Second).Should(MatchError(ErrPlatformBehind))
 	kept, _ := watcher.f.Current()
 	g.Expect(kept.Hash).To(Equal(newest.Hash))
 	rel := must(g)(p.Recover(context.Background(), kept, "bo"))
 	fl.inForce(rel)
-	g.Expect(watcher.f.LastError()).NotTo(HaveOccurred())
+	g.Expect(watcher.f.Err()).NotTo(HaveOccurred())
 }
 
 // A peer offers another content under the number in force, which a restored
@@ -229,12 +229,12 @@
 	first := fl.publish("pools/a", "0")
 	fl.inForce(first)
 	h := fl.hosts["d0-0"]
-	h.s.Heard(peer.Identity{Host: "x"}, first.Number, "other")
-	g.Expect(h.f.LastError()).To(MatchError(ContainSubstring("with hash other")))
+	h.s.ObservePeerRelease(peer.Identity{Host: "x"}, first.Number, "other")
+	g.Expect(h.f.Err()).To(MatchError(ContainSubstring("with hash other")))
 	cur, _ := h.f.Current()
 	g.Expect(cur.Hash).To(Equal(first.Hash))
 	fl.inForce(fl.publish("pools/a", "1"))
-	g.Expect(h.f.LastError()).NotTo(HaveOccurred())
+	g.Expect(h.f.Err()).NotTo(HaveOccurred())
 }
 
 // A change of one row in large tables costs a peer the row, not the tables; a
@@ -245,18 +245,18 @@
 	next := Release{Number: 2, Rows: append([]Row(nil), base.Rows...)}
 	next.Rows[7].Data, next.Rows[7].Version = []byte(`"changed"`), 2
 	next.Hash = HashRows(next.Rows)
-	delta, err := newTransfer(&Held{Release: next}, &Held{Release: base})
+	delta, err := newTransfer(&PreparedRelease{Release: next}, &PreparedRelease{Release: base})
 	g.Expect(err).NotTo(HaveOccurred())
-	whole, err := newTransfer(&Held{Release: next}, nil)
+	whole, err := newTransfer(&PreparedRelease{Release: next}, nil)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(delta.Rows)).To(BeNumerically("<", len(whole.Rows)/20))
 	for _, tr := range []transfer{delta, whole} {
-		rel, err := tr.release(&Held{Release: base})
+		rel, err := tr.release(&PreparedRelease{Release: base})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(rel.Verify()).To(Succeed())
 	}
 	other := tables(199, 1)
-	rel, err := delta.release(&Held{Release: other})
+	rel, err := delta.release(&PreparedRelease{Release: other})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rel.Verify()).To(MatchError(ErrCorrupt))
 }
--- a/process/release/status.go
+++ b/process/release/status.go
@@ -14,15 +14,15 @@
 	PlatformHead uint64 `json:"platform_head"`
 	// PlatformHeard is when the platform was last heard, through this host or,
 	// as far as peers tell, another of its domain.
-	PlatformHeard time.Time `json:"platform_heard,omitzero"`
-	Faults        []string  `json:"faults,omitempty"`
+	PlatformLastResponse time.Time `json:"platform_heard,omitzero"`
+	Faults               []string  `json:"faults,omitempty"`
 }
 
 // Status returns the present state.
-func (s *Spread) Status() Status {
+func (s *Distributor) Status() Status {
 	out := Status{Joined: s.Joined(), Watching: s.watching.Load()}
 	if age := s.platformAge(); age >= 0 {
-		out.PlatformHeard = s.f.opts.Clock.Now().Add(-time.Duration(age) * time.Millisecond)
+		out.PlatformLastResponse = s.f.opts.Clock.Now().Add(-time.Duration(age) * time.Millisecond)
 	}
 	f := s.f
 	f.mu.Lock()
--- a/process/release/watch.go
+++ b/process/release/watch.go
@@ -72,7 +72,7 @@
 func (f *Follower) watchHead(ctx context.Context, seen *atomic.Uint64) error {
 	failures := 0
 	for ctx.Err() == nil {
-		objs, err := f.opts.Store.Watch(ctx, HeadKey, seen.Load(), f.opts.WatchWait)
+		objs, err := f.opts.Store.Watch(ctx, HeadKey, seen.Load(), f.opts.WatchTimeout)
 		if err == nil {
 			f.platformAnswered()
 			err = f.takeHeads(ctx, objs, seen)
@@ -115,7 +115,7 @@
 func (f *Follower) checkHead(ctx context.Context, seen *atomic.Uint64) error {
 	for n := 1; ; n++ {
 		// Jitter keeps the hosts from reading in step after an outage.
-		wait := time.Duration((0.75 + 0.5*f.opts.Rand.Float64()) * float64(f.opts.CheckEvery))
+		wait := time.Duration((0.75 + 0.5*f.opts.Rand.Float64()) * float64(f.opts.PollInterval))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -154,7 +154,7 @@
 // takeHead fetches the release of head if this host lacks it.
 func (f *Follower) takeHead(ctx context.Context, head Head) error {
 	f.compareHead(ctx, head)
-	if !f.Wants(head.Number, head.Hash, "the platform") {
+	if !f.Needs(head.Number, head.Hash, "the platform") {
 		return nil
 	}
 	f.mu.Lock()
@@ -184,12 +184,12 @@
 	if head.Number >= number {
 		f.clearFault(faultBehind)
 	} else {
-		f.setFault(faultBehind, fmt.Errorf("%w: its head is release %d, here release %d is in force", ErrBehind, head.Number, number))
+		f.setFault(faultBehind, fmt.Errorf("%w: its head is release %d, here release %d is in force", ErrPlatformBehind, head.Number, number))
 	}
 	if head.Number > number || number == 0 || (head.Number == number && head.Hash == hash) {
 		return
 	}
-	err := raiseFloor(ctx, f.opts.Store, Floor{Number: number, Hash: hash, Host: f.opts.Host})
+	err := raiseFloor(ctx, f.opts.Store, HighWaterMark{Number: number, Hash: hash, Host: f.opts.Host})
 	if err != nil && !errors.Is(err, objectapi.ErrConflict) {
 		f.setFault(faultPlatform, err)
 	}
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -87,7 +87,7 @@
 
 // pack encodes d compressed: rows are JSON that repeats field names.
 func pack(d Delta) ([]byte, error) {
-	body := rowsBody{Gone: d.Gone}
+	body := rowsBody{Gone: d.Deleted}
 	for _, r := range d.Changed {
 		body.Changed = append(body.Changed, wireRow{Key: r.Key, Data: r.Data, Version: r.Version, Author: r.Author})
 	}
@@ -112,7 +112,7 @@
 	if err := msgpack.NewDecoder(io.LimitReader(r, maxBody)).Decode(&body); err != nil {
 		return Delta{}, fmt.Errorf("unpack rows: %w", err)
 	}
-	d := Delta{Gone: body.Gone}
+	d := Delta{Deleted: body.Gone}
 	for _, r := range body.Changed {
 		d.Changed = append(d.Changed, Row{Key: r.Key, Data: r.Data, Version: r.Version, Author: r.Author})
 	}
@@ -120,9 +120,9 @@
 }
 
 // newTransfer makes the answer to a peer that has base (nil: nothing known).
-func newTransfer(rel *Held, base *Held) (transfer, error) {
+func newTransfer(rel *PreparedRelease, base *PreparedRelease) (transfer, error) {
 	t := transfer{
-		Number: rel.Number, ID: rel.ID, Hash: rel.Hash, Previous: rel.Previous, Author: rel.Author, Note: rel.Note,
+		Number: rel.Number, ID: rel.ID, Hash: rel.Hash, Previous: rel.PreviousHash, Author: rel.Author, Note: rel.Note,
 		Time: rel.Time.UnixMilli(),
 	}
 	d := Delta{Changed: rel.Rows}
@@ -136,13 +136,13 @@
 
 // release builds the release that t carries. The caller's Offer checks it
 // against its hash, so that a wrong base is found and not put in force.
-func (t transfer) release(base *Held) (Release, error) {
+func (t transfer) release(base *PreparedRelease) (Release, error) {
 	d, err := unpack(t.Rows)
 	if err != nil {
 		return Release{}, err
 	}
 	rel := Release{
-		Number: t.Number, ID: t.ID, Hash: t.Hash, Previous: t.Previous, Author: t.Author, Note: t.Note,
+		Number: t.Number, ID: t.ID, Hash: t.Hash, PreviousHash: t.Previous, Author: t.Author, Note: t.Note,
 		Time: time.UnixMilli(t.Time),
 	}
 	var rows []Row
