--- a/process/stages/admission_test.go
+++ b/process/stages/admission_test.go
@@ -10,15 +10,15 @@
 	"bilberrydale/process/batcher"
 )
 
-// sheet is a service like those of today: five servers, calls of 240 ms and 15
-// ms an item, of at most 14, which makes 155 items a second.
+// newTestService returns a service of five servers with calls of 240 ms plus 15 ms per item,
+// of at most 14 items, which makes 155 items per second.
 func newTestService() Service {
 	o := batcher.Options{MaxItems: 14, CallTime: 240 * time.Millisecond, ItemTime: 15 * time.Millisecond}
 	return Service{Options: o, Capacity: batcher.Capacity{ListedServers: 5, AvailableServers: 5, ItemsPerSecond: 155}}
 }
 
-// line is an admission with simulated time in which begun requests take as long
-// as the service needs for them, one after the other.
+// admissionSim runs an Admission in simulated time. The service finishes the items of started
+// requests in order, at its rate.
 type admissionSim struct {
 	g           *WithT
 	a           *Admission
@@ -26,7 +26,7 @@
 	started     []string
 	rejected    map[string]batcher.Reason
 	startedLate map[string]bool
-	inFlight    []bool // late or not, an item each, in the order of their begin
+	inFlight    []bool // one entry per item in the order of their start; true if late
 }
 
 func newAdmissionSim(t *testing.T, services map[string]Service) *admissionSim {
@@ -35,10 +35,10 @@
 	return l
 }
 
-func (l *admissionSim) enqueue(id string, worth float64, items int, aim, die time.Duration) {
+func (l *admissionSim) enqueue(id string, worth float64, items int, targetLatency, timeout time.Duration) {
 	r := &Request{
 		ID: id, Worth: worth, Stages: []Stage{{Service: "s", Items: items}},
-		TargetTime: l.now.Add(aim), Deadline: l.now.Add(die),
+		TargetTime: l.now.Add(targetLatency), Deadline: l.now.Add(timeout),
 	}
 	t := &Ticket{Request: r}
 	t.Start = func() {
@@ -52,11 +52,11 @@
 	l.a.Enqueue(t)
 }
 
-// pass lets the service finish items at its rate for d.
+// advance lets the service finish items at its rate for d.
 func (l *admissionSim) advance(d time.Duration) {
 	const step = 20 * time.Millisecond
 	for end := l.now.Add(d); l.now.Before(end); l.now = l.now.Add(step) {
-		for range min(3, len(l.inFlight)) { // 150 a second
+		for range min(3, len(l.inFlight)) { // 150 per second
 			l.a.StageFinished(Stage{Service: "s", Items: 1}, l.inFlight[0])
 			l.inFlight = l.inFlight[1:]
 		}
@@ -64,16 +64,16 @@
 	}
 }
 
-// Requests of more worth for their work come while the service is full. They
-// are begun before those that came earlier but are worth less.
-func TestWorthForWorkDecidesWhoIsBegun(t *testing.T) {
+// Requests of more worth per unit of work arrive while the service is full. They must start
+// before earlier requests of less worth.
+func TestRequestsOfMoreWorthPerSecondStartFirst(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	for i := range 60 {
 		l.enqueue(fmt.Sprintf("low-%d", i), 1, 4, 3*time.Second, 10*time.Second)
 	}
 	l.a.Schedule(l.now)
 	before := len(l.started)
-	l.g.Expect(before).To(BeNumerically("<", 60), "not all at once")
+	l.g.Expect(before).To(BeNumerically("<", 60), "capacity is limited")
 	for i := range 10 {
 		l.enqueue(fmt.Sprintf("high-%d", i), 5, 4, 3*time.Second, 10*time.Second)
 	}
@@ -83,10 +83,10 @@
 	}
 }
 
-// Twice the load that the service can make comes for four seconds. What is begun
-// in time stays in time, instead of all being late by a little; the rest is
-// served afterwards, since it is of use for longer.
-func TestOverloadMakesSomeLateAndNotAll(t *testing.T) {
+// Twice the service's capacity arrives for four seconds. Requests that start in time must
+// stay in time, instead of all being slightly late. The others are served afterwards, since
+// their deadline is later.
+func TestOverloadMakesOnlySomeRequestsLate(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	n := 0
 	for range 40 { // 75 requests of four items a second
@@ -104,12 +104,12 @@
 		}
 	}
 	l.g.Expect(onTime).To(BeNumerically(">", 130), "about half of %d", n)
-	l.g.Expect(len(l.started)).To(Equal(n), "nobody is turned away")
+	l.g.Expect(len(l.started)).To(Equal(n), "no request is rejected")
 }
 
-// The overload lasts. Requests of little worth get a share at their last chance,
-// so that they are not turned away for as long as it lasts.
-func TestLastChanceOfRequestsOfLittleWorth(t *testing.T) {
+// A lasting overload. Requests of little worth get the late reserve shortly before their
+// latest start time, so that they are not all rejected while the overload lasts.
+func TestLateReserveServesRequestsOfLittleWorth(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	for i := range 100 { // ten seconds
 		for k := range 6 {
@@ -127,11 +127,10 @@
 	l.g.Expect(served).To(BeNumerically(">=", 20), "of 100")
 }
 
-// The service has as much work as it may, and a burst of requests has its last
-// chance at one moment. They take the part that is kept for such, not more: begun
-// all at once none of them would end in time, and those that can be on time would
-// wait behind them.
-func TestLastChancesKeepToTheirPart(t *testing.T) {
+// The service is at its in-flight limit, and many late requests reach their latest start time
+// at once. They may use the late reserve and no more: started all at once, none of them would
+// finish in time, and requests that can be on time would wait behind them.
+func TestLateRequestsStayWithinReserve(t *testing.T) {
 	s := newTestService()
 	l := newAdmissionSim(t, map[string]Service{"s": s})
 	l.a.inFlight["s"] = s.inFlightLimit(stagePosition{})
@@ -139,22 +138,22 @@
 		l.enqueue(fmt.Sprint("late-", i), 1, 4, 0, 1300*time.Millisecond)
 	}
 	l.a.Schedule(l.now)
-	kept := lateReserveShare * float64(s.inFlightLimit(stagePosition{}).items)
-	l.g.Expect(float64(4 * len(l.started))).To(BeNumerically("~", kept, 4))
+	reserve := lateReserveShare * float64(s.inFlightLimit(stagePosition{}).items)
+	l.g.Expect(float64(4 * len(l.started))).To(BeNumerically("~", reserve, 4))
 }
 
-// A request that cannot be of use any more is rejected when that is known, not
-// when its deadline has passed.
-func TestHopelessRequestIsRejectedAtOnce(t *testing.T) {
+// A request that can no longer finish in time is rejected as soon as that is certain, not at
+// its deadline.
+func TestRequestThatCannotFinishIsRejectedAtOnce(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	l.enqueue("hopeless", 1, 1, time.Second, 300*time.Millisecond)
 	l.a.Schedule(l.now)
 	l.g.Expect(l.rejected).To(HaveKeyWithValue("hopeless", batcher.TooLate))
 }
 
-// The first stage lacks room for large results. A request with large results
-// waits; one with small results does not wait behind it.
-func TestLackOfRoomHoldsOnlyThoseThatNeedIt(t *testing.T) {
+// The first stage lacks result memory for large results. A request with large results waits;
+// a request with small results must not wait behind it.
+func TestScarceMemoryDelaysOnlyLargeResults(t *testing.T) {
 	s := newTestService()
 	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, -11_500_000
 	l := newAdmissionSim(t, map[string]Service{"s": s})
@@ -166,10 +165,10 @@
 	l.g.Expect(l.started).To(Equal([]string{"1"}))
 }
 
-// The pattern: a service has many items with small results under way, and room for a
-// dozen large ones, all of it free. Requests with large results are begun: what the
-// small ones take of the servers' time is no lack of room.
-func TestSmallResultsDoNotUseUpTheRoomOfLargeOnes(t *testing.T) {
+// A service has many items with small results in flight and free result memory for a dozen
+// large results. Requests with large results must start: the server time that the small
+// items take is no lack of memory.
+func TestSmallResultsDoNotUseUpMemoryLimit(t *testing.T) {
 	s := newTestService()
 	s.TotalResultBytes, s.FreeResultBytes = 48_000_000, 48_000_000
 	l := newAdmissionSim(t, map[string]Service{"s": s})
@@ -179,11 +178,11 @@
 		l.a.Enqueue(&Ticket{Request: r, Start: func() { l.started = append(l.started, r.ID) }, Reject: func(batcher.Reason) {}})
 	}
 	l.a.Schedule(l.now)
-	l.g.Expect(len(l.started)).To(BeNumerically(">=", 6), "as many as there is room for")
-	l.g.Expect(len(l.started)).To(BeNumerically("<", 10), "the room bounds what is begun")
+	l.g.Expect(len(l.started)).To(BeNumerically(">=", 6), "as many as the memory allows")
+	l.g.Expect(len(l.started)).To(BeNumerically("<", 10), "result memory limits the started requests")
 }
 
-func TestWithdrawnRequestIsNotBegun(t *testing.T) {
+func TestRemovedRequestIsNotStarted(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	r := &Request{ID: "1", Stages: []Stage{{Service: "s", Items: 1}}, TargetTime: l.now.Add(time.Second), Deadline: l.now.Add(time.Second)}
 	ticket := &Ticket{Request: r, Start: func() { t.Error("begun") }, Reject: func(batcher.Reason) { t.Error("rejected") }}
@@ -193,7 +192,7 @@
 	l.g.Expect(l.a.Remove(ticket)).To(BeFalse())
 }
 
-func TestDepthCountsStagesThatAreNotLeftOut(t *testing.T) {
+func TestDepthIgnoresSkippedStages(t *testing.T) {
 	g := NewWithT(t)
 	r := &Request{Stages: []Stage{
 		{Items: 1}, {Items: 0, DependsOn: []int{0}}, {Items: 2, DependsOn: []int{1}}, {Items: 1},
@@ -203,9 +202,9 @@
 	g.Expect(r.finalStages()).To(Equal([]int{2, 3}))
 }
 
-// All servers of a stage are gone from the platform's list. Requests that need
-// it are refused at once; those that leave the stage out are not.
-func TestStageWithoutServersRefusesAtOnce(t *testing.T) {
+// All servers of a stage are missing from the platform's list. Requests that need the stage
+// are rejected at once; requests that skip it are not.
+func TestStageWithoutServersRejectsAtOnce(t *testing.T) {
 	gone := newTestService()
 	gone.Capacity = batcher.Capacity{}
 	l := newAdmissionSim(t, map[string]Service{"s": gone})
@@ -216,21 +215,20 @@
 	l.g.Expect(l.started).To(Equal([]string{"does not"}))
 }
 
-// The pattern: an overload in which 250 requests wait at the host that does the
-// stage work, and each end of a stage has it look at all of them. What that costs
-// may not grow with the state of the services times the requests that wait: the
-// host had no processor left for the calls, and its servers stood idle.
-func TestEachDecisionAsksAServiceOnce(t *testing.T) {
-	asked := 0
+// Overload with 250 waiting requests. Each completed stage makes the host reconsider all of
+// them. Each decision may look up the state of a service only once: looking it up for each
+// waiting request left the host no processor time for calls, and its servers were idle.
+func TestDecisionLooksUpEachServiceOnce(t *testing.T) {
+	lookups := 0
 	l := newAdmissionSim(t, nil)
-	l.a = NewAdmission(func(string) (Service, bool) { asked++; return newTestService(), true })
+	l.a = NewAdmission(func(string) (Service, bool) { lookups++; return newTestService(), true })
 	for i := range 250 {
 		l.enqueue(fmt.Sprint(i), 1, 4, time.Duration(i%4)*time.Second, 10*time.Second)
 	}
 	for range 10 {
-		asked = 0
+		lookups = 0
 		l.a.Schedule(l.now)
-		l.g.Expect(asked).To(Equal(1))
+		l.g.Expect(lookups).To(Equal(1))
 		l.now = l.now.Add(20 * time.Millisecond)
 	}
 	onTime, late := l.a.Waiting()
--- a/process/stages/bench_test.go
+++ b/process/stages/bench_test.go
@@ -12,13 +12,12 @@
 	"bilberrydale/process/residency"
 )
 
-// BenchmarkNextUnderOverload is what each look at the waiting requests costs the
-// host that does the stage work while it is overloaded: it looks several hundred
-// times a second, at each arrival and each end of a stage.
-func BenchmarkNextUnderOverload(b *testing.B) {
+// BenchmarkScheduleUnderOverload measures the cost of one scheduling decision on an overloaded
+// owner, which decides several hundred times a second, at each arrival and each end of a stage.
+func BenchmarkScheduleUnderOverload(b *testing.B) {
 	for _, waiting := range []int{20, 250, 1000} {
 		b.Run(fmt.Sprint("waiting=", waiting), func(b *testing.B) {
-			k := overloaded(waiting)
+			k := newOverloadedCoordinator(waiting)
 			now := time.Now()
 			b.ReportAllocs()
 			for b.Loop() {
@@ -31,8 +30,9 @@
 	}
 }
 
-// overloaded is a coordinator whose requests of three stages find all servers busy.
-func overloaded(waiting int) *Coordinator {
+// newOverloadedCoordinator returns a coordinator with waiting requests of three stages whose
+// servers are all busy.
+func newOverloadedCoordinator(waiting int) *Coordinator {
 	services := map[string]*batcher.Batcher{}
 	for _, name := range []string{"encode", "retrieve", "rank"} {
 		opts := batcher.Options{MaxItems: 8, CallTime: 150 * time.Millisecond, ItemTime: 16 * time.Millisecond, ResultMemoryBytes: 40 << 20}
@@ -51,9 +51,9 @@
 	}
 	k := NewCoordinator(func(name string) *batcher.Batcher { return services[name] }, noServers, clock.System{}, discardLog{})
 	for i := range waiting {
-		aim := time.Now().Add(time.Duration(i%2) * time.Hour) // half of them are late
+		targetTime := time.Now().Add(time.Duration(i%2) * time.Hour) // half of the requests are late
 		k.admission.Enqueue(&Ticket{Start: func() {}, Request: &Request{
-			ID: fmt.Sprint(i), Worth: float64(i), TargetTime: aim, Deadline: time.Now().Add(2 * time.Hour),
+			ID: fmt.Sprint(i), Worth: float64(i), TargetTime: targetTime, Deadline: time.Now().Add(2 * time.Hour),
 			Stages: []Stage{
 				{Service: "encode", Items: 2, ResultBytes: 3_000_000},
 				{Service: "retrieve", Items: 8, ResultBytes: 60_000, DependsOn: []int{0}},
@@ -64,8 +64,8 @@
 	return k
 }
 
-// BenchmarkOwner is what each staged request pays to find the host that does the
-// stage work, at the number of hosts to design for.
+// BenchmarkOwner measures the cost of finding the owner, which each request with stages pays,
+// with the number of hosts that the system is designed for.
 func BenchmarkOwner(b *testing.B) {
 	for _, hosts := range []int{6, 60, 380} {
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
--- a/process/stages/coordinator_test.go
+++ b/process/stages/coordinator_test.go
@@ -15,19 +15,20 @@
 	"bilberrydale/process/directory"
 )
 
-// fixture is a coordinator over real batchers whose servers are in memory.
+// fixture is a coordinator with real batchers and in-memory servers.
 type fixture struct {
 	g        *WithT
 	k        *Coordinator
 	batchers map[string]*batcher.Batcher
 
 	mu         sync.Mutex
-	calls      []string // "service item-inputs" of each item made
+	calls      []string // "service key inputs" of each executed item
 	freed      []string
 	fail       func(service string, item batcher.Item) batcher.Reason
-	blockCalls chan struct{} // if set, calls wait for it
+	blockCalls chan struct{} // if set, calls block until it is closed
 }
 
+// backend is the batcher.Backend of one service of a fixture.
 type backend struct {
 	fixture *fixture
 	service string
@@ -35,11 +36,11 @@
 
 func (b backend) Run(ctx context.Context, c *batcher.Call) batcher.Response {
 	b.fixture.mu.Lock()
-	hold := b.fixture.blockCalls
+	blocked := b.fixture.blockCalls
 	b.fixture.mu.Unlock()
-	if hold != nil {
+	if blocked != nil {
 		select {
-		case <-hold:
+		case <-blocked:
 		case <-ctx.Done():
 			return batcher.Response{Err: ctx.Err()}
 		}
@@ -70,6 +71,7 @@
 
 func (backend) FreeResultMemory(context.Context, *directory.Server) (int64, error) { return 0, nil }
 
+// discardLog implements all log interfaces of the package and discards the entries.
 type discardLog struct{}
 
 func (discardLog) CallSent(string, *batcher.Call, int)                              {}
@@ -100,9 +102,9 @@
 	return len(w.freed)
 }
 
-// chain is a request of two stages: two items on the floor, whose results the
-// three items of the portal need.
-func chain(id string) *Request {
+// chain returns a request of two stages: two items of service "floor", and three items of
+// service "portal" that need their results.
+func chainRequest(id string) *Request {
 	now := time.Now()
 	return &Request{
 		ID: id, InputKey: "key", RunDomain: "x", Worth: 1, TargetTime: now.Add(20 * time.Second), Deadline: now.Add(30 * time.Second),
@@ -110,33 +112,33 @@
 	}
 }
 
-func TestEachStageGetsAllResultsOfTheStageBefore(t *testing.T) {
+func TestStageGetsAllResultsOfItsDependencies(t *testing.T) {
 	w := newFixture(t)
-	made, err := w.k.Run(t.Context(), chain("r"))
+	results, err := w.k.Run(t.Context(), chainRequest("r"))
 	w.g.Expect(err).NotTo(HaveOccurred())
-	w.g.Expect(made.Inputs).To(HaveLen(3))
-	w.g.Expect(made.Inputs[2].Handle).To(Equal("portal-r-1-2"))
+	w.g.Expect(results.Inputs).To(HaveLen(3))
+	w.g.Expect(results.Inputs[2].Handle).To(Equal("portal-r-1-2"))
 	w.g.Expect(w.calls).To(Equal([]string{
 		"floor key []", "floor key []",
 		"portal  [floor-r-0-0 floor-r-0-1]", "portal  [floor-r-0-0 floor-r-0-1]", "portal  [floor-r-0-0 floor-r-0-1]",
 	}))
-	w.g.Eventually(w.freedCount, "10s").Should(Equal(2), "what the portal has used")
+	w.g.Eventually(w.freedCount, "10s").Should(Equal(2), "results that the portal has consumed")
 }
 
-func TestStagesThatAreLeftOutCostNothing(t *testing.T) {
+func TestSkippedStagesMakeNoCalls(t *testing.T) {
 	w := newFixture(t)
-	r := chain("r")
+	r := chainRequest("r")
 	r.Stages[0].Items = 0
 	r.Stages[1].Items = 0
-	made, err := w.k.Run(t.Context(), r)
+	results, err := w.k.Run(t.Context(), r)
 	w.g.Expect(err).NotTo(HaveOccurred())
-	w.g.Expect(made.Inputs).To(BeEmpty())
+	w.g.Expect(results.Inputs).To(BeEmpty())
 	w.g.Expect(w.calls).To(BeEmpty())
 }
 
-// The server that holds the first stage's results crashes before the second has
-// used them. The work is done again, once.
-func TestLostInputsAreMadeAgain(t *testing.T) {
+// The server that stores the first stage's results crashes before the second stage has used
+// them. The work is repeated once.
+func TestWorkIsRepeatedOnceAfterLostInputs(t *testing.T) {
 	w := newFixture(t)
 	lost := true
 	w.fail = func(service string, _ batcher.Item) batcher.Reason {
@@ -146,9 +148,9 @@
 		}
 		return ""
 	}
-	made, err := w.k.Run(t.Context(), chain("r"))
+	results, err := w.k.Run(t.Context(), chainRequest("r"))
 	w.g.Expect(err).NotTo(HaveOccurred())
-	w.g.Expect(made.Inputs).To(HaveLen(3))
+	w.g.Expect(results.Inputs).To(HaveLen(3))
 
 	w.fail = func(service string, _ batcher.Item) batcher.Reason {
 		if service == "portal" {
@@ -156,15 +158,15 @@
 		}
 		return ""
 	}
-	_, err = w.k.Run(t.Context(), chain("again"))
+	_, err = w.k.Run(t.Context(), chainRequest("again"))
 	var failed *Error
 	w.g.Expect(errors.As(err, &failed)).To(BeTrue())
 	w.g.Expect(failed.Reason).To(Equal(batcher.InputLost))
 }
 
-// An item fails on every server. The request gets its outcome, what was made for
-// it is given up, and the room that it took is there for others.
-func TestFailedWorkLeavesNothingBehind(t *testing.T) {
+// An item fails on every server. The request gets an error, the results made so far are
+// freed, and its share of the in-flight limit is available to others.
+func TestFailedWorkReleasesResultsAndLimits(t *testing.T) {
 	w := newFixture(t)
 	w.fail = func(service string, item batcher.Item) batcher.Reason {
 		if service == "portal" && item.Piece == 1 {
@@ -173,7 +175,7 @@
 		return ""
 	}
 	for i := range 20 {
-		_, err := w.k.Run(t.Context(), chain(fmt.Sprint(i)))
+		_, err := w.k.Run(t.Context(), chainRequest(fmt.Sprint(i)))
 		w.g.Expect(err).To(HaveOccurred())
 	}
 	w.g.Eventually(func() int {
@@ -181,18 +183,18 @@
 		defer w.k.mu.Unlock()
 		return w.k.admission.inFlight["floor"].items + w.k.admission.inFlight["portal"].items
 	}, "10s").Should(BeZero())
-	w.g.Eventually(w.freedCount, "10s").Should(BeNumerically(">=", 40), "two results of the floor for each")
+	w.g.Eventually(w.freedCount, "10s").Should(BeNumerically(">=", 40), "two results of the floor per request")
 }
 
-// The client leaves while its items are being made. They are given up when they
-// are there, and nothing more is begun for it.
-func TestCancelledWorkIsGivenUp(t *testing.T) {
+// The client cancels while items are in progress. Their results are freed when they arrive, and
+// no further items start for the request.
+func TestCancelledWorkStartsNoFurtherItems(t *testing.T) {
 	w := newFixture(t)
 	w.blockCalls = make(chan struct{})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
-		_, err := w.k.Run(ctx, chain("r"))
+		_, err := w.k.Run(ctx, chainRequest("r"))
 		done <- err
 	}()
 	w.g.Eventually(func() int {
@@ -211,9 +213,9 @@
 	w.g.Expect(w.k.admission.inFlight["floor"].items).To(BeZero())
 }
 
-// Guards against putting requests at risk for room that is not short, or for results that
-// take next to none of it.
-func TestRoomIsShortForLargeResultsOnly(t *testing.T) {
+// Guards against freeing inputs early, which risks a repetition, when memory is not scarce or
+// when results take next to none of it.
+func TestMemoryIsScarceForLargeResultsOnly(t *testing.T) {
 	g := NewWithT(t)
 	opts := batcher.Options{MaxItems: 10, CallTime: time.Second, ResultMemoryBytes: 2_700_000}
 	b := batcher.New("s", opts, nil, clock.System{}, discardLog{})
@@ -222,7 +224,7 @@
 	b.Configure(opts, dir.View().Servers("s"), func(*directory.Server) time.Duration { return 0 })
 	k := NewCoordinator(func(string) *batcher.Batcher { return b }, noServers, clock.System{}, discardLog{})
 	large, small := Stage{Service: "s", ResultBytes: 60_000}, Stage{Service: "s", ResultBytes: 8_000}
-	g.Expect(k.resultMemoryScarce(large)).To(BeFalse(), "all room is free")
+	g.Expect(k.resultMemoryScarce(large)).To(BeFalse(), "all memory is free")
 	b.Submit(&batcher.Job{Items: make([]batcher.Item, 30), ResultBytes: 60_000, OnResult: func(int, batcher.Result) {}})
 	g.Expect(k.resultMemoryScarce(large)).To(BeTrue())
 	g.Expect(k.resultMemoryScarce(small)).To(BeFalse(), "it would free next to nothing")
--- a/process/stages/load_test.go
+++ b/process/stages/load_test.go
@@ -20,29 +20,29 @@
 	"bilberrydale/process/directory"
 )
 
-// plant is stage servers in simulated time: each works on one call after the other,
-// takes as long as configured and keeps results until they are freed.
+// simulation holds stage servers in simulated time. Each server runs one call at a time, takes
+// the configured time and keeps results until they are freed.
 type simulation struct {
 	mu             sync.Mutex
 	servers        map[string]*simServer
-	busyTime       map[string]time.Duration // by service: time that servers worked
+	busyTime       map[string]time.Duration // by service: working time of its servers
 	calls          map[string]int
 	items          map[string]int
-	results        map[string]int64 // bytes by handle
-	memoryRefusals int              // items that found no room
-	missingInputs  int              // items whose inputs were gone
-	failEvery      int              // of so many items that have their inputs, one fails; 0: none
+	results        map[string]int64 // size in bytes by handle
+	memoryRefusals int              // items refused for lack of result memory
+	missingInputs  int              // items whose inputs were missing
+	failEvery      int              // one of so many items with inputs fails; 0: none
 	sequence       int
 }
 
 type simServer struct {
-	idle      chan struct{} // holds one token while the server is free
+	idle      chan struct{} // holds one token while the server is idle
 	oneWay    time.Duration
-	freeBytes int64 // left for results; meaningless without a bound
+	freeBytes int64 // free result memory; unused if it is unlimited
 	slowdown  float64
 }
 
-// plantBackend sends one service's calls to the plant.
+// simBackend sends the calls of one service to the simulation.
 type simBackend struct {
 	sim     *simulation
 	service string
@@ -59,17 +59,17 @@
 		s.idle <- struct{}{}
 		time.Sleep(s.oneWay)
 	}()
-	took := time.Duration(s.slowdown * float64(b.opts.CallTime+time.Duration(len(c.Items))*b.opts.ItemTime))
-	a := p.makeResults(b, s, c, took)
-	time.Sleep(took)
+	callTime := time.Duration(s.slowdown * float64(b.opts.CallTime+time.Duration(len(c.Items))*b.opts.ItemTime))
+	a := p.makeResults(b, s, c, callTime)
+	time.Sleep(callTime)
 	return a
 }
 
-// take gives the items that have room their results.
-func (p *simulation) makeResults(b simBackend, s *simServer, c *batcher.Call, took time.Duration) (a batcher.Response) {
+// makeResults creates the results of a call's items, as far as the result memory allows.
+func (p *simulation) makeResults(b simBackend, s *simServer, c *batcher.Call, callTime time.Duration) (a batcher.Response) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.busyTime[b.service] += took
+	p.busyTime[b.service] += callTime
 	p.calls[b.service]++
 	p.items[b.service] += len(c.Items)
 	for _, part := range c.Items {
@@ -97,7 +97,7 @@
 	return a
 }
 
-// have tells whether all of some results are kept.
+// hasAll reports whether all results are stored.
 func (p *simulation) hasAll(handles []string) bool {
 	for _, h := range handles {
 		if _, kept := p.results[h]; !kept {
@@ -128,26 +128,26 @@
 	return nil
 }
 
-// plantService is a service of a plant, with its servers by failure domain.
+// simService is a service of a simulation.
 type simService struct {
 	batcher.Options
-	serverDomains []string // failure domain of each
+	serverDomains []string // failure domain of each server
 	slowdowns     []float64
 }
 
-// caller is one kind of request.
+// requestClass is one kind of request.
 type requestClass struct {
-	name                    string
-	sameStagesAs            string // kind whose stages and times it has
-	rate                    func(at time.Duration) float64
-	targetLatency, deadline time.Duration
-	meanWorth               float64 // worth
-	worth                   func(r *rand.Rand) float64
-	resultHold              time.Duration // that its results are kept for it to run
-	stages                  func(r *rand.Rand) []Stage
+	name                   string
+	sameStagesAs           string // class whose stages and time limits it has
+	rate                   func(at time.Duration) float64
+	targetLatency, timeout time.Duration
+	meanWorth              float64
+	worth                  func(r *rand.Rand) float64
+	resultHold             time.Duration // how long its results are kept for the request to run
+	stages                 func(r *rand.Rand) []Stage
 }
 
-// tally is what became of the requests of one kind.
+// outcomeCounts counts the outcomes of the requests of one class.
 type outcomeCounts struct{ offered, onTime, late, refused int }
 
 func (t outcomeCounts) onTimeShare() float64 { return float64(t.onTime) / float64(max(t.offered, 1)) }
@@ -156,23 +156,23 @@
 	return float64(t.onTime+t.late) / float64(max(t.offered, 1))
 }
 
-// load is a run of callers against a plant.
+// workload is a set of request classes and the services that serve them.
 type workload struct {
 	services  map[string]simService
 	classes   []requestClass
 	duration  time.Duration
 	seed      uint64
-	admitAll  bool // all is begun as it comes
-	failEvery int  // of so many items one fails; 0: none
+	admitAll  bool // every request starts on arrival
+	failEvery int  // one of so many items fails; 0: none
 }
 
-// clump is how many requests come at one moment, in the mean.
+// meanBurstSize is the mean number of requests that arrive at the same moment.
 const meanBurstSize = 3.0
 
-// farAway is the way between regions; the coordinator is in the first domain.
+// interRegionDelay is the one-way delay between regions; the coordinator is in the first domain.
 const interRegionDelay = 20 * time.Millisecond
 
-// run plays the load and returns what became of each kind.
+// run simulates the workload and returns the outcome counts by class.
 func (l workload) run(t *testing.T) (out map[string]*outcomeCounts, p *simulation) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(t.Context())
@@ -196,18 +196,18 @@
 			out[c.name] = &outcomeCounts{}
 			r := rand.New(rand.NewPCG(l.seed, uint64(i)))
 			running.Go(func() {
-				began := time.Now()
-				for n := 0; time.Since(began) < l.duration; n++ {
+				start := time.Now()
+				for n := 0; time.Since(start) < l.duration; n++ {
 					q := c.newRequest(r, n)
 					running.Go(func() {
-						became := runRequestToEnd(ctx, k, c, q)
+						result := runRequestToEnd(ctx, k, c, q)
 						mu.Lock()
 						defer mu.Unlock()
 						out[c.name].offered++
-						*out[c.name].counter(became)++
+						*out[c.name].counter(result)++
 					})
 					if r.Float64() < 1/meanBurstSize {
-						time.Sleep(time.Duration(meanBurstSize * r.ExpFloat64() / c.rate(time.Since(began)) * float64(time.Second)))
+						time.Sleep(time.Duration(meanBurstSize * r.ExpFloat64() / c.rate(time.Since(start)) * float64(time.Second)))
 					}
 				}
 			})
@@ -220,20 +220,21 @@
 	return out, p
 }
 
+// startService creates the servers of a service and starts its batcher.
 func (p *simulation) startService(ctx context.Context, name string, s simService) *batcher.Batcher {
 	b := batcher.New(name, s.Options, simBackend{p, name, s.Options}, clock.System{}, discardLog{})
 	var entries []directory.Entry
 	for i, domain := range s.serverDomains {
 		id := fmt.Sprint(name, i)
-		one := &simServer{idle: make(chan struct{}, 1), oneWay: interRegionDelay, freeBytes: s.ResultMemoryBytes, slowdown: 1}
+		server := &simServer{idle: make(chan struct{}, 1), oneWay: interRegionDelay, freeBytes: s.ResultMemoryBytes, slowdown: 1}
 		if domain == s.serverDomains[0] {
-			one.oneWay = time.Millisecond
+			server.oneWay = time.Millisecond
 		}
 		if i < len(s.slowdowns) {
-			one.slowdown = s.slowdowns[i]
+			server.slowdown = s.slowdowns[i]
 		}
-		one.idle <- struct{}{}
-		p.servers[id] = one
+		server.idle <- struct{}{}
+		p.servers[id] = server
 		entries = append(entries, directory.Entry{ID: id, Service: name, Domain: domain})
 	}
 	dir := directory.New()
@@ -247,11 +248,11 @@
 	now := time.Now()
 	return &Request{
 		ID: fmt.Sprint(c.name, n), RunDomain: []string{"x", "y", "z"}[r.IntN(3)], Worth: c.worth(r), Stages: c.stages(r),
-		TargetTime: now.Add(c.targetLatency), Deadline: now.Add(c.deadline),
+		TargetTime: now.Add(c.targetLatency), Deadline: now.Add(c.timeout),
 	}
 }
 
-// became is what became of one request.
+// outcome is the outcome of one request.
 type outcome int
 
 const (
@@ -260,64 +261,66 @@
 	outcomeRefused
 )
 
+// counter returns the counter of an outcome.
 func (t *outcomeCounts) counter(b outcome) *int { return []*int{&t.onTime, &t.late, &t.refused}[b] }
 
+// runRequestToEnd runs the stages of a request, keeps the results for the time of the request
+// and returns its outcome.
 func runRequestToEnd(ctx context.Context, k *Coordinator, c requestClass, q *Request) outcome {
 	ctx, cancel := context.WithDeadline(ctx, q.Deadline)
 	defer cancel()
-	made, err := k.Run(ctx, q)
+	results, err := k.Run(ctx, q)
 	switch {
 	case err != nil:
 		return outcomeRefused
 	case time.Now().After(q.TargetTime):
-		defer k.freeInputs(made.Inputs...)
+		defer k.freeInputs(results.Inputs...)
 		return outcomeLate
 	}
 	time.Sleep(c.resultHold)
-	k.freeInputs(made.Inputs...)
+	k.freeInputs(results.Inputs...)
 	return outcomeOnTime
 }
 
-// steady is a load of so many requests a second.
-func steady(perSec float64) func(time.Duration) float64 {
-	return func(time.Duration) float64 { return perSec }
+// steady returns a constant rate of requests per second.
+func steady(perSecond float64) func(time.Duration) float64 {
+	return func(time.Duration) float64 { return perSecond }
 }
 
-// burst is a load that is x times the usual from one moment to another.
-func burst(perSec, x float64, from, to time.Duration) func(time.Duration) float64 {
+// burst returns a rate that is multiplied by factor in a time interval.
+func burst(perSecond, factor float64, from, to time.Duration) func(time.Duration) float64 {
 	return func(at time.Duration) float64 {
 		if at >= from && at < to {
-			return x * perSec
+			return factor * perSecond
 		}
-		return perSec
+		return perSecond
 	}
 }
 
-// about draws a positive number of a mean with some spread.
-func around(r *rand.Rand, mean float64) int { return max(1, int(mean*(0.5+r.Float64())+0.5)) }
+// around returns a random positive number around a mean.
+func randomAround(r *rand.Rand, mean float64) int { return max(1, int(mean*(0.5+r.Float64())+0.5)) }
 
-// fourStages is a place with scarce servers in three regions before engines: a few
-// servers of one call at a time each, results of the first stage so large that a
-// server holds a dozen, and requests of one, three and four stages whose aim leaves
-// as much again as the stages take.
+// scarceEncodeWorkload has scarce stage servers in three regions: a few servers of one call at
+// a time each, first-stage results so large that a server stores only a dozen, and requests
+// of one, three and four stages whose target latency is twice the time of their stages.
 func scarceEncodeWorkload() workload {
-	opts := func(items int, item time.Duration, room int64) batcher.Options {
-		return batcher.Options{MaxItems: items, CallTime: 150 * time.Millisecond, ItemTime: item, ResultMemoryBytes: room, ResultTTL: 4 * time.Second}
+	opts := func(items int, item time.Duration, memory int64) batcher.Options {
+		return batcher.Options{MaxItems: items, CallTime: 150 * time.Millisecond, ItemTime: item, ResultMemoryBytes: memory, ResultTTL: 4 * time.Second}
 	}
 	drafts := func(r *rand.Rand) []Stage {
-		return []Stage{{Service: "encode", Items: around(r, 1.75), ResultBytes: 3_000_000}}
+		return []Stage{{Service: "encode", Items: randomAround(r, 1.75), ResultBytes: 3_000_000}}
 	}
 	answers := func(r *rand.Rand) []Stage {
 		return []Stage{
 			{Service: "encode", Items: 1, ResultBytes: 8_000},
 			{Service: "retrieve", DependsOn: []int{0}, Items: 8, ResultBytes: 60_000},
-			{Service: "rank", DependsOn: []int{1}, Items: around(r, 16), ResultBytes: 6_000},
+			{Service: "rank", DependsOn: []int{1}, Items: randomAround(r, 16), ResultBytes: 6_000},
 		}
 	}
 	chats := func(r *rand.Rand) []Stage {
 		list := []Stage{{Service: "encode", ResultBytes: 3_000_000}}
 		if r.Float64() < 0.4 {
-			list[0].Items = around(r, 1.5)
+			list[0].Items = randomAround(r, 1.5)
 		}
 		for _, s := range answers(r) {
 			for i := range s.DependsOn {
@@ -338,20 +341,20 @@
 			"rank":     {Options: opts(64, 2*time.Millisecond, 1_100_000), serverDomains: []string{"x", "x", "y", "y", "z"}},
 		},
 		classes: []requestClass{
-			{name: "draft", rate: steady(11.7), targetLatency: 1100 * time.Millisecond, deadline: 5500 * time.Millisecond, worth: worth(5), resultHold: 400 * time.Millisecond, stages: drafts},
-			{name: "answer", rate: steady(15.4), targetLatency: 1680 * time.Millisecond, deadline: 7 * time.Second, worth: worth(2.4), resultHold: 200 * time.Millisecond, stages: answers},
-			{name: "chat", rate: steady(17.3), targetLatency: 1530 * time.Millisecond, deadline: 6500 * time.Millisecond, worth: worth(1), resultHold: 200 * time.Millisecond, stages: chats},
+			{name: "draft", rate: steady(11.7), targetLatency: 1100 * time.Millisecond, timeout: 5500 * time.Millisecond, worth: worth(5), resultHold: 400 * time.Millisecond, stages: drafts},
+			{name: "answer", rate: steady(15.4), targetLatency: 1680 * time.Millisecond, timeout: 7 * time.Second, worth: worth(2.4), resultHold: 200 * time.Millisecond, stages: answers},
+			{name: "chat", rate: steady(17.3), targetLatency: 1530 * time.Millisecond, timeout: 6500 * time.Millisecond, worth: worth(1), resultHold: 200 * time.Millisecond, stages: chats},
 		},
 	}
 }
 
-// several plays a load with three seeds.
+// runSeeds runs the workload with three seeds and returns the sums of the outcome counts.
 func (l workload) runSeeds(t *testing.T) (out map[string]*outcomeCounts) {
 	out = map[string]*outcomeCounts{}
 	for seed := range uint64(3) {
 		l.seed = seed
-		one, p := l.run(t)
-		for name, n := range one {
+		counts, p := l.run(t)
+		for name, n := range counts {
 			if out[name] == nil {
 				out[name] = &outcomeCounts{}
 			}
@@ -372,21 +375,21 @@
 	t.refused += o.refused
 }
 
-// String tells how full the calls were and how long the servers worked.
+// String returns the mean number of items per call and the working time of each service.
 func (p *simulation) String() string {
 	var b strings.Builder
 	for _, name := range slices.Sorted(maps.Keys(p.calls)) {
-		fmt.Fprintf(&b, "%s: %.1f items a call, %.1f s; ", name, float64(p.items[name])/float64(p.calls[name]), p.busyTime[name].Seconds())
+		fmt.Fprintf(&b, "%s: %.1f items per call, %.1f s; ", name, float64(p.items[name])/float64(p.calls[name]), p.busyTime[name].Seconds())
 	}
-	fmt.Fprintf(&b, "%d items found no room, of %d the inputs were gone", p.memoryRefusals, p.missingInputs)
+	fmt.Fprintf(&b, "%d items lacked result memory, %d items lacked inputs", p.memoryRefusals, p.missingInputs)
 	return b.String()
 }
 
-// The pattern: the questions of one kind of client come three times as often for six
-// seconds, several at a moment. Full calls can make all of it; calls that are half
-// full cannot. As much is begun as fills the calls of every stage, so that nobody is
-// refused, and the drafts, worth most, are all in time.
-func TestBurstIsBegunAsFarAsFullCallsReach(t *testing.T) {
+// One request class arrives three times as often for six seconds, several requests at a time.
+// Full calls have capacity for all of it, half-empty calls do not. Enough requests must start
+// to fill the calls of every stage, so that none is refused and the drafts, which are worth
+// most, are all in time.
+func TestBurstFillsCalls(t *testing.T) {
 	l := scarceEncodeWorkload()
 	l.classes[1].rate = burst(15.4, 3, 2*time.Second, 8*time.Second)
 	out := l.runSeeds(t)
@@ -397,19 +400,18 @@
 	g.Expect(out["draft"].onTimeShare()).To(BeNumerically(">", 0.99))
 }
 
-// roomInTheMiddle is a place in which the servers of the middle of three stages have room
-// for the results of less than two full calls, and requests of which full calls can make
-// all. In it, results that are kept until the calls of the stage behind have ended leave
-// calls half empty while items wait.
+// scarceMiddleMemoryWorkload has a middle stage whose servers have result memory for less than
+// two full calls. Full calls have capacity for all requests. Results that are kept until the
+// calls of the next stage end leave calls half empty while items wait.
 func scarceMiddleMemoryWorkload() workload {
-	opts := func(items int, item time.Duration, room int64) batcher.Options {
-		return batcher.Options{MaxItems: items, CallTime: 240 * time.Millisecond, ItemTime: item, ResultMemoryBytes: room, ResultTTL: 4 * time.Second}
+	opts := func(items int, item time.Duration, memory int64) batcher.Options {
+		return batcher.Options{MaxItems: items, CallTime: 240 * time.Millisecond, ItemTime: item, ResultMemoryBytes: memory, ResultTTL: 4 * time.Second}
 	}
 	questions := func(r *rand.Rand) []Stage {
 		return []Stage{
 			{Service: "encode", Items: 1, ResultBytes: 8_000},
 			{Service: "retrieve", DependsOn: []int{0}, Items: 4, ResultBytes: 60_000},
-			{Service: "rank", DependsOn: []int{1}, Items: around(r, 6), ResultBytes: 6_000},
+			{Service: "rank", DependsOn: []int{1}, Items: randomAround(r, 6), ResultBytes: 6_000},
 		}
 	}
 	return workload{
@@ -420,24 +422,24 @@
 			"rank":     {Options: opts(28, 7300*time.Microsecond, 320_000), serverDomains: []string{"x", "x", "y", "y", "z", "z"}},
 		},
 		classes: []requestClass{
-			{name: "question", rate: steady(48), targetLatency: 2 * time.Second, deadline: 7 * time.Second, worth: func(*rand.Rand) float64 { return 1 }, resultHold: 200 * time.Millisecond, stages: questions},
+			{name: "question", rate: steady(48), targetLatency: 2 * time.Second, timeout: 7 * time.Second, worth: func(*rand.Rand) float64 { return 1 }, resultHold: 200 * time.Millisecond, stages: questions},
 		},
 	}
 }
 
-// The pattern: a burst lasts, the middle stage's servers are short of room, and full calls
-// could make everything. Guards against calls that leave half empty for lack of room
-// that results hold which the stage behind has fetched already.
-func TestRoomIsFreeOnceTheNextStageHasFetchedItsInputs(t *testing.T) {
+// A lasting burst with scarce result memory in the middle stage, where full calls have capacity
+// for everything. Guards against half-empty calls for lack of memory that is occupied by
+// results which the next stage has already fetched.
+func TestResultsAreFreedOnceTheNextStageHasFetchedThem(t *testing.T) {
 	out := scarceMiddleMemoryWorkload().runSeeds(t)
 	g := NewWithT(t)
 	g.Expect(out["question"].servedShare()).To(BeNumerically(">", 0.99))
 	g.Expect(out["question"].onTimeShare()).To(BeNumerically(">", 0.9))
 }
 
-// The pattern: the same load, and one item of a hundred fails in a call that took its
-// inputs. Guards against requests that are lost because their inputs were given up.
-func TestItemsThatFailAfterTheirInputsAreGivenUp(t *testing.T) {
+// The same workload, where one of a hundred items fails in a call that has fetched its inputs.
+// Guards against failed requests because their inputs were freed.
+func TestItemsThatFailAfterTheirInputsAreFreed(t *testing.T) {
 	l := scarceMiddleMemoryWorkload()
 	l.failEvery = 100
 	out := l.runSeeds(t)
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -15,22 +15,23 @@
 	"bilberrydale/process/residency"
 )
 
-// net is a network of hosts in memory.
+// network connects hosts in memory.
 type network struct {
 	mu    sync.Mutex
 	hosts map[string]*node
 }
 
+// node is a host of a network. It implements Link.
 type node struct {
 	network  *network
 	self     peer.Identity
 	handlers map[peer.Method]peer.Handler
-	// breaks is how many of the next calls to this node are carried out and
-	// lose their answers.
+	// lostResponses is the number of next calls to this node that are executed but lose
+	// their responses.
 	lostResponses int
 	down          bool
 	calls         int
-	// listed are hosts as an old list tells of them; a call to one corrects it.
+	// staleList has outdated identities of hosts; a call to a host corrects its entry.
 	staleList map[string]peer.Identity
 	fixture   *fixture
 	pool      *Pool
@@ -103,7 +104,7 @@
 	return n
 }
 
-// start adds a host that does not know the others yet.
+// start adds a host that does not know the other hosts yet.
 func (x *network) start(t *testing.T, id peer.Identity) *node {
 	n := &node{network: x, self: id, handlers: map[peer.Method]peer.Handler{}, fixture: newFixture(t)}
 	n.pool = NewPool(n, clock.System{}, n.fixture.k, func(domain string) string { return domain }, discardLog{})
@@ -113,7 +114,7 @@
 	return n
 }
 
-// madeAt returns how many items a host had made.
+// itemsMade returns the number of items executed on a host.
 func (n *node) itemsMade() int {
 	n.fixture.mu.Lock()
 	defer n.fixture.mu.Unlock()
@@ -131,21 +132,21 @@
 func (n *node) run(id string) (Results, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	return n.pool.Run(ctx, chain(id))
+	return n.pool.Run(ctx, chainRequest(id))
 }
 
-func TestAllHostsGiveTheirWorkToTheFirst(t *testing.T) {
+func TestAllHostsUseTheSameOwner(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	for _, n := range []*node{first, second, third} {
-		made, err := n.run(n.self.Host)
+		results, err := n.run(n.self.Host)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(made.Inputs).To(HaveLen(3))
+		g.Expect(results.Inputs).To(HaveLen(3))
 	}
 	g.Expect(first.itemsMade()).To(Equal(15))
 	g.Expect(second.itemsMade() + third.itemsMade()).To(BeZero())
 }
 
-func TestStrongHostsOfTheRegionComeFirst(t *testing.T) {
+func TestStrongestHostOfRegionIsOwner(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
 	weak := x.add(t, peer.Identity{Host: "weak", Incarnation: 1, Region: "x", Share: 0.2})
@@ -156,55 +157,54 @@
 	g.Expect(strong.itemsMade()).To(Equal(5))
 }
 
-// The connection to the first host breaks after it took the work. It is asked
-// again and the work is joined: nothing is made twice, and no other host begins
-// to do stage work.
-func TestBrokenConnectionJoinsTheWork(t *testing.T) {
+// The connection to the owner breaks after it has received the work. The call is retried and
+// joins the running work: nothing is executed twice, and no other host becomes owner.
+func TestRetryJoinsRunningWork(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	first.lostResponses = 2
-	made, err := third.run("r")
+	results, err := third.run("r")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(made.Owner).To(Equal("first"))
+	g.Expect(results.Owner).To(Equal("first"))
 	g.Expect(first.calls).To(Equal(3))
 	g.Expect(first.itemsMade()).To(Equal(5))
 	g.Expect(second.itemsMade() + third.itemsMade()).To(BeZero())
 }
 
-// A host has just started and does not know the others. A request that came now
-// would have its stages run here, as at all hosts of a fleet that starts at once;
-// it waits until the others are known.
-func TestStageWorkWaitsForTheOtherHosts(t *testing.T) {
+// A host has just started and does not know the others. Running a request's stages right away
+// would make every host of a fleet that starts at once an owner, so the request waits until the
+// others are known.
+func TestStageWorkWaitsForPeerDiscovery(t *testing.T) {
 	x := &network{hosts: map[string]*node{}}
 	last := x.start(t, peer.Identity{Host: "last", Incarnation: 2, Region: "x"})
 	g := NewWithT(t)
 	done := make(chan Results, 1)
 	go func() {
-		made, _ := last.run("r")
-		done <- made
+		results, _ := last.run("r")
+		done <- results
 	}()
 	g.Consistently(last.itemsMade, "100ms").Should(BeZero())
 	first := x.add(t, peer.Identity{Host: "first", Incarnation: 1, Region: "x"})
 	last.pool.MarkPeersKnown()
-	var made Results
-	g.Eventually(done, "10s").Should(Receive(&made))
-	g.Expect(made.Owner).To(Equal("first"))
+	var results Results
+	g.Eventually(done, "10s").Should(Receive(&results))
+	g.Expect(results.Owner).To(Equal("first"))
 	g.Expect(first.itemsMade()).To(Equal(5))
 	g.Expect(last.itemsMade()).To(BeZero())
 }
 
-// All hosts lost power and start again, in another order than before. The list
-// that each has read still tells of some processes before that, of others for each
-// host. By these the hosts would name three different owners, which fill the same
-// servers; the first answer of each host shows what runs there now.
-func TestFleetThatLostPowerFindsOneOwner(t *testing.T) {
+// All hosts lost power and restart in a different order. The lists they have read contain old
+// incarnations, different ones for each host. By these lists the hosts would choose three
+// different owners, which fill the same servers. The first response of a host identifies its
+// current incarnation.
+func TestFleetAgreesOnOwnerAfterPowerFailure(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
-	before := func(host string, incarnation uint64) peer.Identity {
+	oldIdentity := func(host string, incarnation uint64) peer.Identity {
 		return peer.Identity{Host: host, Incarnation: incarnation, Region: "x"}
 	}
 	first.self.Incarnation, second.self.Incarnation, third.self.Incarnation = 11, 12, 13
-	first.staleList = map[string]peer.Identity{"second": before("second", 1), "third": before("third", 2)}
-	second.staleList = map[string]peer.Identity{"third": before("third", 2)}
-	third.staleList = map[string]peer.Identity{"second": before("second", 1)}
+	first.staleList = map[string]peer.Identity{"second": oldIdentity("second", 1), "third": oldIdentity("third", 2)}
+	second.staleList = map[string]peer.Identity{"third": oldIdentity("third", 2)}
+	third.staleList = map[string]peer.Identity{"second": oldIdentity("second", 1)}
 	for i, host := range []*node{first, second, third} {
 		_, err := host.run(fmt.Sprint(i))
 		g.Expect(err).NotTo(HaveOccurred())
@@ -213,10 +213,10 @@
 	g.Expect(second.itemsMade() + third.itemsMade()).To(BeZero())
 }
 
-// Requests wait at the host that does the stage work of a region. A host that
-// gives it work learns of the wait with each answer; the news fades, so that a
-// region that is left alone for its waits is tried again.
-func TestHostsLearnWhereStageWorkWaits(t *testing.T) {
+// Requests wait at the owner of a region. Each response reports the mean wait to the requesting
+// host. Reported waits decay, so that a region that gets no work because of its waits is tried
+// again.
+func TestExpectedWaitFollowsReportsAndDecays(t *testing.T) {
 	g, first, _, third := newThreeHosts(t)
 	g.Expect(third.pool.ExpectedWait("x")).To(BeZero())
 	for range 100 {
@@ -232,9 +232,8 @@
 	g.Expect(third.pool.ExpectedWait("x")).To(BeNumerically("<", 50*time.Millisecond))
 }
 
-// The first host is lost. The next one takes the work, and the first is asked
-// again only after a while.
-func TestLostHostIsReplacedByTheNext(t *testing.T) {
+// The owner fails. The next host becomes owner, and the failed one is retried only after a while.
+func TestFailedOwnerIsReplaced(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	first.down = true
 	_, err := third.run("1")
@@ -247,18 +246,18 @@
 	second.down = true
 	_, err = third.run("3")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(third.itemsMade()).To(Equal(5), "nobody else is left")
+	g.Expect(third.itemsMade()).To(Equal(5), "no other host is left")
 }
 
-// The first host is told to stop. Work that it has begun ends there; new work
-// goes to the next host, also that of a host which missed the notice.
-func TestStoppingHostFinishesWhatItHasBegun(t *testing.T) {
+// The owner shuts down. It finishes work in progress. New work goes to the next host, also from
+// a host that missed the notice.
+func TestLeavingOwnerFinishesWorkInProgress(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	first.fixture.blockCalls = make(chan struct{})
-	begun := make(chan error)
+	finished := make(chan error)
 	go func() {
 		_, err := second.run("begun")
-		begun <- err
+		finished <- err
 	}()
 	g.Eventually(func() int {
 		first.fixture.k.mu.Lock()
@@ -275,43 +274,42 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(second.itemsMade()).To(Equal(10))
 	close(first.fixture.blockCalls)
-	g.Eventually(begun, "10s").Should(Receive(BeNil()))
+	g.Eventually(finished, "10s").Should(Receive(BeNil()))
 }
 
-// The client of another host leaves. The work is given up where it is done.
-func TestCancelReachesTheHostThatDoesTheWork(t *testing.T) {
+// The client of another host cancels. The work is cancelled on its owner.
+func TestCancelReachesOwner(t *testing.T) {
 	g, first, _, third := newThreeHosts(t)
 	first.fixture.blockCalls = make(chan struct{})
 	defer close(first.fixture.blockCalls)
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error)
 	go func() {
-		_, err := third.pool.Run(ctx, chain("r"))
+		_, err := third.pool.Run(ctx, chainRequest("r"))
 		done <- err
 	}()
-	under := func() int {
+	inFlight := func() int {
 		first.fixture.k.mu.Lock()
 		defer first.fixture.k.mu.Unlock()
 		return first.fixture.k.admission.inFlight["floor"].items
 	}
-	g.Eventually(under, "10s").Should(Equal(2))
+	g.Eventually(inFlight, "10s").Should(Equal(2))
 	cancel()
 	g.Eventually(done, "10s").Should(Receive(MatchError(context.Canceled)))
-	g.Eventually(under, "10s").Should(BeZero())
+	g.Eventually(inFlight, "10s").Should(BeZero())
 }
 
-// The first host is told to stop while requests of others wait there to be begun.
-// It gives them back at once, and the next host has their work done: they would
-// wait for its end in vain otherwise.
-func TestStoppingHostGivesBackWhatWaits(t *testing.T) {
+// The owner shuts down while requests of other hosts wait there for admission. It rejects them at
+// once, and the next host runs them: otherwise they would wait until it has ended.
+func TestLeavingOwnerRejectsWaitingRequests(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	first.fixture.blockCalls = make(chan struct{})
 	const requests = 200
-	ended := make(chan error, requests)
+	finished := make(chan error, requests)
 	for i := range requests {
 		go func() {
 			_, err := third.run(fmt.Sprint(i))
-			ended <- err
+			finished <- err
 		}()
 	}
 	waiting := func() int {
@@ -324,38 +322,38 @@
 		return len(first.pool.remoteWork)
 	}, "10s").Should(Equal(requests))
 	g.Eventually(waiting, "10s").Should(BeNumerically(">", 0))
-	left := waiting()
+	rejected := waiting()
 	first.pool.Leave()
-	for range left {
-		g.Eventually(ended, "10s").Should(Receive(BeNil()))
+	for range rejected {
+		g.Eventually(finished, "10s").Should(Receive(BeNil()))
 	}
-	g.Expect(second.itemsMade()).To(BeNumerically(">=", 5*left))
+	g.Expect(second.itemsMade()).To(BeNumerically(">=", 5*rejected))
 	close(first.fixture.blockCalls)
-	for range requests - left {
-		g.Eventually(ended, "10s").Should(Receive(BeNil()))
+	for range requests - rejected {
+		g.Eventually(finished, "10s").Should(Receive(BeNil()))
 	}
 }
 
-func TestWorkWithACycleIsRefused(t *testing.T) {
+func TestStageThatDependsOnLaterStageIsRefused(t *testing.T) {
 	g, _, _, third := newThreeHosts(t)
-	r := chain("r")
+	r := chainRequest("r")
 	r.Stages[0].DependsOn = []int{1}
 	g.Expect(validateStages(r.Stages)).To(MatchError(errStageOrder))
 	g.Expect(third.pool.findOwner(t.Context(), "x", residency.Set{})).To(Equal("first"))
 }
 
-// Two hosts send requests that share a part. The host that does their stage work
-// chooses their servers: the second goes elsewhere while the first one's prompt is
-// being read, though neither host knows of the other's.
-func TestOwnerChoosesWhereTheRequestsOfAllHostsRun(t *testing.T) {
+// Two hosts send requests with a shared prefix. Their owner chooses the servers: the second request goes
+// to another server while the first prompt is being prefilled, although neither host sees
+// the request of the other.
+func TestOwnerChoosesServersForAllHosts(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	run := func(n *node, id string) Results {
-		r := chain(id)
+		r := chainRequest(id)
 		r.Prompt, r.Targets = Prompt{OwnPrefill: time.Second}, []Target{{ID: "a"}, {ID: "b", Cost: 100 * time.Millisecond}}
-		made, err := n.pool.Run(t.Context(), r)
+		results, err := n.pool.Run(t.Context(), r)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(made.Owner).To(Equal("first"))
-		return made
+		g.Expect(results.Owner).To(Equal("first"))
+		return results
 	}
 	one, two := run(second, "one"), run(third, "two")
 	g.Expect([]string{one.TargetID, two.TargetID}).To(Equal([]string{"a", "b"}))
--- a/process/stages/prefixes_test.go
+++ b/process/stages/prefixes_test.go
@@ -10,13 +10,13 @@
 	"bilberrydale/process/peer"
 )
 
-// noServers knows no backend servers.
+// noServers is a TargetLookup without backend servers.
 func noServers(string, *Request) (Target, bool) { return Target{}, false }
 
-// The pattern: a part's home was busy, and a server far from most hosts has read the part.
-// Guards against reading it once more for each failure domain whose hosts name other
+// The home server of a prefix was busy, and a server far from most hosts has cached the prefix.
+// Guards against prefilling it once more for each failure domain whose hosts list other
 // servers near themselves.
-func TestServerThatHasReadAPartIsATargetForAll(t *testing.T) {
+func TestServerWithCachedPrefixIsTargetOfAllRequests(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	w := newFixture(t)
@@ -25,9 +25,9 @@
 	}
 	w.k.prompts.recordRemoteHolder(now, cachedPrefix{"part", "far"})
 	w.k.prompts.recordRemoteHolder(now, cachedPrefix{"part", "lost"})
-	choose := func(part string) string {
-		ticket := &Ticket{Request: &Request{ID: part, HostDomain: "x", TargetTime: now.Add(time.Second), Targets: homeAndNext, Prompt: draftPrompt}}
-		ticket.Request.Prompt.LongPrefix = part
+	choose := func(prefix string) string {
+		ticket := &Ticket{Request: &Request{ID: prefix, HostDomain: "x", TargetTime: now.Add(time.Second), Targets: homeAndNext, Prompt: draftPrompt}}
+		ticket.Request.Prompt.LongPrefix = prefix
 		w.k.chooseTarget(ticket, now, nil)
 		return ticket.TargetID
 	}
@@ -36,9 +36,10 @@
 	g.Expect(homeAndNext).To(HaveLen(2))
 }
 
-// The pattern: two regions ask for one part, and in the first its home is busy. Guards
-// against the second sending it to the home, which then reads what another server has.
-func TestRegionsTellEachOtherWhereAPartWasRead(t *testing.T) {
+// Two regions get requests with the same prefix, and in the first the home server is busy.
+// Guards against the second region choosing the home server, which would prefill what another
+// server has cached.
+func TestRegionsAnnounceUnexpectedHolders(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
 	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
@@ -51,11 +52,11 @@
 		here.fixture.k.chooseTarget(ticket, now, nil)
 	}
 	g.Eventually(func() []string { return there.fixture.k.prompts.holderIDs(time.Now(), "moved") }, "30s").Should(Equal([]string{"next"}))
-	g.Expect(there.fixture.k.prompts.holderIDs(time.Now(), "at home")).To(BeEmpty(), "nobody needs to be told")
+	g.Expect(there.fixture.k.prompts.holderIDs(time.Now(), "at home")).To(BeEmpty(), "the home server is expected")
 }
 
-// Guards against a message whose size a busy region decides.
-func TestNewsOfPartsIsBounded(t *testing.T) {
+// Guards against messages whose size grows with the load of a region.
+func TestPrefixNoticesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
 	n := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
@@ -67,7 +68,7 @@
 	g.Expect(len(n.pool.pendingNotices)).To(BeNumerically("<=", maxPrefixNotices))
 }
 
-func TestNewsThatCannotBeReadIsRefused(t *testing.T) {
+func TestMalformedPrefixNoticeIsRefused(t *testing.T) {
 	n := (&network{hosts: map[string]*node{}}).add(t, peer.Identity{Host: "here"})
 	_, err := n.pool.serveCachedPrefixes(context.Background(), peer.Identity{}, []byte("x"))
 	NewWithT(t).Expect(err).To(HaveOccurred())
--- a/process/stages/randomload_test.go
+++ b/process/stages/randomload_test.go
@@ -16,16 +16,15 @@
 )
 
 var (
-	firstSeed = flag.Uint64("stages.seed", 1, "first seed of the drawn loads")
-	seedCount = flag.Uint64("stages.draws", 12, "drawn loads to play")
+	firstSeed = flag.Uint64("stages.seed", 1, "first seed of the random workloads")
+	seedCount = flag.Uint64("stages.draws", 12, "number of random workloads")
 )
 
-// drawnKept are seeds in which urgent requests were once served less often than others.
+// regressionSeeds are seeds in which urgent requests were once served less often than others.
 var regressionSeeds = []uint64{15, 31, 35, 71, 88, 94}
 
-// draw is a place and a load that nobody has chosen: a few services of a few servers each,
-// kinds of requests that need some of them one after the other, and more or less than can
-// be served of them.
+// randomWorkload generates a few services of a few servers each, request classes with chains of
+// these services, and a load below or above the capacity.
 func randomWorkload(seed uint64) workload {
 	r := rand.New(rand.NewPCG(seed, 77))
 	l := workload{seed: seed, duration: 6 * time.Second, services: map[string]simService{}}
@@ -33,12 +32,12 @@
 	for _, name := range names {
 		l.services[name] = randomService(r)
 	}
-	kinds := 2 + r.IntN(3)
-	for i := range kinds { // the most urgent first
+	classes := 2 + r.IntN(3)
+	for i := range classes { // the most urgent class first
 		c := randomClass(r, i, names, l.services)
 		if i > 0 && r.IntN(2) == 0 {
 			first := l.classes[0]
-			c.sameStagesAs, c.stages, c.targetLatency, c.deadline = first.sameStagesAs, first.stages, first.targetLatency, first.deadline
+			c.sameStagesAs, c.stages, c.targetLatency, c.timeout = first.sameStagesAs, first.stages, first.targetLatency, first.timeout
 		}
 		l.classes = append(l.classes, c)
 	}
@@ -46,11 +45,13 @@
 	return l
 }
 
-// lateWorth of a request's worth is earned by an answer that comes after its aim.
+// lateWorth is the share of a request's worth that a response after its target time earns.
 const lateWorth = 0.15
 
+// uniform returns a random number between low and high.
 func uniform(r *rand.Rand, low, high float64) float64 { return low + (high-low)*r.Float64() }
 
+// randomService generates a service of 2 to 12 servers.
 func randomService(r *rand.Rand) simService {
 	items := 1 + r.IntN(64)
 	call := time.Duration(uniform(r, 20, 300)) * time.Millisecond
@@ -62,14 +63,14 @@
 	return simService{Options: o, serverDomains: servers}
 }
 
-// drawCaller is a kind of request whose aim leaves it a part of its stages' time at least,
-// and whose clients wait a few times that.
-func randomClass(r *rand.Rand, kind int, names []string, services map[string]simService) requestClass {
+// randomClass generates a request class whose target latency is 1.2 to 3 times the time of its
+// stages, and whose clients wait 2 to 6 times the target latency.
+func randomClass(r *rand.Rand, index int, names []string, services map[string]simService) requestClass {
 	list := slices.Clone(names)
 	r.Shuffle(len(list), func(i, j int) { list[i], list[j] = list[j], list[i] })
 	list = list[:1+r.IntN(len(list))]
 	var chain []Stage
-	var path time.Duration
+	var stageTime time.Duration
 	for i, name := range list {
 		o := services[name].Options
 		s := Stage{Service: name, Items: 1 + r.IntN(min(2*o.MaxItems, 16)), ResultBytes: 1_000}
@@ -77,53 +78,54 @@
 			s.DependsOn = []int{i - 1}
 		}
 		chain = append(chain, s)
-		path += o.CallTime + time.Duration(o.MaxItems)*o.ItemTime + callOverhead
+		stageTime += o.CallTime + time.Duration(o.MaxItems)*o.ItemTime + callOverhead
 	}
-	aim := time.Duration(uniform(r, 1.2, 3) * float64(path))
+	targetLatency := time.Duration(uniform(r, 1.2, 3) * float64(stageTime))
 	worth := uniform(r, 0.5, 5)
 	return requestClass{
-		name: fmt.Sprint("kind", kind), sameStagesAs: fmt.Sprint("kind", kind), targetLatency: aim, deadline: time.Duration(uniform(r, 2, 6) * float64(aim)),
+		name: fmt.Sprint("kind", index), sameStagesAs: fmt.Sprint("kind", index), targetLatency: targetLatency, timeout: time.Duration(uniform(r, 2, 6) * float64(targetLatency)),
 		meanWorth: worth, worth: func(r *rand.Rand) float64 { return worth * (0.3 + 0.7*r.ExpFloat64()) },
 		stages: func(*rand.Rand) []Stage { return slices.Clone(chain) },
 		rate:   steady(uniform(r, 1, 10)),
 	}
 }
 
-// scale sets how many requests come: the scarcest service is asked for 0.3 to 3 times of
-// what it makes.
+// scale sets the request rates such that the demand for the scarcest service is 0.3 to 3 times
+// its capacity.
 func (l *workload) scale(r *rand.Rand) {
-	asked := map[string]float64{}
+	demand := map[string]float64{}
 	for _, c := range l.classes {
 		for _, s := range c.stages(r) {
-			asked[s.Service] += float64(s.Items) * c.rate(0)
+			demand[s.Service] += float64(s.Items) * c.rate(0)
 		}
 	}
-	most, all := 0.0, 0.0
-	for name, n := range asked {
-		most = max(most, n/l.services[name].itemRate())
+	maxUtilization, totalRate := 0.0, 0.0
+	for name, n := range demand {
+		maxUtilization = max(maxUtilization, n/l.services[name].itemRate())
 	}
 	for _, c := range l.classes {
-		all += c.rate(0)
+		totalRate += c.rate(0)
 	}
-	x := min(uniform(r, 0.3, 3)/most, maxRequestRate/all)
+	factor := min(uniform(r, 0.3, 3)/maxUtilization, maxRequestRate/totalRate)
 	for i, c := range l.classes {
-		l.classes[i].rate = steady(x * c.rate(0))
+		l.classes[i].rate = steady(factor * c.rate(0))
 	}
 }
 
-// maxDrawn requests a second take some tenths of a second to play.
+// maxRequestRate, in requests per second, limits the run time to some tenths of a second.
 const maxRequestRate = 300
 
-// rate is how many items a second the servers make in full calls.
+// itemRate returns the items per second of a service in full calls.
 func (s simService) itemRate() float64 {
 	return float64(len(s.serverDomains)*s.MaxItems) / s.fullCallTime().Seconds()
 }
 
+// fullCallTime returns the duration of a full call.
 func (s simService) fullCallTime() time.Duration {
 	return s.CallTime + time.Duration(s.MaxItems)*s.ItemTime
 }
 
-// earned is the worth that a run earned: whole in time, a part late.
+// earnedWorth returns the worth that a run earned: all of it in time, lateWorth of it late.
 func (l workload) earnedWorth(out map[string]*outcomeCounts) (sum float64) {
 	for _, c := range l.classes {
 		sum += c.meanWorth * (float64(out[c.name].onTime) + lateWorth*float64(out[c.name].late))
@@ -131,9 +133,9 @@
 	return sum
 }
 
-// most is what could be earned if nothing came at once, nothing had to wait and every call
-// was full: the least over all services of what its servers could earn if no other was
-// scarce.
+// maxWorth returns the maximum worth if there were no bursts and no waiting, and all calls were
+// full: the minimum over all services of what its servers could earn if no other service
+// were scarce.
 func (l workload) maxWorth(out map[string]*outcomeCounts) float64 {
 	least := math.Inf(1)
 	for name, svc := range l.services {
@@ -163,15 +165,15 @@
 	return least
 }
 
-// naively plays the same load with everything begun as it comes.
+// runAdmitAll runs the workload with all requests started on arrival.
 func (l workload) runAdmitAll(t *testing.T) map[string]*outcomeCounts {
 	l.admitAll = true
 	out, _ := l.run(t)
 	return out
 }
 
-// inversions are the pairs of kinds of the same stages of which the more urgent one is
-// served or in time less often than the other, beyond the users' bounds.
+// priorityInversions returns the pairs of classes with the same stages of which the more urgent
+// class is served or in time less often than the other, beyond the users' tolerances.
 func (l workload) priorityInversions(out map[string]*outcomeCounts) (list []string) {
 	for i, a := range l.classes {
 		for _, b := range l.classes[i+1:] {
@@ -184,11 +186,12 @@
 }
 
 const (
-	minOffered      = 50 // fewer tell of chance
+	minOffered      = 50 // with fewer requests a difference may be random
 	servedTolerance = 0.05
 	onTimeTolerance = 0.15
 )
 
+// inverted reports whether the more urgent class is served or in time less often than the other.
 func inverted(urgent, other outcomeCounts) bool {
 	if min(urgent.offered, other.offered) < minOffered {
 		return false
@@ -196,12 +199,12 @@
 	return urgent.servedShare() < other.servedShare()-servedTolerance || urgent.onTimeShare() < other.onTimeShare()-onTimeTolerance
 }
 
-// The pattern: loads that nobody has chosen. Guards against decisions that suit the
-// deployments they were made on only: requests that are served less often than less urgent
-// ones of the same stages, and work that earns less than if all were begun as it comes.
+// Random workloads. Guards against decisions that suit only the deployments they were designed
+// for: requests that are served less often than less urgent requests of the same stages, and
+// less earned worth than if all requests started on arrival.
 func TestDrawnLoads(t *testing.T) {
 	g := NewWithT(t)
-	mine, naive := 0.0, 0.0
+	own, baseline := 0.0, 0.0
 	seeds := slices.Clone(regressionSeeds)
 	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		seeds = append(seeds, seed)
@@ -209,12 +212,12 @@
 	for _, seed := range seeds {
 		l := randomWorkload(seed)
 		out, _ := l.run(t)
-		most := l.maxWorth(out)
-		own, other := l.earnedWorth(out)/most, l.earnedWorth(l.runAdmitAll(t))/most
-		t.Logf("seed %d: %.2f of what could be earned at most, %.2f naively", seed, own, other)
+		maxWorth := l.maxWorth(out)
+		ownShare, baselineShare := l.earnedWorth(out)/maxWorth, l.earnedWorth(l.runAdmitAll(t))/maxWorth
+		t.Logf("seed %d: %.2f of the maximum worth, %.2f with all requests started on arrival", seed, ownShare, baselineShare)
 		g.Expect(l.priorityInversions(out)).To(BeEmpty(), "seed %d", seed)
-		mine, naive = mine+own, naive+other
+		own, baseline = own+ownShare, baseline+baselineShare
 	}
-	t.Logf("of what could be earned at most: %.3f, naively %.3f", mine/float64(len(seeds)), naive/float64(len(seeds)))
-	g.Expect(mine).To(BeNumerically(">", naive))
+	t.Logf("share of the maximum worth: %.3f, with all requests started on arrival %.3f", own/float64(len(seeds)), baseline/float64(len(seeds)))
+	g.Expect(own).To(BeNumerically(">", baseline))
 }
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -13,10 +13,10 @@
 	"bilberrydale/process/residency"
 )
 
-// Guards against stage work that is collected outside of the regions which its request
-// allows, also where one host collects all: the strongest host is elsewhere, and once the
-// permitted region has lost its hosts the work stays at the host that has the client.
-func TestStageWorkIsCollectedWhereTheRequestAllows(t *testing.T) {
+// Guards against running stage work on hosts outside the allowed regions of its request, also
+// where a single host owns all work: the strongest host is elsewhere, and once the allowed
+// region has lost its hosts, the work stays on the host that has the client.
+func TestOwnerIsInAllowedRegions(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
 	client := x.add(t, peer.Identity{Host: "client's", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 3})
@@ -26,24 +26,24 @@
 		n.pool.region = func(string) string { return "" }
 		n.pool.MarkPeersKnown()
 	}
-	bound := func(id string) *Request {
-		r := chain(id)
+	restricted := func(id string) *Request {
+		r := chainRequest(id)
 		r.AllowedRegions = residency.Set{AccountRegions: []string{"r2"}}
 		return r
 	}
-	free, err := client.pool.Run(t.Context(), chain("free"))
+	unrestricted, err := client.pool.Run(t.Context(), chainRequest("free"))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(free.Owner).To(Equal("strong"))
-	_, err = client.pool.Run(t.Context(), bound("bound"))
-	g.Expect(err).To(MatchError(&Error{Reason: batcher.NoServer}), "the servers here lie in no region that it allows")
+	g.Expect(unrestricted.Owner).To(Equal("strong"))
+	_, err = client.pool.Run(t.Context(), restricted("bound"))
+	g.Expect(err).To(MatchError(&Error{Reason: batcher.NoServer}), "no server is in an allowed region")
 	g.Expect(home.calls).To(Equal(1))
 	home.down = true
-	_, err = client.pool.Run(t.Context(), bound("alone"))
+	_, err = client.pool.Run(t.Context(), restricted("alone"))
 	g.Expect(err).To(MatchError(&Error{Reason: batcher.NoServer}))
-	g.Expect(strong.calls).To(Equal(1), "of the request that any host may see")
+	g.Expect(strong.calls).To(Equal(1), "only the unrestricted request")
 }
 
-// ownerLog counts the owners that were logged.
+// ownerLog counts the logged changes of owners.
 type ownerLog struct {
 	discardLog
 	changes int
@@ -51,8 +51,8 @@
 
 func (l *ownerLog) OwnerChanged(string, string, uint64) { l.changes++ }
 
-// Guards against a line for each request where bound and free requests take turns.
-func TestBoundRequestsAreNoChangeOfOwner(t *testing.T) {
+// Guards against a log line per request when restricted and unrestricted requests alternate.
+func TestRestrictedRequestsDoNotLogOwnerChange(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
 	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 2})
@@ -66,9 +66,8 @@
 	g.Expect(log.changes).To(Equal(1))
 }
 
-// Guards against a result that is made by a server nearby, in a region that the request
-// does not allow.
-func TestEachStageIsBoundToTheRegionsOfItsRequest(t *testing.T) {
+// Guards against results made by a nearby server in a region that the request does not allow.
+func TestStagesRunInAllowedRegions(t *testing.T) {
 	w := newFixture(t)
 	for name, b := range w.batchers {
 		d := directory.New()
@@ -78,18 +77,18 @@
 		b.Configure(b.Options(), d.View().Servers(name), func(*directory.Server) time.Duration { return 0 })
 	}
 	for region, server := range map[string]string{"r1": "portal-near", "r2": "portal-far"} {
-		r := chain(region)
+		r := chainRequest(region)
 		r.AllowedRegions.RouteRegions = []string{region}
-		made, err := w.k.Run(t.Context(), r)
+		results, err := w.k.Run(t.Context(), r)
 		w.g.Expect(err).NotTo(HaveOccurred())
-		for _, in := range made.Inputs {
+		for _, in := range results.Inputs {
 			w.g.Expect(in.ServerID).To(Equal(server))
 		}
 	}
 }
 
-// Guards against a wait to the deadline for servers in a region that has none of a stage.
-func TestRequestWithoutAServerInItsRegionsIsRefusedAtOnce(t *testing.T) {
+// Guards against waiting until the deadline for a stage without servers in the allowed regions.
+func TestRequestWithoutServerInAllowedRegionsIsRejectedAtOnce(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	a := NewAdmission(func(string) (Service, bool) {
@@ -109,17 +108,17 @@
 	g.Expect(outcome(residency.Set{RouteRegions: []string{"r2", "r3"}})).To(Equal("begun"))
 }
 
-// Guards against a shared part of a request that is bound to regions being named to others.
-func TestPartsOfBoundRequestsAreNotTold(t *testing.T) {
+// Guards against announcing prefixes of restricted requests to other regions.
+func TestPrefixesOfRestrictedRequestsAreNotAnnounced(t *testing.T) {
 	g := NewWithT(t)
 	w := newFixture(t)
-	told := 0
-	w.k.announcePrefix = func(cachedPrefix) { told++ }
+	announced := 0
+	w.k.announcePrefix = func(cachedPrefix) { announced++ }
 	now := time.Now()
 	for i, set := range []residency.Set{{}, {RouteRegions: []string{"r1"}}} {
 		r := &Request{ID: "r", TargetTime: now.Add(time.Second), AllowedRegions: set, Prompt: draftPrompt, Targets: []Target{{ID: "next"}}}
 		r.Prompt.LongPrefix = fmt.Sprint("part", i)
 		w.k.chooseTarget(&Ticket{Request: r}, now, nil)
 	}
-	g.Expect(told).To(Equal(1))
+	g.Expect(announced).To(Equal(1))
 }
--- a/process/stages/target_test.go
+++ b/process/stages/target_test.go
@@ -8,26 +8,25 @@
 	. "github.com/onsi/gomega"
 )
 
-// draft is a prompt that shares a long part with others.
+// draftPrompt shares a long prefix with other prompts.
 var draftPrompt = Prompt{LongPrefix: "part", CacheGain: 240 * time.Millisecond, SharedPrefill: 200 * time.Millisecond, OwnPrefill: 100 * time.Millisecond}
 
 var homeAndNext = []Target{{ID: "home", Home: true}, {ID: "next"}}
 
-// tight leaves no time to wait without being late.
+// tightSlack leaves no time to wait without being late.
 const tightSlack = time.Millisecond
 
-// choose has a request placed and returns where.
+// choose returns the server chosen for a request.
 func choose(r *promptTracker, now time.Time, i int, slack time.Duration, p Prompt, list []Target) string {
-	return r.choose(now, key(i), slack, p, list).serverID
+	return r.choose(now, testKey(i), slack, p, list).serverID
 }
 
-func key(i int) workKey { return workKey{id: fmt.Sprint(i)} }
+func testKey(i int) workKey { return workKey{id: fmt.Sprint(i)} }
 
-// The pattern: a shared part is asked for many times within a moment, by clients of
-// many hosts, none of which sees the others' requests. Its home gets as many as take
-// less time than reading the part anew elsewhere. From then on two servers have it,
-// and share its requests.
-func TestHotPartSpreadsOnceItsHomeIsBehind(t *testing.T) {
+// Many requests with one shared prefix arrive within a moment from many hosts, none of which
+// sees the requests of the others. The home server gets as many as take less time there than
+// prefilling the prefix elsewhere. From then on two servers have it and share the requests.
+func TestHotPrefixSpreadsOnceHomeServerIsBusy(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
@@ -37,15 +36,16 @@
 	}
 	g.Expect(chosen).To(Equal([]string{"home", "home", "home", "next", "home", "next", "home", "next"}))
 	for i := range chosen {
-		r.promptDone(chosen[i], key(i))
+		r.promptDone(chosen[i], testKey(i))
 	}
-	g.Expect(choose(&r, now, 8, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"), "it has caught up")
+	g.Expect(choose(&r, now, 8, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"), "it has no pending prompts")
 }
 
-// The home of a part has three prompts to read. A request that has time enough waits
-// for it, since reading the part anew would take another server's time; one whose aim
-// is near does not, and one that is late already does not take that time either.
-func TestRequestsWaitForTheHomeWhileTheirAimAllows(t *testing.T) {
+// The home server of a prefix has three pending prompts. A request with enough slack waits for
+// it, since prefilling the prefix elsewhere takes another server's time. A request close to
+// its target time does not wait. A request that is late already does not take the other
+// server's time either.
+func TestRequestsWaitForHomeServerWhileSlackAllows(t *testing.T) {
 	for slack, want := range map[time.Duration]string{
 		2 * time.Second: "home", 100 * time.Millisecond: "next", -time.Second: "home",
 	} {
@@ -58,22 +58,22 @@
 	}
 }
 
-// A server that read a part some time ago may have given it up. The part's home is
-// the one to ask again.
-func TestPartsAreForgottenAfterAWhile(t *testing.T) {
+// A server that cached a prefix some time ago may have evicted it. The home server is chosen
+// again.
+func TestPrefixHoldersExpire(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
 	choose(&r, now, 1, tightSlack, draftPrompt, []Target{{ID: "next"}})
-	r.promptDone("next", key(1))
+	r.promptDone("next", testKey(1))
 	g.Expect(choose(&r, now, 2, tightSlack, draftPrompt, homeAndNext)).To(Equal("next"))
-	r.promptDone("next", key(2))
+	r.promptDone("next", testKey(2))
 	g.Expect(choose(&r, now.Add(prefixTTL), 3, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"))
 }
 
-// The pattern: one server reads more slowly than the others. Its prompts count until
-// they are read, however long it was thought to take: what can go elsewhere does.
-func TestSlowReaderGetsLess(t *testing.T) {
+// One server prefills more slowly than the others. Its prompts count as pending until they are
+// done, whatever the estimate was, so other servers get the requests.
+func TestSlowServerGetsFewerPrompts(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
@@ -81,14 +81,14 @@
 	g.Expect(choose(&r, now, 1, tightSlack, chat, list)).To(Equal("slow"))
 	now = now.Add(time.Second)
 	g.Expect(choose(&r, now, 2, tightSlack, chat, list)).To(Equal("next"))
-	r.promptDone("next", key(2))
-	r.promptDone("slow", key(1))
+	r.promptDone("next", testKey(2))
+	r.promptDone("slow", testKey(1))
 	g.Expect(choose(&r, now, 3, tightSlack, chat, list)).To(Equal("slow"))
 }
 
-// The host that would tell that a prompt was read has lost power. Its prompts do not
-// keep requests away for good, and nothing of them is kept.
-func TestPromptsOfALostHostAreForgotten(t *testing.T) {
+// The host that would report a prefill has failed. Its prompts don't keep requests away from the
+// server for good, and their entries are removed.
+func TestPendingPromptsOfFailedHostExpire(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
@@ -97,7 +97,7 @@
 	}
 	now = now.Add(pendingTimeout)
 	g.Expect(choose(&r, now, 10, tightSlack, draftPrompt, homeAndNext)).To(Equal("home"))
-	r.promptDone("home", key(10))
+	r.promptDone("home", testKey(10))
 	r.pendingTime(now, "next")
 	g.Expect(r.pendingByServer).To(BeEmpty())
 }
@@ -107,9 +107,9 @@
 	NewWithT(t).Expect(choose(&r, time.Unix(1000, 0), 1, tightSlack, draftPrompt, nil)).To(BeEmpty())
 }
 
-// Results of 3 MB lie in one failure domain. What a server elsewhere costs for them is
-// known only once they are made, wherever that was.
-func TestLargeResultsDrawTheRequest(t *testing.T) {
+// Results of 3 MB are stored in one failure domain. The transfer cost of other servers is known
+// only once the results exist.
+func TestLargeResultsAddTransferCost(t *testing.T) {
 	g := NewWithT(t)
 	inputs := []Input{{Bytes: 3_000_000, Domain: "x"}, {Bytes: 6_000, Domain: "y"}}
 	list := withTransferCost([]Target{{ID: "a", Domain: "x", Cost: time.Millisecond}, {ID: "b", Domain: "y"}}, inputs)
@@ -117,7 +117,7 @@
 	g.Expect(list[1].Cost).To(Equal(60 * time.Millisecond))
 }
 
-// fetched is a draft whose shared part can be had from another server.
+// fetchablePrompt is a draftPrompt whose long prefix can be transferred from another server.
 var fetchablePrompt = func() Prompt {
 	p := draftPrompt
 	p.ShortPrefix, p.FetchTime = "prefix", 10*time.Millisecond
@@ -126,32 +126,32 @@
 
 var threeDomains = []Target{{ID: "a1", Domain: "a"}, {ID: "a2", Domain: "a"}, {ID: "b1", Domain: "b"}}
 
-// place has a request placed on one server only.
+// chooseAt assigns a request to the named server.
 func chooseAt(r *promptTracker, now time.Time, i int, p Prompt, server string) choice {
 	for _, t := range threeDomains {
 		if t.ID == server {
-			return r.choose(now, key(i), time.Second, p, []Target{t})
+			return r.choose(now, testKey(i), time.Second, p, []Target{t})
 		}
 	}
 	return choice{}
 }
 
-// Guards against a long part that is read once more by each server that its requests come
-// to, though another one has it; and against a transfer from one that is still reading.
-func TestPartIsFetchedFromAServerThatHasReadIt(t *testing.T) {
+// Guards against prefilling a long prefix on each server that gets its requests although another
+// server has it, and against a transfer from a server that is still prefilling it.
+func TestPrefixIsFetchedFromHolder(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
-	g.Expect(chooseAt(&r, now, 0, fetchablePrompt, "b1").fetchFrom).To(BeEmpty(), "nobody has it")
-	g.Expect(chooseAt(&r, now, 1, fetchablePrompt, "a1").fetchFrom).To(BeEmpty(), "it is still being read")
+	g.Expect(chooseAt(&r, now, 0, fetchablePrompt, "b1").fetchFrom).To(BeEmpty(), "no server has it")
+	g.Expect(chooseAt(&r, now, 1, fetchablePrompt, "a1").fetchFrom).To(BeEmpty(), "it is still being prefilled")
 	now = now.Add(time.Second)
-	g.Expect(chooseAt(&r, now, 2, fetchablePrompt, "b1").fetchFrom).To(Equal("a1"), "its own may be dropped by now")
-	g.Expect(chooseAt(&r, now, 3, fetchablePrompt, "a2").fetchFrom).To(Equal("a1"), "the one in its own failure domain")
-	g.Expect(chooseAt(&r, now.Add(prefixTTL+time.Second), 5, fetchablePrompt, "a2").fetchFrom).To(BeEmpty(), "they have dropped it")
+	g.Expect(chooseAt(&r, now, 2, fetchablePrompt, "b1").fetchFrom).To(Equal("a1"), "its own copy may be evicted by now")
+	g.Expect(chooseAt(&r, now, 3, fetchablePrompt, "a2").fetchFrom).To(Equal("a1"), "the holder in its own failure domain")
+	g.Expect(chooseAt(&r, now.Add(prefixTTL+time.Second), 5, fetchablePrompt, "a2").fetchFrom).To(BeEmpty(), "the holders have expired")
 }
 
-// Guards against a transfer between servers that cannot make one.
-func TestPartIsReadWhereItCannotBeFetched(t *testing.T) {
+// Guards against a transfer between servers that don't support it.
+func TestPrefixIsPrefilledIfFetchIsUnsupported(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
@@ -159,10 +159,10 @@
 	g.Expect(chooseAt(&r, now.Add(time.Second), 1, draftPrompt, "a1").fetchFrom).To(BeEmpty())
 }
 
-// The pattern: many things share the first part of their prompts, and each has a second
-// one of its own. Guards against reading the first part anew for each new thing, also at
-// the server where the second part is only presumed to be.
-func TestPrefixOfANewPartIsFetched(t *testing.T) {
+// Many prompts share a short prefix, and each has a long prefix of its own. Guards against
+// prefilling the short prefix for each new long prefix, also on the server that is only
+// presumed to have the long prefix.
+func TestShortPrefixIsFetchedForNewLongPrefix(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
@@ -173,12 +173,12 @@
 	g.Expect(chooseAt(&r, now, 1, other, "a1").fetchFrom).To(Equal("b1"))
 	other.LongPrefix = "one more"
 	home := []Target{{ID: "a2", Domain: "a", Home: true}}
-	g.Expect(r.choose(now, key(2), time.Second, other, home).fetchFrom).NotTo(BeEmpty())
+	g.Expect(r.choose(now, testKey(2), time.Second, other, home).fetchFrom).NotTo(BeEmpty())
 }
 
-// Guards against a region that takes a part's holder for gone, since it heard of it once,
-// and reads what is in use elsewhere.
-func TestOtherRegionsHearAgainOfPartsInUse(t *testing.T) {
+// Guards against a region that drops the holder of a prefix after a single notice, and prefills
+// a prefix that is in use elsewhere.
+func TestPrefixesInUseAreAnnouncedAgain(t *testing.T) {
 	g := NewWithT(t)
 	now := time.Unix(1000, 0)
 	var r promptTracker
