--- a/connection/engineorder/engineorder.go
+++ b/connection/engineorder/engineorder.go
@@ -40,7 +40,7 @@
 	case err != nil:
 		return err
 	case status == http.StatusPreconditionFailed:
-		return order.ErrOldFence
+		return order.ErrStaleFence
 	case status >= http.StatusMultipleChoices:
 		return fmt.Errorf("order to %s: status %d", address, status)
 	}
@@ -48,7 +48,7 @@
 }
 
 // Read implements order.Sender.
-func (c *Client) Read(ctx context.Context, address string) (order.State, error) {
+func (c *Client) ReadState(ctx context.Context, address string) (order.State, error) {
 	status, data, err := c.call(ctx, http.MethodGet, address, pathLoad, nil)
 	if err != nil {
 		return order.State{}, err
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -62,7 +62,7 @@
 	meter     *meter.Meter
 
 	store          *platform.Store
-	plan           inforce.Cell[plan.Plan]
+	plan           inforce.Value[plan.Plan]
 	directory      *directory.Directory
 	configFollower *follow.Follower[plan.Config]
 	serverFollower *follow.Follower[directory.Entry]
--- a/entryhost/callers.go
+++ b/entryhost/callers.go
@@ -47,15 +47,15 @@
 	}
 	e := kind.New(kind.Overloaded, "%d requests are in this entry host", h.opts.MaxActive)
 	// A resend may have run here or elsewhere before; only this send did not.
-	e.Earlier = r.Header.Get(h.opts.Headers.Key) != ""
+	e.EarlierAttempt = r.Header.Get(h.opts.Headers.Key) != ""
 	a := kind.Lookup(e.Kind)
 	head := w.Header()
 	head.Set(h.opts.Headers.RequestID, id)
 	head.Set("Content-Type", "application/problem+json")
-	head.Set("Retry-After", strconv.Itoa(int(e.Wait()/time.Second)))
+	head.Set("Retry-After", strconv.Itoa(int(e.RetryDelay()/time.Second)))
 	w.WriteHeader(a.Status)
 	_ = json.NewEncoder(w).Encode(entry.Problem{
 		Type: "about:blank#" + string(e.Kind), Title: a.Title, Status: a.Status, Detail: e.Detail,
-		Kind: e.Kind, Ran: e.Ran(), RequestID: id, RetryAfter: e.Wait().Seconds(),
+		Kind: e.Kind, Ran: e.Ran(), RequestID: id, RetryAfter: e.RetryDelay().Seconds(),
 	})
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -36,7 +36,7 @@
 
 	store    objectapi.Store
 	registry *server.Registry
-	inForce  inforce.Cell[snapshot.Snapshot]
+	inForce  inforce.Value[snapshot.Snapshot]
 	gate     drain.Gate
 	tracer   trace.Tracer
 
--- a/entryhost/members.go
+++ b/entryhost/members.go
@@ -25,7 +25,7 @@
 
 	monitor  *member.Monitor
 	servers  *report.Watcher
-	lease    *lease.Keeper
+	lease    *lease.Elector
 	orders   *order.Manager
 	accepted atomic.Pointer[modelTable]
 	mesh     *peer.Mesh
--- a/entryhost/options_tls.go
+++ b/entryhost/options_tls.go
@@ -66,7 +66,7 @@
 		})
 		return nil
 	})
-	return tls.NewListener(l, pair.Config()), nil
+	return tls.NewListener(l, pair.TLSConfig()), nil
 }
 
 // forwardReloads passes each reload signal to every certificate.
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -53,13 +53,13 @@
 func (h *Host) giveOrders(m *member.Monitor) {
 	self := h.members.link.Self()
 	p, ttl := &h.members, h.opts.Members.LeaseTTL
-	p.lease = lease.NewKeeper(lease.Options{
-		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.Prefix + h.opts.Domain, Host: h.opts.Name,
-		Candidate: func() bool { return !h.gate.Closed() && member.First(m, self, "lease", leaseCandidates) },
-		TTL:       ttl, Margin: ttl / marginPart, LongestOrder: ttl / longestOrderPart,
+	p.lease = lease.NewElector(lease.Options{
+		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.KeyPrefix + h.opts.Domain, Host: h.opts.Name,
+		IsCandidate: func() bool { return !h.gate.Closed() && member.First(m, self, "lease", leaseCandidates) },
+		TTL:         ttl, Margin: ttl / marginPart, MaxOrderDuration: ttl / longestOrderPart,
 	})
 	p.orders = order.New(order.Options{
-		Lease: p.lease, Clock: h.clock, Sender: engineorder.New(), Rate: h.opts.Members.OrderRate,
+		Lease: p.lease, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Members.OrderRate,
 		Targets: h.engineTargets, Timeout: ttl / orderTimeoutPart,
 	})
 	h.add("lease", p.lease.Run)
@@ -150,9 +150,9 @@
 		}
 		t := byAddress[s.Address]
 		if t == nil {
-			t = &order.Target{Name: s.Name, Address: s.Address, Fencing: p.Fencing}
+			t = &order.Target{Name: s.Name, Address: s.Address, ChecksFencing: p.Fencing}
 			if l := s.State.Load(); l != nil {
-				t.Reported = &order.State{Models: l.Models, Role: l.Role}
+				t.LastReported = &order.State{Models: l.Models, Role: l.Role}
 			}
 			byAddress[s.Address] = t
 		}
@@ -177,6 +177,6 @@
 		"checks": hb.Checks.Load(), "judged_gone": hb.Judged.Load(), "pulls": hb.Pulls.Load(),
 		"polls": rep.Polls.Load(), "host_list_reads": rep.Lists.Load(), "loads_shared": rep.Shared.Load(), "loads_shared_bytes": rep.SharedBytes.Load(),
 		"lease_held": held, "lease_fence": fence,
-		"orders_sent": ord.Sent.Load(), "orders_confirmed": ord.Confirmed.Load(), "orders_failed": ord.Failed.Load(), "orders_stopped": ord.Stopped.Load(),
+		"orders_sent": ord.Sent.Load(), "orders_confirmed": ord.Confirmed.Load(), "orders_failed": ord.Failed.Load(), "orders_stopped": ord.LeaseNotHeld.Load(),
 	}
 }
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -30,7 +30,7 @@
 func defaultPolicyOptions() PolicyOptions {
 	a, p := admission.DefaultOptions(), pick.DefaultOptions("", "", "")
 	return PolicyOptions{
-		LoadTarget: a.Target, BackgroundBelow: a.BackgroundBelow, RemoteAt: p.RemoteAt, RemotePerMB: p.RemotePerMB,
+		LoadTarget: a.TargetLoad, BackgroundBelow: a.BackgroundMaxLoad, RemoteAt: p.RemoteAt, RemotePerMB: p.RemotePerMB,
 		SubsetRegion: p.SubsetRegion, SubsetRemote: p.SubsetRemote, LoadReports: 2,
 	}
 }
@@ -59,7 +59,7 @@
 
 func (h *Host) wirePolicy() {
 	opts := admission.DefaultOptions()
-	opts.Target, opts.BackgroundBelow = h.opts.Policy.LoadTarget, h.opts.Policy.BackgroundBelow
+	opts.TargetLoad, opts.BackgroundMaxLoad = h.opts.Policy.LoadTarget, h.opts.Policy.BackgroundBelow
 	h.policy.control = admission.NewController(opts, h.rand)
 	h.policy.admit = h.policy.control
 	h.add("admission", h.tick)
@@ -68,7 +68,7 @@
 	}
 	h.add("loads outside", loads.Run)
 	policyVars.Set(h.opts.Name, expvar.Func(func() any {
-		return map[string]any{"pools": h.policy.control.States(), "refusals": h.policy.control.Refusals()}
+		return map[string]any{"pools": h.policy.control.PoolStates(), "refusals": h.policy.control.Refusals()}
 	}))
 }
 
@@ -109,7 +109,7 @@
 	var out []admission.PoolLoad
 	h.placed(func(pool string, p *pick.Placed) {
 		l := p.Load(now)
-		out = append(out, admission.PoolLoad{Pool: pool, Slots: l.Slots, Busy: l.Busy, Own: l.Own, Then: l.Then, OwnThen: l.OwnThen, Trials: l.Trials})
+		out = append(out, admission.PoolLoad{Pool: pool, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen, ProbesDue: l.Trials})
 	})
 	return out
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -63,7 +63,7 @@
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(snap.Pools)) {
 		l := snap.Pools[name].Picker.(*pick.Placed).Load(now)
-		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, Busy: l.Busy, Own: l.Own, Then: l.Then, OwnThen: l.OwnThen})
+		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen})
 	}
 	return out
 }
@@ -126,7 +126,7 @@
 func (w *world) decide(now time.Time, i uint64, c *caller) int {
 	rt := w.snap.Route(http.MethodPost, w.paths[i%uint64(len(w.paths))], header)
 	c.req = admission.Request{
-		Profile: rt.Profile, Account: w.names[i%uint64(len(w.names))], Arrived: now, Deadline: now.Add(5 * time.Second), Identity: i*0x9e3779b97f4a7c15 + 1,
+		Profile: rt.Profile, Account: w.names[i%uint64(len(w.names))], ArrivedAt: now, Deadline: now.Add(5 * time.Second), Fingerprint: i*0x9e3779b97f4a7c15 + 1,
 	}
 	if err := w.control.Admit(now, &c.req); err != nil {
 		return 0
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -53,8 +53,8 @@
 	return env.print(doc, []string{"STAGE", "POOL", "SERVER", "TIER", "LOAD", "STATE", "CHOICE"}, planRows(doc.Stages))
 }
 
-func verdictText(v admission.Verdict) string {
-	text := fmt.Sprintf("%v, expected %s of %s left", v.Reason, v.Expected, v.Left)
+func verdictText(v admission.Decision) string {
+	text := fmt.Sprintf("%v, expected %s of %s left", v.Reason, v.ExpectedDuration, v.Remaining)
 	if v.Pool != "" {
 		text += ", decided by pool " + v.Pool
 	}
--- a/internal/faultrun/world_test.go
+++ b/internal/faultrun/world_test.go
@@ -148,7 +148,7 @@
 	h.claims = claim.New(claim.Config{Host: name, Incarnation: w.next, Store: h.store, Clock: clock.System{}, Link: link, Options: opts})
 	h.guard = shared
 	h.runner = &pipeline.Runner{
-		Backend: backend.NewHTTP(backend.HTTPOptions{DialTimeout: 100 * time.Millisecond}), Admission: admission.Always{},
+		Backend: backend.NewHTTP(backend.HTTPOptions{DialTimeout: 100 * time.Millisecond}), Admission: admission.AlwaysAdmit{},
 		Quarantine: shared, Apart: shared, Clock: clock.System{}, Rand: clock.SystemRand{},
 		Tracer: noop.NewTracerProvider().Tracer(""), Host: name, Incarnation: w.next, Options: runOptions(),
 	}
@@ -163,7 +163,7 @@
 }
 
 func (w *world) handler(h *host) http.Handler {
-	inForce := &inforce.Cell[snapshot.Snapshot]{}
+	inForce := &inforce.Value[snapshot.Snapshot]{}
 	rows, err := table.Encode(w.tables())
 	if err != nil {
 		w.t.Fatal(err)
@@ -186,7 +186,7 @@
 	}
 	inForce.Store(snap)
 	return &entry.Handler{
-		InForce: inForce, Runner: h.runner, Admission: admission.Always{}, Claims: h.claims, Quarantine: h.guard,
+		InForce: inForce, Runner: h.runner, Admission: admission.AlwaysAdmit{}, Claims: h.claims, Quarantine: h.guard,
 		Gate: &drain.Gate{}, Clock: clock.System{}, Log: log.New(io.Discard), Tracer: noop.NewTracerProvider().Tracer(""),
 		Headers: entry.DefaultHeaders(), Limits: entry.DefaultLimits(), Counters: &entry.Counters{},
 	}
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -54,7 +54,7 @@
 	mesh     *peer.Mesh
 	monitor  *member.Monitor
 	watcher  *report.Watcher
-	keeper   *lease.Keeper
+	keeper   *lease.Elector
 	registry *server.Registry
 	domain   string
 	kill     func()
@@ -153,9 +153,9 @@
 		Link: h.mesh, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd,
 		Prober: serverprobe.New(serverprobe.Options{}), Hosts: f.store.Hosts, Targets: func() []report.Target { return f.targets(h) },
 	})
-	h.keeper = lease.NewKeeper(lease.Options{
-		Store: f.store, Clock: sys, Rand: rnd, Key: lease.Prefix + domain, Host: name,
-		Candidate: func() bool { return member.First(h.monitor, self, "lease", 2) },
+	h.keeper = lease.NewElector(lease.Options{
+		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
+		IsCandidate: func() bool { return member.First(h.monitor, self, "lease", 2) },
 	})
 	port := &peerconn.Server{Options: conns, Serve: h.mesh.Dispatch, Accepted: func(c peer.Conn) { h.mesh.Accepted(c) }}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -47,7 +47,7 @@
 		slots[p.Name] = p.Slots * len(servers)
 	}
 	for _, rt := range h.tables.Routes {
-		p := &admission.Profile{Route: rt.Name, Class: classes[rt.Class], Worth: rt.Worth, Shares: h.deployment.shares()}
+		p := &admission.Profile{Route: rt.Name, Class: classes[rt.Class], Worth: rt.Worth, AccountWeights: h.deployment.shares()}
 		for _, st := range rt.Stages {
 			p.Stages = append(p.Stages, admission.Stage{Pool: st.Pool, Budget: st.Budget.Std(), Cost: st.Cost, Slots: slots[st.Pool]})
 		}
@@ -82,9 +82,9 @@
 func (h *host) arrive(rec *Record, out *outcome) {
 	rt := h.deployment.route(rec.Route)
 	f := &flow{host: h, rec: rec, out: out, route: rt}
-	f.req = admission.Request{Profile: h.profiles[rec.Route], Account: rec.Account, Arrived: h.time(), Deadline: h.time().Add(rt.Deadline.Std()), Identity: rec.identity()}
+	f.req = admission.Request{Profile: h.profiles[rec.Route], Account: rec.Account, ArrivedAt: h.time(), Deadline: h.time().Add(rt.Deadline.Std()), Fingerprint: rec.identity()}
 	if err := h.Admitter.Admit(h.time(), &f.req); err != nil {
-		out.refused, out.why, out.retryAfter = true, string(err.Kind), err.Wait()
+		out.refused, out.why, out.retryAfter = true, string(err.Kind), err.RetryDelay()
 		return
 	}
 	out.admitted = true
@@ -125,7 +125,7 @@
 }
 
 func (f *flow) send(st *table.Stage, srv *pick.Server) {
-	f.req.Waited = !srv.Free(f.time())
+	f.req.MayHaveQueued = !srv.Free(f.time())
 	srv.State.Begin()
 	a := &attempt{on: f.servers[srv.Address], srv: srv, at: f.now}
 	f.current = a
@@ -174,9 +174,9 @@
 		f.Record(f.time(), a.srv.State, recorded(r), f.now-a.at)
 	}
 	if r == succeeded {
-		f.req.Running = 0
+		f.req.StreamDuration = 0
 		if a.on.engine {
-			f.req.Running = a.job.end - a.job.started // engines stream
+			f.req.StreamDuration = a.job.end - a.job.started // engines stream
 		}
 		f.bytes(a.srv, f.rec.Bytes[f.stage+1])
 		f.next()
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -45,7 +45,7 @@
 func Naive() Policy {
 	return Policy{"naive", func(Place, clock.Rand) *Decider {
 		return &Decider{
-			Admitter:  admission.Always{},
+			Admitter:  admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandom(s) },
 			Blind:     true,
 		}
@@ -57,7 +57,7 @@
 func Placement() Policy {
 	return Policy{"placement", func(at Place, _ clock.Rand) *Decider {
 		d := &Decider{
-			Admitter: admission.Always{},
+			Admitter: admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 				return pick.NewPlaced(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
 			},
@@ -83,7 +83,7 @@
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
 		l := pools[name].(*pick.Placed).Load(now)
-		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, Busy: l.Busy, Own: l.Own, Then: l.Then, OwnThen: l.OwnThen, Trials: l.Trials})
+		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen, ProbesDue: l.Trials})
 	}
 	return out
 }
--- a/process/admission/admission.go
+++ b/process/admission/admission.go
@@ -17,12 +17,12 @@
 	Worth  float64
 	Stages []Stage
 	// Shares are the weights of client accounts in fair shares; others weigh 1.
-	Shares map[string]float64
+	AccountWeights map[string]float64
 }
 
 // share returns the weight of an account.
 func (p *Profile) share(account string) float64 {
-	if w := p.Shares[account]; w > 0 {
+	if w := p.AccountWeights[account]; w > 0 {
 		return w
 	}
 	return 1
@@ -48,19 +48,19 @@
 
 // Request is one request at the entry.
 type Request struct {
-	Profile  *Profile
-	Account  string // client account
-	Arrived  time.Time
-	Deadline time.Time
+	Profile   *Profile
+	Account   string // client account
+	ArrivedAt time.Time
+	Deadline  time.Time
 	// Identity is the same when the caller sends the request again, on
 	// whichever entry host, such as a hash of its body; 0: unknown.
-	Identity uint64
+	Fingerprint uint64
 	// Waited is set before StageDone unless the backend server surely had a free
 	// slot as the stage was sent to it.
-	Waited bool
+	MayHaveQueued bool
 	// Running is set before StageDone of a streamed stage: the time from the
 	// first byte of the answer to its end; 0: unknown.
-	Running time.Duration
+	StreamDuration time.Duration
 
 	reached int // stages started
 }
@@ -88,16 +88,16 @@
 }
 
 // Always admits every request: the naive variant.
-type Always struct{}
+type AlwaysAdmit struct{}
 
 // Admit implements Admitter.
-func (Always) Admit(time.Time, *Request) *kind.Error { return nil }
+func (AlwaysAdmit) Admit(time.Time, *Request) *kind.Error { return nil }
 
 // StageStart implements Admitter.
-func (Always) StageStart(time.Time, *Request, int) {}
+func (AlwaysAdmit) StageStart(time.Time, *Request, int) {}
 
 // StageDone implements Admitter.
-func (Always) StageDone(time.Time, *Request, int, time.Duration, bool) {}
+func (AlwaysAdmit) StageDone(time.Time, *Request, int, time.Duration, bool) {}
 
 // Done implements Admitter.
-func (Always) Done(time.Time, *Request, Outcome) {}
+func (AlwaysAdmit) Done(time.Time, *Request, Outcome) {}
--- a/process/admission/admission_test.go
+++ b/process/admission/admission_test.go
@@ -40,7 +40,7 @@
 }
 
 func (b *bench) ask(p *Profile, account string, id uint64) *kind.Error {
-	r := &Request{Profile: p, Account: account, Arrived: b.now, Deadline: b.now.Add(5 * time.Second), Identity: id}
+	r := &Request{Profile: p, Account: account, ArrivedAt: b.now, Deadline: b.now.Add(5 * time.Second), Fingerprint: id}
 	err := b.Admit(b.now, r)
 	if err == nil {
 		b.Done(b.now, r, Completed)
@@ -53,11 +53,11 @@
 // settle brings the pool to a steady overload in which half of the demand is
 // admitted: the band rests where its middle is the target.
 func (b *bench) settle(demand func(i int)) {
-	b.load.Busy = b.opts.Target * b.load.Slots
+	b.load.InFlight = b.opts.TargetLoad * b.load.Slots
 	for i := range 4000 {
 		if i%40 == 0 {
 			b.pass(100 * time.Millisecond)
-			b.pool("p").base.Store(b.opts.Target - bandWidth/2)
+			b.pool("p").base.Store(b.opts.TargetLoad - bandWidth/2)
 		}
 		demand(i)
 	}
@@ -92,7 +92,7 @@
 	g := NewWithT(t)
 	b := newBench()
 	p := route("r", Standard, 1)
-	p.Shares = map[string]float64{"heavy": 3}
+	p.AccountWeights = map[string]float64{"heavy": 3}
 	got := map[string]int{}
 	b.settle(func(i int) {
 		a := []string{"heavy", "light"}[i%2]
@@ -138,15 +138,15 @@
 			continue
 		}
 		g.Expect(err.Ran()).To(Equal(kind.RanNo))
-		g.Expect(err.Wait()).To(BeNumerically(">=", time.Second))
-		if err.Wait() > hosts[0].opts.Rotation {
+		g.Expect(err.RetryDelay()).To(BeNumerically(">=", time.Second))
+		if err.RetryDelay() > hosts[0].opts.RotationPeriod {
 			continue
 		}
 		back++
-		late := time.Duration(float64(err.Wait()) * lateness * float64(i%10) / 10)
+		late := time.Duration(float64(err.RetryDelay()) * lateness * float64(i%10) / 10)
 		other := hosts[1]
 		was := other.now
-		other.now = hosts[0].now.Add(err.Wait() + late)
+		other.now = hosts[0].now.Add(err.RetryDelay() + late)
 		if other.ask(p, "a", id(10_000+i)) == nil {
 			served++
 		}
@@ -170,20 +170,20 @@
 	b.load.Slots = 100
 	b.pass(time.Second)
 	b.load.Slots = 0
-	b.pass(b.opts.DownAfter + 200*time.Millisecond)
+	b.pass(b.opts.DownDelay + 200*time.Millisecond)
 	err := b.ask(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
 	g.Expect(err.Kind).To(Equal(kind.NoBackend))
 	g.Expect(err.Ran()).To(Equal(kind.RanNo))
-	g.Expect(err.Wait()).To(BeNumerically(">=", leastWait))
+	g.Expect(err.RetryDelay()).To(BeNumerically(">=", leastWait))
 	other := &Profile{Route: "other", Worth: 1, Stages: []Stage{{Pool: "first", Budget: time.Second}}}
 	g.Expect(b.ask(other, "a", 1)).To(BeNil(), "a route without the pool goes on")
-	b.load.Trials = 1
-	b.pass(b.opts.Probe)
+	b.load.ProbesDue = 1
+	b.pass(b.opts.ProbeInterval)
 	g.Expect(b.ask(p, "a", 1)).To(BeNil(), "one request tries a server that may be back")
 	g.Expect(b.ask(p, "a", 1)).NotTo(BeNil())
 	b.load.Slots = 10
-	b.pass(b.opts.UpAfter + 200*time.Millisecond)
+	b.pass(b.opts.UpDelay + 200*time.Millisecond)
 	g.Expect(b.ask(p, "a", 1)).To(BeNil())
 }
 
@@ -191,10 +191,10 @@
 	g := NewWithT(t)
 	b := newBench()
 	p := route("score", Background, 1)
-	b.load.Busy = 90
+	b.load.InFlight = 90
 	b.pass(time.Second)
 	g.Expect(b.ask(p, "a", 1)).To(BeNil())
-	b.load.Busy = 105
+	b.load.InFlight = 105
 	b.pass(time.Second)
 	err := b.ask(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
@@ -240,9 +240,9 @@
 			}
 			b.Done(b.now, r, Failed)
 		}
-		for _, s := range b.States() {
-			if s.Heading != 0 {
-				t.Fatalf("pool %s: heading %d", s.Pool, s.Heading)
+		for _, s := range b.PoolStates() {
+			if s.Pending != 0 {
+				t.Fatalf("pool %s: heading %d", s.Pool, s.Pending)
 			}
 		}
 	})
@@ -304,7 +304,7 @@
 	g.Expect(b.ask(p, "a", 1)).To(BeNil())
 	b.now = b.now.Add(planLife + time.Second)
 	b.Tick(b.now, []PoolLoad{{Pool: "renamed", Slots: 100}})
-	g.Expect(b.States()).To(HaveLen(2), "the pool that no tick ever named stays until it is one")
+	g.Expect(b.PoolStates()).To(HaveLen(2), "the pool that no tick ever named stays until it is one")
 	_, kept := b.profiles.Load(p)
 	g.Expect(kept).To(BeFalse())
 	_, kept = b.pools.Load("p")
--- a/process/admission/controller.go
+++ b/process/admission/controller.go
@@ -14,28 +14,28 @@
 type Options struct {
 	// Target is the load, in requests for a slot, at which a pool is held: a
 	// little over 1 keeps every slot busy with a short queue.
-	Target float64
+	TargetLoad float64
 	// BackgroundBelow is the load up to which background requests start.
-	BackgroundBelow float64
+	BackgroundMaxLoad float64
 	// Margin is how many mean deviations are added to the estimated finish.
-	Margin float64
+	DeviationMultiplier float64
 	// Rotation is the time in which every request of a class of worth that is
 	// refused in part gets its turn to be admitted.
-	Rotation time.Duration
+	RotationPeriod time.Duration
 	// DownAfter and UpAfter are the hysteresis of a pool without any usable
 	// server: dependents are refused after the first, and come back once a
 	// server has been usable for the second.
-	DownAfter time.Duration
-	UpAfter   time.Duration
+	DownDelay time.Duration
+	UpDelay   time.Duration
 	// Probe is how often a down pool is tried with a real request.
-	Probe time.Duration
+	ProbeInterval time.Duration
 }
 
 // DefaultOptions returns the defaults.
 func DefaultOptions() Options {
 	return Options{
-		Target: 1.65, BackgroundBelow: 1, Margin: .5, Rotation: 8 * time.Second,
-		DownAfter: 200 * time.Millisecond, UpAfter: 100 * time.Millisecond, Probe: 500 * time.Millisecond,
+		TargetLoad: 1.65, BackgroundMaxLoad: 1, DeviationMultiplier: .5, RotationPeriod: 8 * time.Second,
+		DownDelay: 200 * time.Millisecond, UpDelay: 100 * time.Millisecond, ProbeInterval: 500 * time.Millisecond,
 	}
 }
 
@@ -135,7 +135,7 @@
 func (c *Controller) Admit(now time.Time, r *Request) *kind.Error {
 	p := c.plan(r.Profile, now)
 	p.used.Store(now.UnixNano())
-	if v := c.judge(now, r, p, true); v.Reason != Fits {
+	if v := c.judge(now, r, p, true); v.Reason != Admitted {
 		c.refusals[v.Reason.index()].Add(1)
 		return v.refusal()
 	}
@@ -159,9 +159,9 @@
 	s := &c.plan(r.Profile, now).stages[stage]
 	s.latency.Observe(now, took)
 	switch {
-	case r.Running > 0:
-		s.service.Observe(now, r.Running)
-	case !r.Waited:
+	case r.StreamDuration > 0:
+		s.service.Observe(now, r.StreamDuration)
+	case !r.MayHaveQueued:
 		s.service.Observe(now, took)
 	}
 }
--- a/process/admission/judge.go
+++ b/process/admission/judge.go
@@ -12,15 +12,15 @@
 
 // Reasons.
 const (
-	Fits       Reason = "fits"
-	PoolDown   Reason = "pool down"       // no server of a stage's pool is usable
-	TooLate    Reason = "cannot finish"   // the estimated finish is past the deadline
-	Outweighed Reason = "outweighed"      // the pool is full of requests worth more
-	OverShare  Reason = "over its share"  // the account is over its fair share of a full pool
-	Waits      Reason = "not idle enough" // background work while others wait
+	Admitted     Reason = "fits"
+	PoolDown     Reason = "pool down"       // no server of a stage's pool is usable
+	CannotFinish Reason = "cannot finish"   // the estimated finish is past the deadline
+	LowerWorth   Reason = "outweighed"      // the pool is full of requests worth more
+	OverShare    Reason = "over its share"  // the account is over its fair share of a full pool
+	NotIdle      Reason = "not idle enough" // background work while others wait
 )
 
-var reasons = [...]Reason{Fits, PoolDown, TooLate, Outweighed, OverShare, Waits}
+var reasons = [...]Reason{Admitted, PoolDown, CannotFinish, LowerWorth, OverShare, NotIdle}
 
 func (r Reason) index() int {
 	for i, x := range reasons {
@@ -41,24 +41,24 @@
 }
 
 // Verdict is a decision with its reason.
-type Verdict struct {
-	Reason     Reason        `json:"reason"`
-	Pool       string        `json:"pool,omitempty"`
-	Expected   time.Duration `json:"expected"` // from now to the whole answer
-	Left       time.Duration `json:"left"`     // until the deadline
-	Position   float64       `json:"position"` // part of the demand that comes before it
-	Threshold  float64       `json:"threshold"`
-	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	detail     string
+type Decision struct {
+	Reason           Reason        `json:"reason"`
+	Pool             string        `json:"pool,omitempty"`
+	ExpectedDuration time.Duration `json:"expected"` // from now to the whole answer
+	Remaining        time.Duration `json:"left"`     // until the deadline
+	Position         float64       `json:"position"` // part of the demand that comes before it
+	Threshold        float64       `json:"threshold"`
+	RetryAfter       time.Duration `json:"retry_after,omitempty"`
+	detail           string
 }
 
 // refuse makes v a refusal on account of pool p.
-func (v *Verdict) refuse(r Reason, p *pool, wait time.Duration) {
+func (v *Decision) refuse(r Reason, p *pool, wait time.Duration) {
 	v.Reason, v.Pool, v.RetryAfter = r, p.name, wait
 	v.detail = p.details[r.index()]
 }
 
-func (v *Verdict) refusal() *kind.Error {
+func (v *Decision) refusal() *kind.Error {
 	k := kind.Overloaded
 	switch v.Reason {
 	case OverShare:
@@ -75,20 +75,20 @@
 
 // judge decides. With count set the request is counted as demand, and as
 // admitted if it is.
-func (c *Controller) judge(now time.Time, r *Request, p *plan, count bool) Verdict {
-	v := Verdict{Reason: Fits, Left: r.Deadline.Sub(now), Threshold: 1}
-	v.Expected = c.finish(p, now)
+func (c *Controller) judge(now time.Time, r *Request, p *plan, count bool) Decision {
+	v := Decision{Reason: Admitted, Remaining: r.Deadline.Sub(now), Threshold: 1}
+	v.ExpectedDuration = c.finish(p, now)
 	if count {
 		c.demand(r, p)
 	}
 	for i := range p.stages {
-		if pl := p.stages[i].pool; pl.down.Load() && !(count && pl.probe(now, c.opts.Probe)) {
+		if pl := p.stages[i].pool; pl.down.Load() && !(count && pl.probe(now, c.opts.ProbeInterval)) {
 			v.refuse(PoolDown, pl, pl.outageWait(now))
 			return v
 		}
 	}
-	if v.Expected > v.Left {
-		v.Reason, v.RetryAfter, v.detail = TooLate, waitTooLate, string(TooLate)
+	if v.ExpectedDuration > v.Remaining {
+		v.Reason, v.RetryAfter, v.detail = CannotFinish, waitTooLate, string(CannotFinish)
 		return v
 	}
 	if r.Profile.Class == Background {
@@ -116,7 +116,7 @@
 			// that run can bring the estimate back.
 			continue
 		}
-		sum += s.latency.Mean() + c.opts.Margin*s.latency.Deviation()
+		sum += s.latency.Mean() + c.opts.DeviationMultiplier*s.latency.Deviation()
 	}
 	return time.Duration(sum * float64(time.Second))
 }
@@ -126,12 +126,12 @@
 	estimateLife = 3 * time.Second
 )
 
-func (c *Controller) background(now time.Time, p *plan, v *Verdict) {
+func (c *Controller) background(now time.Time, p *plan, v *Decision) {
 	for i := range p.stages {
 		pl := p.stages[i].pool
-		if l := pl.now(); l >= c.opts.BackgroundBelow {
-			v.refuse(Waits, pl, pl.fullWait(now))
-			v.Position, v.Threshold = l, c.opts.BackgroundBelow
+		if l := pl.now(); l >= c.opts.BackgroundMaxLoad {
+			v.refuse(NotIdle, pl, pl.fullWait(now))
+			v.Position, v.Threshold = l, c.opts.BackgroundMaxLoad
 			return
 		}
 	}
@@ -139,13 +139,13 @@
 
 // fits compares the request's place in the order of worth with the part of the
 // demand that the pool can serve.
-func (c *Controller) fits(now time.Time, r *Request, s *step, v *Verdict) bool {
+func (c *Controller) fits(now time.Time, r *Request, s *step, v *Decision) bool {
 	pl := s.pool
 	threshold := pl.part()
 	if threshold >= 1 {
 		return true
 	}
-	usual, reason := pl.share.Load(), Outweighed
+	usual, reason := pl.share.Load(), LowerWorth
 	if a := pl.accounts.Load(); a != nil {
 		t := a.find(accountHash(r.Account)).threshold.Load()
 		if t >= 1 {
@@ -177,12 +177,12 @@
 // same for every entry host, so that a request that is refused now has its turn
 // later wherever it comes back.
 func (c *Controller) phase(now time.Time, r *Request) float64 {
-	id := r.Identity
+	id := r.Fingerprint
 	if id == 0 {
 		return c.rand.Float64()
 	}
 	id ^= accountHash(r.Account) // callers may all send the same body
-	_, f := math.Modf(float64(id>>11)/(1<<53) + float64(now.UnixNano()%int64(c.opts.Rotation))/float64(c.opts.Rotation))
+	_, f := math.Modf(float64(id>>11)/(1<<53) + float64(now.UnixNano()%int64(c.opts.RotationPeriod))/float64(c.opts.RotationPeriod))
 	return f
 }
 
@@ -190,7 +190,7 @@
 // within the admitted part of its level, also if it comes a tenth of the wait
 // late; 0: so little of the level is admitted that no second is safe.
 func (c *Controller) turn(phase, part float64) time.Duration {
-	rotation := c.opts.Rotation.Seconds()
+	rotation := c.opts.RotationPeriod.Seconds()
 	best, deepest := 0.0, part*turnMargin
 	for wait := 1.0; wait <= rotation; wait++ {
 		_, at := math.Modf(phase + wait/rotation)
--- a/process/admission/tick.go
+++ b/process/admission/tick.go
@@ -8,14 +8,14 @@
 
 // PoolLoad is what an entry host sees of a pool: the servers within its reach.
 type PoolLoad struct {
-	Pool  string
-	Slots float64 // of usable servers, with what other regions can spare
-	Busy  float64 // requests on them, queued ones included
-	Own   float64 // of those, this host's
+	Pool        string
+	Slots       float64 // of usable servers, with what other regions can spare
+	InFlight    float64 // requests on them, queued ones included
+	OwnInFlight float64 // of those, this host's
 	// Then and OwnThen are Busy and Own as of the servers' last reports.
-	Then    float64
-	OwnThen float64
-	Trials  int // servers that one request would be let try now
+	ReportedInFlight    float64
+	OwnInFlightAtReport float64
+	ProbesDue           int // servers that one request would be let try now
 }
 
 // Control of the admitted part of the demand. Each request compares the load of
@@ -53,10 +53,10 @@
 		p.ticked = now
 		p.slots.Store(l.Slots)
 		p.measure(l, dt)
-		p.trials.Store(int64(l.Trials))
+		p.trials.Store(int64(l.ProbesDue))
 		c.outage(p, now, l.Slots > 0)
 		c.control(p, dt)
-		if p.now() < c.opts.BackgroundBelow {
+		if p.now() < c.opts.BackgroundMaxLoad {
 			p.fullSince.Store(now.UnixNano())
 		}
 		p.order(dt)
@@ -79,15 +79,15 @@
 // without the lag.
 func (p *pool) measure(l PoolLoad, dt float64) {
 	keep := math.Exp(-dt / ownMemory.Seconds())
-	p.then = p.then*keep + l.Then*dt
-	p.ownThen = p.ownThen*keep + l.OwnThen*dt
+	p.then = p.then*keep + l.ReportedInFlight*dt
+	p.ownThen = p.ownThen*keep + l.OwnInFlightAtReport*dt
 	if l.Slots <= 0 {
 		return
 	}
-	busy := l.Busy
+	busy := l.InFlight
 	if p.ownThen > ownLeast {
 		usual := p.ownThen / ownMemory.Seconds()
-		busy += usual / (usual + ownNoise) * (l.Own*p.then/p.ownThen - busy)
+		busy += usual / (usual + ownNoise) * (l.OwnInFlight*p.then/p.ownThen - busy)
 	}
 	p.load.Store(busy / l.Slots)
 }
@@ -102,10 +102,10 @@
 	stable := now.Sub(p.since)
 	switch {
 	case p.down.Load():
-		if usable && stable >= c.opts.UpAfter {
+		if usable && stable >= c.opts.UpDelay {
 			p.down.Store(false)
 		}
-	case !usable && stable >= c.opts.DownAfter:
+	case !usable && stable >= c.opts.DownDelay:
 		p.downSince.Store(now.UnixNano())
 		p.probed.Store(now.UnixNano())
 		p.down.Store(true)
@@ -117,7 +117,7 @@
 	load := p.now()
 	base := p.base.Load()
 	if part := p.part(); part < 1 {
-		base += bandSpeed * dt * (c.opts.Target - load)
+		base += bandSpeed * dt * (c.opts.TargetLoad - load)
 	} else {
 		base += bandSpeed * dt * (bandFirst - base)
 	}
--- a/process/drain/drain.go
+++ b/process/drain/drain.go
@@ -32,7 +32,7 @@
 
 // Hold counts a piece of work that goes on after the one that let it in, also
 // while the gate is closed. The caller still holds the gate; Exit must follow.
-func (g *Gate) Hold() { g.active.Add(1) }
+func (g *Gate) EnterNested() { g.active.Add(1) }
 
 // Exit ends one piece of work.
 func (g *Gate) Exit() {
--- a/process/drain/drain_test.go
+++ b/process/drain/drain_test.go
@@ -27,7 +27,7 @@
 				if !gate.Enter() {
 					return
 				}
-				gate.Hold()
+				gate.EnterNested()
 				left.Go(func() {
 					runtime.Gosched()
 					late.Store(late.Load() || over.Load())
--- a/process/inforce/cell.go
+++ b/process/inforce/cell.go
@@ -5,11 +5,11 @@
 import "sync/atomic"
 
 // Cell holds one immutable value that is swapped whole.
-type Cell[T any] struct{ p atomic.Pointer[T] }
+type Value[T any] struct{ p atomic.Pointer[T] }
 
 // Load returns the value in force, or nil before the first Store. A request
 // calls it once and keeps the result for all its stages.
-func (c *Cell[T]) Load() *T { return c.p.Load() }
+func (c *Value[T]) Load() *T { return c.p.Load() }
 
 // Store puts v in force. v must not change afterwards.
-func (c *Cell[T]) Store(v *T) { c.p.Store(v) }
+func (c *Value[T]) Store(v *T) { c.p.Store(v) }
--- a/process/keypair/keypair.go
+++ b/process/keypair/keypair.go
@@ -16,7 +16,7 @@
 )
 
 // CheckEvery is the pause between two looks at the files.
-const CheckEvery = 10 * time.Second
+const PollInterval = 10 * time.Second
 
 // Reloader serves the newest sound pair of its two PEM files.
 type Reloader struct {
@@ -65,7 +65,7 @@
 
 // Config returns the listener's TLS settings. Each handshake takes the pair
 // then in use; connections that are open keep theirs.
-func (r *Reloader) Config() *tls.Config {
+func (r *Reloader) TLSConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -82,7 +82,7 @@
 		case <-ctx.Done():
 			return
 		case <-now:
-		case <-c.After(CheckEvery):
+		case <-c.After(PollInterval):
 		}
 		if changed, err := r.Reload(); changed || err != nil {
 			report(r.certFile, err)
--- a/process/keypair/keypair_test.go
+++ b/process/keypair/keypair_test.go
@@ -36,7 +36,7 @@
 
 func serial(t *testing.T, r *Reloader) int64 {
 	t.Helper()
-	pair, err := r.Config().GetCertificate(nil)
+	pair, err := r.TLSConfig().GetCertificate(nil)
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return pair.Leaf.SerialNumber.Int64()
 }
@@ -62,7 +62,7 @@
 
 	writePair(t, cert, filepath.Join(dir, "other.pem"), 2)
 	g.Eventually(c.Waiters).Should(Equal(1))
-	c.Advance(CheckEvery)
+	c.Advance(PollInterval)
 	g.Expect(<-reports).To(HaveOccurred())
 	g.Expect(serial(t, r)).To(BeEquivalentTo(1))
 
--- a/process/kind/kind.go
+++ b/process/kind/kind.go
@@ -55,7 +55,7 @@
 )
 
 // Advice is a row of the answer table.
-type Advice struct {
+type ResponsePolicy struct {
 	Status int
 	// Ran is the strongest statement this kind allows while nothing has been
 	// dispatched. Once something was dispatched, RanNo becomes RanUnknown.
@@ -67,7 +67,7 @@
 	Title      string
 }
 
-var advice = map[Kind]Advice{
+var advice = map[Kind]ResponsePolicy{
 	BadRequest:       {http.StatusBadRequest, RanNo, false, 0, "The request is malformed"},
 	TooLarge:         {http.StatusRequestEntityTooLarge, RanNo, false, 0, "The request body is too large"},
 	NoRoute:          {http.StatusNotFound, RanNo, false, 0, "No route matches the request"},
@@ -105,7 +105,7 @@
 }
 
 // Lookup returns the table row of k; an unlisted kind answers as Internal.
-func Lookup(k Kind) Advice {
+func Lookup(k Kind) ResponsePolicy {
 	if a, ok := advice[k]; ok {
 		return a
 	}
@@ -123,10 +123,10 @@
 	// Earlier is true if an earlier send with the same key may have run. It
 	// weakens "ran: no" in the same way: the caller asks about its request,
 	// not about this one send of it.
-	Earlier bool
+	EarlierAttempt bool
 	// RanYes marks a backend server's own answer as proof of execution.
-	RanYes bool
-	Cause  error
+	ExecutionConfirmed bool
+	Cause              error
 }
 
 // New returns an error of kind k with a formatted detail. A %w verb sets the
@@ -144,18 +144,18 @@
 
 // Ran returns what may truthfully be said about execution.
 func (e *Error) Ran() Ran {
-	if e.RanYes {
+	if e.ExecutionConfirmed {
 		return RanYes
 	}
 	ran := Lookup(e.Kind).Ran
-	if (e.Dispatched || e.Earlier) && ran == RanNo {
+	if (e.Dispatched || e.EarlierAttempt) && ran == RanNo {
 		return RanUnknown
 	}
 	return ran
 }
 
 // Wait returns when to come back; 0 means that a retry does not help.
-func (e *Error) Wait() time.Duration {
+func (e *Error) RetryDelay() time.Duration {
 	a := Lookup(e.Kind)
 	if !a.Retry {
 		return 0
--- a/process/lease/keeper.go
+++ b/process/lease/keeper.go
@@ -14,7 +14,7 @@
 )
 
 // Prefix of the lease objects' keys on the platform; the domain follows.
-const Prefix = "bilberry/leases/"
+const KeyPrefix = "bilberry/leases/"
 
 // Options configure a Keeper; zero values get the defaults.
 type Options struct {
@@ -26,12 +26,12 @@
 	// Candidate reports whether this host should take the lease if it is
 	// free. Only a few hosts of a domain do, so that the others cost the
 	// platform nothing.
-	Candidate func() bool
+	IsCandidate func() bool
 
 	TTL time.Duration // of one renewal; default 15 s
 	// LongestOrder bounds one order from its check of the lease to its end;
 	// default 3 s.
-	LongestOrder time.Duration
+	MaxOrderDuration time.Duration
 	// Margin is how long before the end of the TTL the holder stops. It has to
 	// be above LongestOrder; the rest covers clocks of unequal rate. Default
 	// 5 s.
@@ -42,8 +42,8 @@
 	if o.TTL <= 0 {
 		o.TTL = 15 * time.Second
 	}
-	if o.LongestOrder <= 0 {
-		o.LongestOrder = 3 * time.Second
+	if o.MaxOrderDuration <= 0 {
+		o.MaxOrderDuration = 3 * time.Second
 	}
 	if o.Margin <= 0 {
 		o.Margin = 5 * time.Second
@@ -71,7 +71,7 @@
 const maxPending = 16
 
 // Keeper takes, renews and loses one lease. It implements Holder.
-type Keeper struct {
+type Elector struct {
 	opts Options
 	step sync.Mutex // one step at a time
 
@@ -94,17 +94,17 @@
 }
 
 // NewKeeper returns a keeper that holds nothing.
-func NewKeeper(opts Options) *Keeper {
+func NewElector(opts Options) *Elector {
 	opts.setDefaults()
-	return &Keeper{opts: opts}
+	return &Elector{opts: opts}
 }
 
-var _ Holder = (*Keeper)(nil)
+var _ Holder = (*Elector)(nil)
 
 // Held implements Holder. The time counts from before the last renewal was
 // sent, so it ends before the platform's and the next holder's count can, and
 // the margin is left for an order that begins now.
-func (k *Keeper) Held(now time.Time) (uint64, bool) {
+func (k *Elector) Held(now time.Time) (uint64, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.held == nil || elapsed(k.held.from, now) >= k.opts.TTL-k.opts.Margin {
@@ -121,7 +121,7 @@
 }
 
 // Run steps until ctx ends.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *Elector) Run(ctx context.Context) error {
 	for {
 		wait := k.Step(ctx)
 		wait = time.Duration((0.9 + 0.2*k.opts.Rand.Float64()) * float64(wait))
@@ -135,7 +135,7 @@
 
 // Step renews the lease, or tries to take it, or does nothing, and returns the
 // wait until the next step.
-func (k *Keeper) Step(ctx context.Context) time.Duration {
+func (k *Elector) Step(ctx context.Context) time.Duration {
 	k.step.Lock()
 	defer k.step.Unlock()
 	k.mu.Lock()
@@ -148,7 +148,7 @@
 		}
 		return renewal / 4
 	}
-	if !k.opts.Candidate() {
+	if !k.opts.IsCandidate() {
 		k.seen = 0
 		return k.opts.TTL / 3
 	}
@@ -158,7 +158,7 @@
 
 // renew extends the lease. A holder that finds its time over renews all the
 // same: if the object is unchanged nobody else has held it since.
-func (k *Keeper) renew(ctx context.Context, held holding) bool {
+func (k *Elector) renew(ctx context.Context, held holding) bool {
 	w := k.newWrite(held.fence)
 	version, err := k.put(ctx, w, held.version, false)
 	switch {
@@ -173,7 +173,7 @@
 
 // readBack finds out who holds the lease after a renewal that failed or whose
 // answer was lost.
-func (k *Keeper) readBack(ctx context.Context, held holding) {
+func (k *Elector) readBack(ctx context.Context, held holding) {
 	obj, lease, err := k.get(ctx)
 	switch {
 	case errors.Is(err, objectapi.ErrNotFound):
@@ -189,7 +189,7 @@
 // campaign reads the lease and takes it if it is free: released, or unchanged
 // for a whole TTL and the longest order, by this host's own clock since its
 // own first sight. No clocks of two hosts are compared.
-func (k *Keeper) campaign(ctx context.Context) {
+func (k *Elector) campaign(ctx context.Context) {
 	obj, lease, err := k.get(ctx)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		// Deleted or never made. A holder of the deleted lease may still act,
@@ -209,7 +209,7 @@
 		k.seen, k.seenAt = obj.Version, now
 		k.seenTTL = max(k.opts.TTL, time.Duration(lease.TTL)*time.Millisecond)
 	}
-	if !lease.Released && now.Sub(k.seenAt) < k.seenTTL+k.opts.LongestOrder {
+	if !lease.Released && now.Sub(k.seenAt) < k.seenTTL+k.opts.MaxOrderDuration {
 		return
 	}
 	k.take(ctx, obj, lease)
@@ -218,7 +218,7 @@
 // take claims the lease. The fencing number is above the object's version as
 // well as above the earlier number: versions of the store only rise, also when
 // the object was deleted or restored with an old content.
-func (k *Keeper) take(ctx context.Context, obj objectapi.Object, lease object) {
+func (k *Elector) take(ctx context.Context, obj objectapi.Object, lease object) {
 	k.mu.Lock()
 	floor := k.floor
 	k.mu.Unlock()
@@ -231,7 +231,7 @@
 
 // Release gives the lease up, so that the next holder need not wait. The
 // caller has ended all its orders.
-func (k *Keeper) Release(ctx context.Context) {
+func (k *Elector) Release(ctx context.Context) {
 	k.step.Lock()
 	defer k.step.Unlock()
 	k.mu.Lock()
@@ -247,7 +247,7 @@
 // Lost drops the lease held under fence: an engine has seen the higher number
 // seen. Later numbers are above it, so that engines take orders again after
 // the platform was restored to an older state.
-func (k *Keeper) Lost(fence, seen uint64) {
+func (k *Elector) Invalidate(fence, seen uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.floor = max(k.floor, seen)
@@ -256,14 +256,14 @@
 	}
 }
 
-func (k *Keeper) hold(w write, version uint64) {
+func (k *Elector) hold(w write, version uint64) {
 	k.pending = nil
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.held = &holding{fence: w.fence, version: version, from: w.sent}
 }
 
-func (k *Keeper) drop() {
+func (k *Elector) drop() {
 	k.pending, k.seen = nil, 0
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -271,7 +271,7 @@
 }
 
 // own returns this host's write that the object shows, or nil.
-func (k *Keeper) own(lease object) *write {
+func (k *Elector) own(lease object) *write {
 	for i := range k.pending {
 		if k.pending[i].nonce == lease.Nonce && !lease.Released {
 			return &k.pending[i]
@@ -281,7 +281,7 @@
 }
 
 // newWrite notes a write before it is sent: its answer may be lost.
-func (k *Keeper) newWrite(fence uint64) write {
+func (k *Elector) newWrite(fence uint64) write {
 	w := write{nonce: uuid.NewString(), fence: fence, sent: k.opts.Clock.Now()}
 	if len(k.pending) >= maxPending {
 		k.pending = k.pending[1:]
@@ -290,7 +290,7 @@
 	return w
 }
 
-func (k *Keeper) put(ctx context.Context, w write, expect uint64, released bool) (uint64, error) {
+func (k *Elector) put(ctx context.Context, w write, expect uint64, released bool) (uint64, error) {
 	data, err := json.Marshal(object{Fence: w.fence, Host: k.opts.Host, Nonce: w.nonce, TTL: k.opts.TTL.Milliseconds(), Released: released})
 	if err != nil {
 		return 0, err
@@ -298,7 +298,7 @@
 	return k.opts.Store.Put(ctx, k.opts.Key, data, expect)
 }
 
-func (k *Keeper) get(ctx context.Context) (objectapi.Object, object, error) {
+func (k *Elector) get(ctx context.Context) (objectapi.Object, object, error) {
 	obj, err := k.opts.Store.Get(ctx, k.opts.Key)
 	if err != nil {
 		return obj, object{}, err
--- a/process/lease/keeper_test.go
+++ b/process/lease/keeper_test.go
@@ -28,7 +28,7 @@
 }
 
 type testHost struct {
-	*Keeper
+	*Elector
 	clock     *clock.Manual
 	store     *pausing
 	candidate bool
@@ -60,9 +60,9 @@
 
 func (s *site) start(i int) {
 	h := &testHost{clock: clock.NewManual(time.Unix(int64(1000*(i+1)), 0)), store: &pausing{Store: s.store}, candidate: true}
-	h.Keeper = NewKeeper(Options{
-		Store: h.store, Clock: h.clock, Rand: clock.NewSeeded(1), Key: Prefix + "d1", Host: fmt.Sprint("h", i),
-		Candidate: func() bool { return h.candidate }, TTL: ttl, Margin: margin, LongestOrder: longest,
+	h.Elector = NewElector(Options{
+		Store: h.store, Clock: h.clock, Rand: clock.NewSeeded(1), Key: KeyPrefix + "d1", Host: fmt.Sprint("h", i),
+		IsCandidate: func() bool { return h.candidate }, TTL: ttl, Margin: margin, MaxOrderDuration: longest,
 	})
 	if i < len(s.hosts) {
 		s.hosts[i] = h
@@ -173,17 +173,17 @@
 	g, ctx := NewWithT(t), context.Background()
 	s := newSite(2)
 	first := s.acquire(g, 0)
-	old, err := s.store.Get(ctx, Prefix+"d1")
+	old, err := s.store.Get(ctx, KeyPrefix+"d1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.store.Delete(ctx, Prefix+"d1", old.Version)).To(Succeed())
+	g.Expect(s.store.Delete(ctx, KeyPrefix+"d1", old.Version)).To(Succeed())
 	s.hosts[1].Step(ctx)
 	s.hosts[1].Step(ctx)
 	_, ok := s.hosts[1].now()
 	g.Expect(ok).To(BeFalse(), "the old holder may still act")
 	second := s.acquire(g, 1)
 	g.Expect(second).To(BeNumerically(">", first))
-	cur, _ := s.store.Get(ctx, Prefix+"d1")
-	_, err = s.store.Put(ctx, Prefix+"d1", old.Value, cur.Version)
+	cur, _ := s.store.Get(ctx, KeyPrefix+"d1")
+	_, err = s.store.Put(ctx, KeyPrefix+"d1", old.Value, cur.Version)
 	g.Expect(err).NotTo(HaveOccurred())
 	s.hosts[0].drop()
 	third := s.acquire(g, 0)
@@ -241,8 +241,8 @@
 			case "up":
 				s.store.SetFaults(objects.Faults{})
 			case "delete":
-				if o, err := s.store.Get(ctx, Prefix+"d1"); err == nil {
-					_ = s.store.Delete(ctx, Prefix+"d1", o.Version)
+				if o, err := s.store.Get(ctx, KeyPrefix+"d1"); err == nil {
+					_ = s.store.Delete(ctx, KeyPrefix+"d1", o.Version)
 				}
 			case "restart":
 				s.start(i)
--- a/process/order/order.go
+++ b/process/order/order.go
@@ -18,7 +18,7 @@
 )
 
 // ErrOldFence: the engine has seen a higher fencing number.
-var ErrOldFence = errors.New("order: fencing number is old")
+var ErrStaleFence = errors.New("order: fencing number is old")
 
 // Order states what an engine is to have, whatever it has now.
 type Order struct {
@@ -34,10 +34,10 @@
 	Models  []string // sorted
 	Role    string
 	// Fencing says that the engine refuses old fencing numbers.
-	Fencing bool
+	ChecksFencing bool
 	// Reported is the state last reported, or nil; an engine that has what it
 	// should costs no call.
-	Reported *State
+	LastReported *State
 }
 
 // State is what an engine has, by its own account.
@@ -51,14 +51,14 @@
 type Sender interface {
 	// Send returns ErrOldFence when the engine refused the number.
 	Send(ctx context.Context, address string, o Order) error
-	Read(ctx context.Context, address string) (State, error)
+	ReadState(ctx context.Context, address string) (State, error)
 }
 
 // Lease is the lease that orders are given under.
 type Lease interface {
 	lease.Holder
 	// Lost ends the lease held under fence: an engine has seen a higher number.
-	Lost(fence, seen uint64)
+	Invalidate(fence, seen uint64)
 	Release(ctx context.Context)
 }
 
@@ -73,18 +73,18 @@
 	Interval time.Duration // between rounds; default 1 s
 	// Timeout bounds one order and its reading back each; it is below half of
 	// the lease's longest order. Default 1.4 s.
-	Timeout  time.Duration
-	Retry    time.Duration // between orders to one engine, above the longest order; default 5 s
-	Rate     float64       // orders a second that make engines load weights; default 1
-	Parallel int           // orders at once; default 4
+	Timeout         time.Duration
+	RetryInterval   time.Duration // between orders to one engine, above the longest order; default 5 s
+	OrdersPerSecond float64       // orders a second that make engines load weights; default 1
+	MaxParallel     int           // orders at once; default 4
 }
 
 func (o *Options) setDefaults() {
 	setDefault(&o.Interval, time.Second)
 	setDefault(&o.Timeout, 1400*time.Millisecond)
-	setDefault(&o.Retry, 5*time.Second)
-	setDefault(&o.Rate, 1)
-	setDefault(&o.Parallel, 4)
+	setDefault(&o.RetryInterval, 5*time.Second)
+	setDefault(&o.OrdersPerSecond, 1)
+	setDefault(&o.MaxParallel, 4)
 }
 
 func setDefault[T int | float64 | time.Duration](v *T, def T) {
@@ -95,7 +95,7 @@
 
 // Counters count a Manager's work.
 type Counters struct {
-	Sent, Confirmed, Failed, Stopped atomic.Int64
+	Sent, Confirmed, Failed, LeaseNotHeld atomic.Int64
 }
 
 // Manager gives orders while the lease is held.
@@ -113,7 +113,7 @@
 // New returns a manager.
 func New(opts Options) *Manager {
 	opts.setDefaults()
-	return &Manager{opts: opts, limiter: rate.NewLimiter(rate.Limit(opts.Rate), opts.Parallel), next: map[string]time.Time{}, sent: map[string]bool{}}
+	return &Manager{opts: opts, limiter: rate.NewLimiter(rate.Limit(opts.OrdersPerSecond), opts.MaxParallel), next: map[string]time.Time{}, sent: map[string]bool{}}
 }
 
 // releaseTimeout bounds the giving up of the lease at the end.
@@ -129,7 +129,7 @@
 			m.release(ctx)
 			return nil
 		case <-m.opts.Clock.After(m.opts.Interval):
-			m.Round(ctx)
+			m.Reconcile(ctx)
 		}
 	}
 }
@@ -148,13 +148,13 @@
 
 // Round gives the orders that are due and returns when all have ended. Orders
 // under way are not cut when ctx ends: they would be on the wire all the same.
-func (m *Manager) Round(ctx context.Context) {
+func (m *Manager) Reconcile(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	if _, ok := m.opts.Lease.Held(m.opts.Clock.Now()); !ok {
 		return
 	}
 	var running sync.WaitGroup
-	slots := make(chan struct{}, m.opts.Parallel)
+	slots := make(chan struct{}, m.opts.MaxParallel)
 	for _, t := range m.due() {
 		slots <- struct{}{}
 		running.Go(func() {
@@ -173,7 +173,7 @@
 	defer m.mu.Unlock()
 	var out []Target
 	for _, t := range m.opts.Targets() {
-		if t.Reported != nil && t.satisfied(*t.Reported) {
+		if t.LastReported != nil && t.satisfied(*t.LastReported) {
 			m.confirm(t)
 			continue
 		}
@@ -183,7 +183,7 @@
 		if !m.limiter.AllowN(now, 1) {
 			break
 		}
-		m.next[t.Address] = now.Add(m.opts.Retry)
+		m.next[t.Address] = now.Add(m.opts.RetryInterval)
 		out = append(out, t)
 	}
 	return out
@@ -223,7 +223,7 @@
 func (m *Manager) read(ctx context.Context, t Target) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.Timeout)
 	defer cancel()
-	return m.opts.Sender.Read(ctx, t.Address)
+	return m.opts.Sender.ReadState(ctx, t.Address)
 }
 
 // send gives one order. The lease is asked right before, with the clock as it
@@ -237,19 +237,19 @@
 	defer cancel()
 	fence, ok := m.opts.Lease.Held(m.opts.Clock.Now())
 	if !ok {
-		m.Counters.Stopped.Add(1)
+		m.Counters.LeaseNotHeld.Add(1)
 		return false
 	}
 	m.Counters.Sent.Add(1)
 	err := m.opts.Sender.Send(ctx, t.Address, Order{Fence: fence, Models: t.Models, Role: t.Role})
-	if errors.Is(err, ErrOldFence) {
+	if errors.Is(err, ErrStaleFence) {
 		seen, _ := m.read(ctx, t)
-		m.opts.Lease.Lost(fence, seen.Fence)
+		m.opts.Lease.Invalidate(fence, seen.Fence)
 	}
 	if err != nil {
 		m.Counters.Failed.Add(1)
 		m.mu.Lock()
-		m.unsure = m.opts.Clock.Now().Add(m.opts.Retry)
+		m.unsure = m.opts.Clock.Now().Add(m.opts.RetryInterval)
 		m.mu.Unlock()
 		return false
 	}
--- a/process/order/order_test.go
+++ b/process/order/order_test.go
@@ -43,7 +43,7 @@
 		t.Cleanup(srv.Close)
 		d.engines = append(d.engines, e)
 		d.targets = append(d.targets, order.Target{
-			Name: e.Name, Address: srv.Listener.Addr().String(), Models: []string{"m@1"}, Role: "decode", Fencing: fencing,
+			Name: e.Name, Address: srv.Listener.Addr().String(), Models: []string{"m@1"}, Role: "decode", ChecksFencing: fencing,
 		})
 	}
 	return d
@@ -51,7 +51,7 @@
 
 // orderer is one entry host. Its hooks run in the middle of an order.
 type orderer struct {
-	*lease.Keeper
+	*lease.Elector
 	*order.Manager
 	sender *hooked
 }
@@ -82,12 +82,12 @@
 }
 
 func (d *domain) host(name string, models ...string) *orderer {
-	k := lease.NewKeeper(lease.Options{
-		Store: d.store, Clock: d.clock, Rand: clock.NewSeeded(1), Key: lease.Prefix + "d", Host: name,
-		Candidate: func() bool { return true }, TTL: ttl, Margin: margin, LongestOrder: longest,
+	k := lease.NewElector(lease.Options{
+		Store: d.store, Clock: d.clock, Rand: clock.NewSeeded(1), Key: lease.KeyPrefix + "d", Host: name,
+		IsCandidate: func() bool { return true }, TTL: ttl, Margin: margin, MaxOrderDuration: longest,
 	})
 	s := &hooked{Sender: engineorder.New()}
-	m := order.New(order.Options{Lease: k, Clock: d.clock, Sender: s, Rate: 100, Parallel: 100, Targets: func() []order.Target {
+	m := order.New(order.Options{Lease: k, Clock: d.clock, Sender: s, OrdersPerSecond: 100, MaxParallel: 100, Targets: func() []order.Target {
 		out := append([]order.Target(nil), d.targets...)
 		for i := range out {
 			out[i].Models = models
@@ -113,17 +113,17 @@
 	d := newDomain(t, 3, true)
 	h := d.host("a", "m@1")
 	ctx := context.Background()
-	h.Round(ctx)
+	h.Reconcile(ctx)
 	d.g.Expect(h.Counters.Sent.Load()).To(BeZero(), "no order without the lease")
 	fence := d.acquire(h)
-	h.Round(ctx)
+	h.Reconcile(ctx)
 	d.g.Expect(h.Counters.Confirmed.Load()).To(BeEquivalentTo(3))
 	for _, e := range d.engines {
 		d.g.Expect(e.Load().Models).To(Equal([]string{"m@1"}))
 		d.g.Expect(e.Applied()).To(Equal([]uint64{fence}))
 	}
 	d.clock.Advance(6 * time.Second)
-	h.Round(ctx)
+	h.Reconcile(ctx)
 	d.g.Expect(h.Counters.Sent.Load()).To(BeEquivalentTo(3), "an engine that has what it should gets no order")
 }
 
@@ -133,14 +133,14 @@
 	d := newDomain(t, 40, true)
 	k := d.host("a", "m@1")
 	m := order.New(order.Options{
-		Lease: k.Keeper, Clock: d.clock, Sender: engineorder.New(), Rate: 2, Parallel: 4, Targets: func() []order.Target { return d.targets },
+		Lease: k.Elector, Clock: d.clock, Sender: engineorder.New(), OrdersPerSecond: 2, MaxParallel: 4, Targets: func() []order.Target { return d.targets },
 	})
 	d.acquire(k)
-	m.Round(context.Background())
+	m.Reconcile(context.Background())
 	d.g.Expect(m.Counters.Sent.Load()).To(BeEquivalentTo(4), "the burst")
 	for range 3 {
 		d.clock.Advance(time.Second)
-		m.Round(context.Background())
+		m.Reconcile(context.Background())
 	}
 	d.g.Expect(m.Counters.Sent.Load()).To(BeEquivalentTo(10))
 }
@@ -156,8 +156,8 @@
 			old, next := d.host("old", "m@1"), d.host("next", "m@2")
 			d.acquire(old)
 			second := d.acquire(next)
-			next.Round(context.Background())
-			old.Round(context.Background())
+			next.Reconcile(context.Background())
+			old.Reconcile(context.Background())
 			d.g.Expect(old.Counters.Sent.Load()).To(BeZero())
 			for _, e := range d.engines {
 				d.g.Expect(e.Applied()).To(Equal([]uint64{second}))
@@ -182,10 +182,10 @@
 			var second uint64
 			old.sender.before = func() {
 				second = d.acquire(next)
-				next.Round(ctx)
+				next.Reconcile(ctx)
 				d.g.Expect(next.Counters.Confirmed.Load()).To(BeEquivalentTo(1))
 			}
-			old.Round(ctx)
+			old.Reconcile(ctx)
 			if fencing {
 				d.g.Expect(d.engines[0].Applied()).To(Equal([]uint64{second}))
 				_, ok := old.Held(d.clock.Now())
@@ -195,7 +195,7 @@
 			d.g.Expect(d.engines[0].Applied()).To(Equal([]uint64{second, first}))
 			d.clock.Advance(6 * time.Second)
 			next.Step(ctx)
-			next.Round(ctx)
+			next.Reconcile(ctx)
 			d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@2"}))
 		})
 	}
@@ -211,11 +211,11 @@
 	d.g.Expect(engineorder.New().Send(ctx, d.targets[0].Address, order.Order{Fence: seen, Models: []string{"m@0"}})).To(Succeed())
 	h := d.host("a", "m@1")
 	d.acquire(h)
-	h.Round(ctx)
+	h.Reconcile(ctx)
 	_, ok := h.Held(d.clock.Now())
 	d.g.Expect(ok).To(BeFalse())
 	d.g.Expect(d.acquire(h)).To(BeNumerically(">", uint64(seen)))
-	h.Round(ctx)
+	h.Reconcile(ctx)
 	d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}))
 }
 
--- a/process/order/stopped_test.go
+++ b/process/order/stopped_test.go
@@ -29,15 +29,15 @@
 )
 
 // holder runs a keeper and a manager with short times on the real clock.
-func holder(ctx context.Context, name, store, address, model string) (*lease.Keeper, *order.Manager) {
+func holder(ctx context.Context, name, store, address, model string) (*lease.Elector, *order.Manager) {
 	const unit = 100 * time.Millisecond
-	k := lease.NewKeeper(lease.Options{
+	k := lease.NewElector(lease.Options{
 		Store: objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(store, "")), objectapi.ClientOptions{}), Clock: clock.System{}, Rand: clock.SystemRand{},
-		Key: lease.Prefix + "d", Host: name, Candidate: func() bool { return true },
-		TTL: 15 * unit, Margin: 5 * unit, LongestOrder: 3 * unit,
+		Key: lease.KeyPrefix + "d", Host: name, IsCandidate: func() bool { return true },
+		TTL: 15 * unit, Margin: 5 * unit, MaxOrderDuration: 3 * unit,
 	})
 	m := order.New(order.Options{
-		Lease: k, Clock: clock.System{}, Sender: engineorder.New(), Interval: unit / 5, Timeout: unit, Retry: unit / 2, Rate: 1000,
+		Lease: k, Clock: clock.System{}, Sender: engineorder.New(), Interval: unit / 5, Timeout: unit, RetryInterval: unit / 2, OrdersPerSecond: 1000,
 		Targets: func() []order.Target { return []order.Target{{Address: address, Models: []string{model}}} },
 	})
 	go func() { _ = k.Run(ctx) }()
--- a/request/entry/answer.go
+++ b/request/entry/answer.go
@@ -45,7 +45,7 @@
 
 // refuse gives the request's final answer at once.
 func (c *call) refuse(e *kind.Error) {
-	e.Earlier = c.mayHaveRunEarlier(e)
+	e.EarlierAttempt = c.mayHaveRunEarlier(e)
 	ran := e.Ran()
 	if ran == kind.RanNo {
 		c.Counters.Refused.Add(1)
@@ -71,7 +71,7 @@
 	a := kind.Lookup(e.Kind)
 	return Problem{
 		Type: "about:blank#" + string(e.Kind), Title: a.Title, Status: a.Status, Detail: e.Detail,
-		Kind: e.Kind, Ran: ran, RequestID: c.id, RetryAfter: e.Wait().Seconds(),
+		Kind: e.Kind, Ran: ran, RequestID: c.id, RetryAfter: e.RetryDelay().Seconds(),
 	}
 }
 
--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -28,7 +28,7 @@
 				return true, nil
 			}
 			e := kind.New(kind.OutcomeUnknown, "the request ran; its answer is no longer kept")
-			e.RanYes = true
+			e.ExecutionConfirmed = true
 			return false, e
 		case claim.Running:
 			if res.Wait == nil {
@@ -123,7 +123,7 @@
 // comes after the caller got its answer, so that a resend learns it. The gate
 // counts it as work in flight.
 func (c *call) settleLate(pending <-chan pipeline.Late) {
-	c.Gate.Hold()
+	c.Gate.EnterNested()
 	claimed := c.claimed
 	c.claimed = false
 	ctx := context.WithoutCancel(c.r.Context())
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -57,7 +57,7 @@
 
 // Handler serves callers. It is made once for the process.
 type Handler struct {
-	InForce    *inforce.Cell[snapshot.Snapshot]
+	InForce    *inforce.Value[snapshot.Snapshot]
 	Runner     *pipeline.Runner
 	Admission  admission.Admitter
 	Claims     claim.Claims
@@ -232,9 +232,9 @@
 		limit = min(limit, d)
 	}
 	c.boundWrites(limit)
-	c.admitted = admission.Request{Profile: c.route.Profile, Account: c.account, Arrived: now, Deadline: now.Add(limit)}
+	c.admitted = admission.Request{Profile: c.route.Profile, Account: c.account, ArrivedAt: now, Deadline: now.Add(limit)}
 	c.claimKey = claim.Key{Account: c.account, Key: c.key, Body: c.bodyHash()}
-	c.admitted.Identity = c.claimKey.Body
+	c.admitted.Fingerprint = c.claimKey.Body
 	return nil
 }
 
--- a/request/entry/headers_test.go
+++ b/request/entry/headers_test.go
@@ -72,11 +72,11 @@
 		Profile: &admission.Profile{},
 	}
 	h := &Handler{
-		InForce: &inforce.Cell[snapshot.Snapshot]{}, Admission: admission.Always{}, Claims: claim.NewMemory(), Quarantine: quarantine.Open{},
+		InForce: &inforce.Value[snapshot.Snapshot]{}, Admission: admission.AlwaysAdmit{}, Claims: claim.NewMemory(), Quarantine: quarantine.Open{},
 		Gate: &drain.Gate{}, Clock: clock.System{}, Log: log.New(io.Discard), Tracer: noop.NewTracerProvider().Tracer(""),
 		Headers: DefaultHeaders(), Limits: DefaultLimits(), Counters: &Counters{},
 		Runner: &pipeline.Runner{
-			Backend: b, Admission: admission.Always{}, Quarantine: quarantine.Open{}, Clock: clock.System{}, Rand: clock.SystemRand{},
+			Backend: b, Admission: admission.AlwaysAdmit{}, Quarantine: quarantine.Open{}, Clock: clock.System{}, Rand: clock.SystemRand{},
 			Tracer: noop.NewTracerProvider().Tracer(""), Options: pipeline.DefaultOptions(),
 		},
 	}
@@ -167,7 +167,7 @@
 		e := kind.New(k, "x")
 		e.Dispatched = true
 		g.Expect(e.Ran()).NotTo(Equal(kind.RanNo), string(k))
-		g.Expect(e.Wait() > 0).To(Equal(a.Retry), string(k))
+		g.Expect(e.RetryDelay() > 0).To(Equal(a.Retry), string(k))
 	}
 }
 
--- a/request/entry/record.go
+++ b/request/entry/record.go
@@ -33,7 +33,7 @@
 	}
 	if c.Log.GetLevel() <= log.DebugLevel {
 		c.Log.Debug("request completed", "request", c.id, "trace", telemetry.TraceID(c.r.Context()),
-			"route", c.routeName(), "took", c.Clock.Now().Sub(c.admitted.Arrived))
+			"route", c.routeName(), "took", c.Clock.Now().Sub(c.admitted.ArrivedAt))
 	}
 }
 
--- a/request/gateway/errors.go
+++ b/request/gateway/errors.go
@@ -36,7 +36,7 @@
 	h["Date"] = nil
 	h["Content-Type"] = []string{"application/problem+json"}
 	x.opts.Headers.SetAttemptID(h, x.client.AttemptID)
-	if wait := e.Wait(); wait > 0 && impliesNotRun(status) {
+	if wait := e.RetryDelay(); wait > 0 && impliesNotRun(status) {
 		x.logEntry.RetryAfter = wait
 		x.opts.Headers.SetRetryAfter(h, wait)
 	}
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -28,7 +28,7 @@
 type Options struct {
 	Domain        string                            // failure domain of this entry host
 	OneWayLatency func(domain string) time.Duration // one-way network latency to a failure domain
-	Plan          *inforce.Cell[plan.Plan]
+	Plan          *inforce.Value[plan.Plan]
 	Directory     *directory.Directory
 	Upstream      *upstream.Client
 	Headers       wire.Headers // header format of the platform
--- a/request/gateway/placement_test.go
+++ b/request/gateway/placement_test.go
@@ -108,7 +108,7 @@
 			return ""
 		}
 		e := kind.From(err)
-		NewWithT(t).Expect(e.Wait()).To(BeNumerically(">", 0))
+		NewWithT(t).Expect(e.RetryDelay()).To(BeNumerically(">", 0))
 		NewWithT(t).Expect(e.Ran()).To(Equal(kind.RanNo))
 		return e.Kind
 	}
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -51,7 +51,7 @@
 	}
 	x.tried = append(x.tried, srv.State)
 	x.number++
-	x.req.Admitted.Waited = !srv.Free(info.Now)
+	x.req.Admitted.MayHaveQueued = !srv.Free(info.Now)
 	return &attempt{server: srv, number: x.number, alone: alone}, nil
 }
 
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -133,7 +133,7 @@
 	x.Admission.StageStart(start, x.req.Admitted, st.Index)
 	x.tried = nil
 	x.pool(st).budget.RecordFirstAttempt()
-	x.req.Admitted.Running = 0
+	x.req.Admitted.StreamDuration = 0
 	var out []byte
 	var err *kind.Error
 	switch {
--- a/request/pipeline/stream.go
+++ b/request/pipeline/stream.go
@@ -50,7 +50,7 @@
 		err := s.attempt(ctx, a)
 		x.sent(err)
 		if err == nil {
-			x.req.Admitted.Running = s.at.Sub(s.first)
+			x.req.Admitted.StreamDuration = s.at.Sub(s.first)
 			return x.took(output{streamedType, s.whole}), nil
 		}
 		if !s.goesOn(ctx, a, err) {
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -107,7 +107,7 @@
 }
 
 func profile(r *Route) *admission.Profile {
-	p := &admission.Profile{Route: r.Name, Class: classes[r.Class], Worth: r.Worth, Shares: r.Policy.Shares}
+	p := &admission.Profile{Route: r.Name, Class: classes[r.Class], Worth: r.Worth, AccountWeights: r.Policy.Shares}
 	for _, st := range r.Stages {
 		p.Stages = append(p.Stages, admission.Stage{
 			Pool: st.Pool.Name, Budget: st.Budget.Std(), Cost: st.Cost,
