--- a/process/stages/announce.go
+++ b/process/stages/announce.go
@@ -53,7 +53,7 @@
 // handshake between every two hosts when a fleet starts, which takes weak hosts seconds.
 const maxAnnouncedHosts = 4
 
-// Announce makes this host known to the hosts that come first as owners. The call itself
+// Announce makes this host known to the hosts that are preferred as owners. The call itself
 // authenticates the caller.
 func (p *Pool) Announce() {
 	list := slices.Clone(p.link.Peers())
--- a/process/stages/inputs.go
+++ b/process/stages/inputs.go
@@ -28,7 +28,7 @@
 // that made them are short of result memory. Kept until the calls end, results of a stage
 // fill its servers, whose calls are then half empty while items wait. Freeing early has a
 // price and is therefore limited to scarce memory: an item that fails afterwards finds its
-// inputs gone, and the request's work is repeated, for which there must be time.
+// inputs lost, and the request's work is repeated, for which there must be time.
 func (w *requestWork) onInputsFetched(stage int, job *batcher.Job) {
 	var scarce []int
 	for _, a := range w.request.Stages[stage].DependsOn {
--- a/process/stages/latereserve.go
+++ b/process/stages/latereserve.go
@@ -3,7 +3,8 @@
 import "time"
 
 // lateReserveShare of the in-flight limit is for late requests close to their latest start
-// time: a lasting overload would otherwise refuse all requests of the least worth.
+// time: an overload would otherwise refuse the requests of the least worth for its whole
+// duration.
 const lateReserveShare = 0.35
 
 // lateReserveLead is how long before its latest start time a late request may use the
--- a/process/stages/limits.go
+++ b/process/stages/limits.go
@@ -45,7 +45,7 @@
 // inFlightLimit returns the amount of work that may be in flight at a stage: what the servers
 // complete between the admission of a request and the end of that stage. Items and result
 // bytes have separate limits (0 bytes: unlimited): otherwise items with small results would
-// use up the time that large results need.
+// use up the server time that items with large results leave.
 func (s Service) inFlightLimit(at stagePosition) workAmount {
 	inFlightTime := time.Duration(at.depth+1) * (s.fullCallTime() + callOverhead)
 	if at.depth == 0 {
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -147,7 +147,7 @@
 // can no longer meet their target latency (late).
 func (p *Pool) Waiting() (onTime, late int) { return p.coordinator.Waiting() }
 
-// notify sends a message that may be lost: a host that misses it learns the same from the
+// notify sends a message that may be lost: a host that misses it finds the change in the
 // platform's list.
 func (p *Pool) notify(host string, m peer.Method) { p.sendAsync(host, m, nil) }
 
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -342,9 +342,9 @@
 	g.Expect(third.pool.findOwner(t.Context(), "x", residency.Set{})).To(Equal("first"))
 }
 
-// Two hosts send requests with a shared prefix. Their owner chooses the servers: the second request goes
-// to another server while the first prompt is being prefilled, although neither host sees
-// the request of the other.
+// Two hosts send requests with a shared prefix. Their owner chooses the servers: the second
+// request goes to another server while the first prompt is being prefilled, although neither
+// host sees the request of the other.
 func TestOwnerChoosesServersForAllHosts(t *testing.T) {
 	g, first, second, third := newThreeHosts(t)
 	run := func(n *node, id string) Results {
--- a/process/stages/prefixes.go
+++ b/process/stages/prefixes.go
@@ -59,8 +59,7 @@
 	}
 }
 
-// ownersOfOtherRegions returns the hosts that come first as owners of the other regions. The
-// caller holds p.mu.
+// ownersOfOtherRegions returns the owners of the other regions. The caller holds p.mu.
 func (p *Pool) ownersOfOtherRegions(peers []peer.Identity) []string {
 	self := p.link.Self()
 	seen := map[string]bool{self.Region: true}
