--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -22,7 +22,7 @@
 
 // requestsPart serves callers.
 type requestsPart struct {
-	guard    *quarantine.Shared
+	guard    *quarantine.SharedGuard
 	claims   *claim.Manager
 	counters entry.Counters
 	handler  http.Handler
@@ -31,7 +31,7 @@
 func (h *Host) wireRequests() {
 	p := &h.requests
 	link := livingLink{h.members.link, h.members.view}
-	p.guard = quarantine.NewShared(h.clock, h.rand, link, h.opts.Requests.Quarantine)
+	p.guard = quarantine.NewSharedGuard(h.clock, h.rand, link, h.opts.Requests.Quarantine)
 	h.add("quarantine", p.guard.Run)
 	p.claims = claim.New(claim.Config{
 		Host: h.opts.Name, Incarnation: h.incarnation, Store: h.store, Clock: h.clock,
@@ -123,13 +123,13 @@
 
 func (o *RequestOptions) register(set *settings.Set) {
 	set.Int(&o.Claims.Shards, "claim-shards", "objects that hold the claims; the same on every entry host", 1, 4096)
-	set.Duration(&o.Claims.Window, "claim-window", "time for which a key is remembered on the platform", time.Minute, 24*time.Hour)
-	set.Duration(&o.Claims.Spacing, "claim-spacing", "time between writes of one such object", 0, time.Minute)
+	set.Duration(&o.Claims.Retention, "claim-window", "time for which a key is remembered on the platform", time.Minute, 24*time.Hour)
+	set.Duration(&o.Claims.WriteInterval, "claim-spacing", "time between writes of one such object", 0, time.Minute)
 	set.Float(&o.Claims.WritesPerSecond, "claim-writes", "writes a second of this host on the platform for claims", 0.1, 1000)
-	set.Duration(&o.Claims.TicketLife, "ticket-life", "time from minting a ticket to its last first use", time.Second, 24*time.Hour)
-	set.Duration(&o.Claims.AnswerTime, "answer-time", "time for which an answer is kept for resends", time.Second, 24*time.Hour)
-	set.Int(&o.Quarantine.Deaths, "quarantine-deaths", "backend servers lost to a request before it is refused", 1, 100)
-	set.Duration(&o.Quarantine.Term, "quarantine-term", "time for which such a request is refused", time.Second, 24*time.Hour)
+	set.Duration(&o.Claims.TicketTTL, "ticket-life", "time from minting a ticket to its last first use", time.Second, 24*time.Hour)
+	set.Duration(&o.Claims.ResponseTTL, "answer-time", "time for which an answer is kept for resends", time.Second, 24*time.Hour)
+	set.Int(&o.Quarantine.MaxCrashes, "quarantine-deaths", "backend servers lost to a request before it is refused", 1, 100)
+	set.Duration(&o.Quarantine.QuarantineDuration, "quarantine-term", "time for which such a request is refused", time.Second, 24*time.Hour)
 	set.Int(&o.Run.MaxAttempts, "attempts", "attempts of one stage", 1, 10)
 	set.Float(&o.Run.RetryShare, "retry-share", "retries for each request of a pool", 0, 1)
 	o.Headers.Each(func(setting string, name *string, meaning string) {
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -19,7 +19,7 @@
 }
 
 var verdictNames = map[quarantine.Verdict]string{
-	quarantine.Clear: "clear", quarantine.Alone: "alone", quarantine.Refused: "refused",
+	quarantine.Allowed: "clear", quarantine.Isolated: "alone", quarantine.Refused: "refused",
 }
 
 func quarantineCommands() []*command {
--- a/internal/faultrun/world_test.go
+++ b/internal/faultrun/world_test.go
@@ -142,9 +142,9 @@
 	dead, stop := context.WithCancel(context.Background())
 	link := w.net.Join(peer.Identity{Host: name, Incarnation: w.next})
 	h := &host{name: name, store: &mortal{w.objects, dead}, stop: stop, registry: server.NewRegistry()}
-	shared := quarantine.NewShared(clock.System{}, clock.SystemRand{}, link, quarantine.DefaultOptions())
+	shared := quarantine.NewSharedGuard(clock.System{}, clock.SystemRand{}, link, quarantine.DefaultOptions())
 	opts := claim.DefaultOptions()
-	opts.Spacing, opts.Backoff = 5*time.Millisecond, 50*time.Millisecond
+	opts.WriteInterval, opts.StoreBackoff = 5*time.Millisecond, 50*time.Millisecond
 	h.claims = claim.New(claim.Config{Host: name, Incarnation: w.next, Store: h.store, Clock: clock.System{}, Link: link, Options: opts})
 	h.guard = shared
 	h.runner = &pipeline.Runner{
@@ -153,7 +153,7 @@
 		Tracer: noop.NewTracerProvider().Tracer(""), Host: name, Incarnation: w.next, Options: runOptions(),
 	}
 	if w.naive {
-		h.claims, h.guard = claim.NewMemory(), quarantine.Open{}
+		h.claims, h.guard = claim.NewMemory(), quarantine.AllowAll{}
 		h.runner.Quarantine, h.runner.Apart = h.guard, nil
 	}
 	h.http = httptest.NewUnstartedServer(w.handler(h))
--- a/process/claim/at_most_once_test.go
+++ b/process/claim/at_most_once_test.go
@@ -27,7 +27,7 @@
 
 func newCluster() *cluster {
 	opts := DefaultOptions()
-	opts.Shards, opts.Spacing, opts.SealAt, opts.WritesPerSecond, opts.WriteBurst = 2, 0, 3, 1e6, 1e6
+	opts.Shards, opts.WriteInterval, opts.SealThreshold, opts.WritesPerSecond, opts.WriteBurst = 2, 0, 3, 1e6, 1e6
 	return &cluster{standin.New(), peertest.NewNetwork(), clock.NewManual(time.Unix(1e9, 0)), opts}
 }
 
@@ -57,7 +57,7 @@
 					k := key(fmt.Sprint("k", i))
 					if h.Begin(background, k).State == Granted {
 						n.Add(1)
-						h.Finish(background, k, Answer{Status: 200})
+						h.Finish(background, k, Response{Status: 200})
 					}
 				})
 			}
@@ -84,8 +84,8 @@
 	a, b := c.start("a", 1), c.start("b", 1)
 	c.objects.SetFaults(standin.Faults{LoseWrites: 1})
 	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
-	g.Expect(a.Counters.Lost.Load()).To(BeEquivalentTo(1))
-	a.Lose(background, key("k"))
+	g.Expect(a.Counters.LostResponses.Load()).To(BeEquivalentTo(1))
+	a.MarkUnknown(background, key("k"))
 	g.Expect(b.Begin(background, key("k")).State).To(Equal(Unknown))
 }
 
@@ -116,7 +116,7 @@
 		store.lose.Store(true)
 		g.Expect(a.Begin(background, key("k")).State).To(Equal(Unavailable))
 		c.objects.SetFaults(standin.Faults{})
-		c.clock.Advance(c.opts.Backoff)
+		c.clock.Advance(c.opts.StoreBackoff)
 		if !other {
 			g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
 			continue
@@ -141,7 +141,7 @@
 	a, b := c.start("a", 1), c.start("b", 1)
 	g.Expect(a.Begin(background, key("open")).State).To(Equal(Granted))
 	g.Expect(a.Begin(background, key("done")).State).To(Equal(Granted))
-	a.Finish(background, key("done"), Answer{Status: 200})
+	a.Finish(background, key("done"), Response{Status: 200})
 	g.Expect(a.Flush(background)).To(Succeed())
 	c.net.Leave("a")
 	g.Expect(b.Begin(background, key("open")).State).To(Equal(Unknown))
@@ -160,14 +160,14 @@
 	got := make(chan Result)
 	go func() { got <- b.Begin(background, key("k")) }()
 	g.Eventually(c.clock.Waiters).Should(Equal(1))
-	a.Finish(background, key("k"), Answer{Status: 200, Body: []byte("booked")})
+	a.Finish(background, key("k"), Response{Status: 200, Body: []byte("booked")})
 	c.clock.Advance(c.opts.PollInterval)
 	var res Result
 	g.Eventually(got).Should(Receive(&res))
 	g.Expect(res.State).To(Equal(Done))
-	g.Expect(res.Answer.Body).To(BeEquivalentTo("booked"))
+	g.Expect(res.Response.Body).To(BeEquivalentTo("booked"))
 	for _, h := range []*Manager{a, b} {
-		g.Expect(h.Begin(background, Key{Account: "depot", Key: "k", Body: 8}).State).To(Equal(Mismatch))
+		g.Expect(h.Begin(background, Key{Account: "depot", Key: "k", Body: 8}).State).To(Equal(BodyMismatch))
 	}
 }
 
@@ -181,7 +181,7 @@
 	a.Release(background, key("k"))
 	g.Eventually(func() bool { _, ok := a.table.peek(key("k").ID()); return ok }).Should(BeFalse())
 	g.Expect(b.Begin(background, key("k")).State).To(Equal(Granted))
-	b.Lose(background, key("k"))
+	b.MarkUnknown(background, key("k"))
 	g.Expect(a.Begin(background, key("k")).State).To(Equal(Unknown))
 }
 
@@ -192,14 +192,14 @@
 	c := newCluster()
 	a := c.start("a", 1)
 	g.Expect(a.Begin(background, key("old")).State).To(Equal(Granted))
-	a.Finish(background, key("old"), Answer{Status: 200})
+	a.Finish(background, key("old"), Response{Status: 200})
 	c.objects.SetFaults(standin.Faults{Down: true})
 	for range 100 {
 		g.Expect(a.Begin(background, key("new")).State).To(Equal(Unavailable))
 	}
 	g.Expect(c.objects.Counts().Writes+c.objects.Counts().Reads).To(BeNumerically("<", 10), "calls during the outage")
 	g.Expect(a.Begin(background, key("old")).State).To(Equal(Done))
-	ticket, err := a.Mint(background, "depot")
+	ticket, err := a.MintTicket(background, "depot")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(a.Begin(background, key(ticket)).State).To(Equal(Granted))
 	g.Expect(a.Begin(background, key(ticket)).State).To(Equal(Running))
@@ -237,7 +237,7 @@
 func TestSealedClaimsStandUntilTheirWindowEnds(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
-	c.opts.Shards, c.opts.SealAt = 1, 20
+	c.opts.Shards, c.opts.SealThreshold = 1, 20
 	a := c.start("a", 1)
 	const n = 500
 	for i := range n {
@@ -257,7 +257,7 @@
 		}
 		g.Expect(b.Begin(background, key(fmt.Sprint(i))).State).To(Equal(want), "key %d", i)
 	}
-	c.clock.Advance(c.opts.Window)
+	c.clock.Advance(c.opts.Retention)
 	g.Expect(b.Begin(background, key("0")).State).To(Equal(Granted))
 	g.Eventually(func() int {
 		parts, _ := c.objects.List(background, ObjectPrefix)
@@ -271,7 +271,7 @@
 func TestYoungerSealedPartHidesTheOlder(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
-	c.opts.Shards, c.opts.SealAt = 1, 2
+	c.opts.Shards, c.opts.SealThreshold = 1, 2
 	a, b := c.start("a", 1), c.start("b", 1)
 	fill := func(from int) {
 		for i := range 6 {
@@ -279,11 +279,11 @@
 		}
 	}
 	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
-	a.ReleasePart(background, key("k"))
+	a.ReleasePartial(background, key("k"))
 	g.Eventually(func() bool { _, ok := a.table.peek(key("k").ID()); return ok }).Should(BeFalse())
 	fill(0)
-	g.Expect(b.Begin(background, key("k"))).To(Equal(Result{State: Granted, Part: true}))
-	b.Lose(background, key("k"))
+	g.Expect(b.Begin(background, key("k"))).To(Equal(Result{State: Granted, PartiallyRan: true}))
+	b.MarkUnknown(background, key("k"))
 	fill(100)
 	c.net.Leave("a")
 	c.net.Leave("b")
--- a/process/claim/bench_test.go
+++ b/process/claim/bench_test.go
@@ -57,7 +57,7 @@
 			m := managers[i%len(managers)]
 			k := key(fmt.Sprint("k", i))
 			if way == "tickets" {
-				k.Key, _ = m.Mint(background, k.Account)
+				k.Key, _ = m.MintTicket(background, k.Account)
 				m = managers[(i+1)%len(managers)]
 			}
 			start := time.Now()
--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -29,16 +29,16 @@
 	// Unknown: an earlier attempt may have run and its outcome is lost.
 	Unknown
 	// Mismatch: the key was used with another body.
-	Mismatch
+	BodyMismatch
 	// Unavailable: the claim could be neither made nor read. Nothing was
 	// started by this call.
 	Unavailable
 	// Foreign: the key is a ticket of an incarnation that cannot be reached.
-	Foreign
+	UnknownTicket
 )
 
 // Answer is a finished answer kept for resends.
-type Answer struct {
+type Response struct {
 	Status int
 	Header map[string]string
 	Body   []byte
@@ -46,11 +46,11 @@
 
 // Result is the outcome of Begin.
 type Result struct {
-	State  State
-	Answer *Answer
+	State    State
+	Response *Response
 	// Part, with Granted: an earlier send of the key ran stages that may be
 	// repeated, and no other.
-	Part bool
+	PartiallyRan bool
 	// Wait, if not nil and State is Running, is closed when the local attempt
 	// finishes; the caller then calls Begin again.
 	Wait <-chan struct{}
@@ -65,20 +65,20 @@
 	// and Lose follows.
 	Begin(ctx context.Context, key Key) Result
 	// Finish records the answer of a request that ran.
-	Finish(ctx context.Context, key Key, answer Answer)
+	Finish(ctx context.Context, key Key, answer Response)
 	// Release gives the key up: no backend server can have received it.
 	Release(ctx context.Context, key Key)
 	// Lose records that the request may have run with its outcome lost.
-	Lose(ctx context.Context, key Key)
+	MarkUnknown(ctx context.Context, key Key)
 	// Mint returns a ticket: a key that only this incarnation may run.
-	Mint(ctx context.Context, account string) (string, error)
+	MintTicket(ctx context.Context, account string) (string, error)
 }
 
 // Parts is what a Claims may offer beside: to give a key up after stages ran
 // that may be repeated. The next send may run it, but may not be told that it
 // did not run.
-type Parts interface {
-	ReleasePart(ctx context.Context, key Key)
+type PartialReleaser interface {
+	ReleasePartial(ctx context.Context, key Key)
 }
 
 // Memory holds claims in this process only. It is the naive variant that the
@@ -91,7 +91,7 @@
 type entry struct {
 	body   uint64
 	state  State
-	answer *Answer
+	answer *Response
 	done   chan struct{}
 }
 
@@ -109,18 +109,18 @@
 		return Result{State: Granted}
 	}
 	if e.body != key.Body {
-		return Result{State: Mismatch}
+		return Result{State: BodyMismatch}
 	}
-	return Result{State: e.state, Answer: e.answer, Wait: e.done}
+	return Result{State: e.state, Response: e.answer, Wait: e.done}
 }
 
 // Finish implements Claims.
-func (m *Memory) Finish(_ context.Context, key Key, answer Answer) {
+func (m *Memory) Finish(_ context.Context, key Key, answer Response) {
 	m.end(key, Done, &answer)
 }
 
 // Lose implements Claims.
-func (m *Memory) Lose(_ context.Context, key Key) { m.end(key, Unknown, nil) }
+func (m *Memory) MarkUnknown(_ context.Context, key Key) { m.end(key, Unknown, nil) }
 
 // Release implements Claims.
 func (m *Memory) Release(_ context.Context, key Key) {
@@ -134,9 +134,9 @@
 }
 
 // Mint implements Claims.
-func (m *Memory) Mint(context.Context, string) (string, error) { return "", nil }
+func (m *Memory) MintTicket(context.Context, string) (string, error) { return "", nil }
 
-func (m *Memory) end(key Key, state State, answer *Answer) {
+func (m *Memory) end(key Key, state State, answer *Response) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e, ok := m.entries[[2]string{key.Account, key.Key}]; ok && e.state == Running {
--- a/process/claim/commit.go
+++ b/process/claim/commit.go
@@ -145,7 +145,7 @@
 				break
 			}
 		}
-		next, results, changed, stale := q.copy.apply(batch, c.clock.Now(), c.opts.Window)
+		next, results, changed, stale := q.copy.apply(batch, c.clock.Now(), c.opts.Retention)
 		if stale && !fresh {
 			// The copy in memory says taken, but the other claim may have
 			// been given up since.
@@ -175,7 +175,7 @@
 }
 
 func (c *committer) unavailable() {
-	c.downUntil.Store(c.clock.Now().Add(c.opts.Backoff).UnixNano())
+	c.downUntil.Store(c.clock.Now().Add(c.opts.StoreBackoff).UnixNano())
 }
 
 func (c *committer) read(ctx context.Context, index int, q *shardQueue) error {
@@ -226,7 +226,7 @@
 		c.unavailable()
 		return false, false
 	default:
-		c.counters.Lost.Add(1)
+		c.counters.LostResponses.Add(1)
 		q.copy = nil
 		return false, true
 	}
--- a/process/claim/homes.go
+++ b/process/claim/homes.go
@@ -60,7 +60,7 @@
 func (h *homes) avoid(host string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.avoids[host] = h.clock.Now().Add(h.opts.AvoidTime)
+	h.avoids[host] = h.clock.Now().Add(h.opts.WriterBackoff)
 }
 
 // sentOperation and sentResult travel between hosts.
@@ -83,7 +83,7 @@
 	for i, op := range batch {
 		in[i] = sentOperation{op.action, op.record, op.first}
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), h.opts.AskTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), h.opts.CallTimeout)
 	defer cancel()
 	var out []sentResult
 	err := h.link.Call(ctx, home, methodCommit, in, &out)
--- a/process/claim/manager.go
+++ b/process/claim/manager.go
@@ -42,7 +42,7 @@
 	self := Owner{Host: cfg.Host, Incarnation: cfg.Incarnation}
 	m := &Manager{
 		self: self, clock: cfg.Clock, opts: cfg.Options, link: cfg.Link,
-		table: newTable(cfg.Clock, cfg.Options), mint: newMint(self, cfg.Clock, cfg.Options.TicketLife),
+		table: newTable(cfg.Clock, cfg.Options), mint: newMint(self, cfg.Clock, cfg.Options.TicketTTL),
 	}
 	m.commit = newCommitter(cfg.Store, cfg.Clock, cfg.Options, &m.Counters)
 	if m.link != nil {
@@ -53,12 +53,12 @@
 }
 
 var (
-	_ Claims = (*Manager)(nil)
-	_ Parts  = (*Manager)(nil)
+	_ Claims          = (*Manager)(nil)
+	_ PartialReleaser = (*Manager)(nil)
 )
 
 // Mint implements Claims.
-func (m *Manager) Mint(_ context.Context, account string) (string, error) {
+func (m *Manager) MintTicket(_ context.Context, account string) (string, error) {
 	return m.mint.issue(account)
 }
 
@@ -73,7 +73,7 @@
 	if isTicket(key.Key) {
 		t, err := parseTicket(key.Key)
 		if err != nil {
-			return Result{State: Foreign}
+			return Result{State: UnknownTicket}
 		}
 		ticket = t
 	}
@@ -85,14 +85,14 @@
 	h, created, full := m.table.open(id, key.Body, m.seq.Add(1))
 	switch {
 	case full:
-		return Result{State: Unavailable, RetryAfter: m.opts.Backoff}
+		return Result{State: Unavailable, RetryAfter: m.opts.StoreBackoff}
 	case !created:
 		return m.known(ctx, id, key, h)
 	case ticket == nil:
 		return m.claim(ctx, id, key, h)
 	case ticket.Minter == m.self:
 		m.table.set(id, running, func(h *holding) { h.ticket = ticket })
-		return Result{State: Granted, Part: h.part}
+		return Result{State: Granted, PartiallyRan: h.part}
 	default:
 		return m.borrow(ctx, id, key, ticket, h)
 	}
@@ -101,10 +101,10 @@
 // admitOwn checks a ticket of this incarnation before its first use.
 func (m *Manager) admitOwn(id ID, key Key, t *Ticket) (Result, bool) {
 	if m.mint.check(key.Key, key.Account) != nil {
-		return Result{State: Foreign}, false
+		return Result{State: UnknownTicket}, false
 	}
 	if _, used := m.table.peek(id); !used && m.clock.Now().After(t.Expires) {
-		return Result{State: Foreign}, false
+		return Result{State: UnknownTicket}, false
 	}
 	return Result{}, true
 }
@@ -112,11 +112,11 @@
 // known answers from this process's memory.
 func (m *Manager) known(ctx context.Context, id ID, key Key, h holding) Result {
 	if h.body != key.Body {
-		return Result{State: Mismatch}
+		return Result{State: BodyMismatch}
 	}
 	switch h.phase {
 	case ended:
-		return Result{State: Done, Answer: h.answer}
+		return Result{State: Done, Response: h.answer}
 	case lost:
 		return Result{State: Unknown}
 	case lent:
@@ -129,12 +129,12 @@
 // claim makes the claim on the platform.
 func (m *Manager) claim(ctx context.Context, id ID, key Key, h holding) Result {
 	m.Counters.Claims.Add(1)
-	r := Record{ID: id, Body: key.Body, Owner: m.self, Seq: h.seq, At: m.clock.Now(), Part: h.part}
+	r := Record{ID: id, Body: key.Body, Owner: m.self, Seq: h.seq, At: m.clock.Now(), PartiallyRan: h.part}
 	res := m.commit.run(ctx, add, r, h.first)
 	switch res.verdict {
 	case granted:
-		m.table.set(id, running, func(h *holding) { h.part = res.other.Part })
-		return Result{State: Granted, Part: res.other.Part}
+		m.table.set(id, running, func(h *holding) { h.part = res.other.PartiallyRan })
+		return Result{State: Granted, PartiallyRan: res.other.PartiallyRan}
 	case taken:
 		m.table.drop(id)
 		return m.ask(ctx, key, res.other)
@@ -146,14 +146,14 @@
 		m.table.drop(id)
 	}
 	wait, _ := m.commit.down()
-	return Result{State: Unavailable, RetryAfter: max(wait, m.opts.Backoff)}
+	return Result{State: Unavailable, RetryAfter: max(wait, m.opts.StoreBackoff)}
 }
 
 // Finish implements Claims.
-func (m *Manager) Finish(_ context.Context, key Key, answer Answer) {
+func (m *Manager) Finish(_ context.Context, key Key, answer Response) {
 	id := key.ID()
 	m.table.set(id, ended, func(h *holding) {
-		if int64(len(answer.Body)) <= m.opts.AnswerBytes {
+		if int64(len(answer.Body)) <= m.opts.MaxResponseBytes {
 			h.answer = &answer
 		}
 	})
@@ -161,10 +161,10 @@
 }
 
 // Lose implements Claims.
-func (m *Manager) Lose(_ context.Context, key Key) {
+func (m *Manager) MarkUnknown(_ context.Context, key Key) {
 	id := key.ID()
 	m.table.set(id, lost, nil)
-	m.note(id, OutcomeLost)
+	m.note(id, OutcomeUnknown)
 }
 
 func (m *Manager) note(id ID, o Outcome) {
@@ -180,7 +180,7 @@
 func (m *Manager) Release(ctx context.Context, key Key) { m.release(ctx, key.ID(), false) }
 
 // ReleasePart implements Parts.
-func (m *Manager) ReleasePart(ctx context.Context, key Key) { m.release(ctx, key.ID(), true) }
+func (m *Manager) ReleasePartial(ctx context.Context, key Key) { m.release(ctx, key.ID(), true) }
 
 func (m *Manager) release(ctx context.Context, id ID, ranPart bool) {
 	h, ok := m.table.peek(id)
--- a/process/claim/peers.go
+++ b/process/claim/peers.go
@@ -40,7 +40,7 @@
 // standing is an owner's answer about a key.
 type standing struct {
 	State  State
-	Answer *Answer
+	Answer *Response
 	// Known is false if the asked host is another incarnation or has
 	// forgotten the key.
 	Known bool
@@ -64,7 +64,7 @@
 // A running request is asked about until it ends or ctx does.
 func (m *Manager) ask(ctx context.Context, key Key, other Record) Result {
 	if other.Body != key.Body {
-		return Result{State: Mismatch}
+		return Result{State: BodyMismatch}
 	}
 	id := key.ID()
 	in := askRequest{ID: id[:], Incarnation: other.Owner.Incarnation, Seq: other.Seq}
@@ -77,7 +77,7 @@
 			return Result{State: Running, RetryAfter: m.opts.PollInterval}
 		}
 		if s.State != Running {
-			return Result{State: s.State, Answer: s.Answer}
+			return Result{State: s.State, Response: s.Answer}
 		}
 		select {
 		case <-ctx.Done():
@@ -93,7 +93,7 @@
 }
 
 func (m *Manager) call(ctx context.Context, host string, method peer.Method, in, out any) error {
-	ctx, cancel := context.WithTimeout(ctx, m.opts.AskTimeout)
+	ctx, cancel := context.WithTimeout(ctx, m.opts.CallTimeout)
 	defer cancel()
 	return m.link.Call(ctx, host, method, in, out)
 }
@@ -134,7 +134,7 @@
 func (m *Manager) borrow(ctx context.Context, id ID, key Key, t *Ticket, h holding) Result {
 	if m.link == nil {
 		m.table.drop(id)
-		return Result{State: Foreign}
+		return Result{State: UnknownTicket}
 	}
 	in := borrowRequest{Text: key.Key, Account: key.Account, Body: key.Body, Seq: h.seq}
 	var s standing
@@ -142,17 +142,17 @@
 	switch {
 	case errors.Is(err, peer.ErrUnreachable):
 		m.table.drop(id)
-		return Result{State: Foreign, RetryAfter: time.Second}
+		return Result{State: UnknownTicket, RetryAfter: time.Second}
 	case err != nil:
 		// The minter may have lent it: ask again under the same number.
 		m.table.set(id, doubtful, func(h *holding) { h.ticket, h.lender = t, t.Minter.Host })
-		return Result{State: Foreign, RetryAfter: m.opts.AskTimeout}
+		return Result{State: UnknownTicket, RetryAfter: m.opts.CallTimeout}
 	case !s.Known:
 		m.table.drop(id)
-		return Result{State: Foreign}
+		return Result{State: UnknownTicket}
 	case s.State == Granted:
 		m.table.set(id, running, func(h *holding) { h.ticket, h.lender, h.part = t, t.Minter.Host, s.Part })
-		return Result{State: Granted, Part: s.Part}
+		return Result{State: Granted, PartiallyRan: s.Part}
 	}
 	m.table.drop(id)
 	switch {
@@ -164,7 +164,7 @@
 	case s.State == Running:
 		return m.ask(ctx, key, Record{Body: key.Body, Owner: t.Minter})
 	}
-	return Result{State: s.State, Answer: s.Answer}
+	return Result{State: s.State, Response: s.Answer}
 }
 
 // onBorrow lends a ticket once. A repeat of the same loan, whose answer was
@@ -195,7 +195,7 @@
 	s := standing{Known: true, State: Running, Part: h.part}
 	switch {
 	case h.body != in.Body:
-		s.State = Mismatch
+		s.State = BodyMismatch
 	case h.phase == lent && h.lentTo.same(&borrower):
 		s.State = Granted
 	case h.phase == lent:
--- a/process/claim/queue.go
+++ b/process/claim/queue.go
@@ -94,7 +94,7 @@
 // number of requests and hosts. After a pause the next update goes out at once.
 func (c *committer) space(q *shardQueue) {
 	now := c.clock.Now()
-	if wait := q.written.Add(c.opts.Spacing).Sub(now); wait > 0 {
+	if wait := q.written.Add(c.opts.WriteInterval).Sub(now); wait > 0 {
 		<-c.clock.After(wait)
 		now = now.Add(wait)
 	}
--- a/process/claim/record.go
+++ b/process/claim/record.go
@@ -34,15 +34,15 @@
 
 // Outcomes of a claimed run.
 const (
-	OutcomeOpen Outcome = iota // not recorded: it may have run
-	OutcomeDone                // it ran to its end
-	OutcomeLost                // it may have run; the owner lost the answer
+	OutcomePending Outcome = iota // not recorded: it may have run
+	OutcomeDone                   // it ran to its end
+	OutcomeUnknown                // it may have run; the owner lost the answer
 	// OutcomePart: stages that may be repeated ran, the others did not. The
 	// key may be claimed again, but nobody may say that it did not run.
-	OutcomePart
+	OutcomePartial
 	// OutcomeGone: the claim was given up and nothing ran. It stands only
 	// over an older record of a sealed part.
-	OutcomeGone
+	OutcomeReleased
 )
 
 // Record is one claim as the platform keeps it.
@@ -52,14 +52,14 @@
 	Owner Owner
 	// Seq numbers the owner's claims, so that a record can be told from an
 	// earlier, released one of the same owner and key.
-	Seq     uint64
-	At      time.Time
-	Outcome Outcome
-	Part    bool // an earlier claim of the key ended as OutcomePart
+	Seq          uint64
+	At           time.Time
+	Outcome      Outcome
+	PartiallyRan bool `msgpack:"Part"` // an earlier claim of the key ended as OutcomePartial
 }
 
 // reopened reports whether the claim was given up so that o may follow it.
-func (r *Record) reopened(o *Record) bool { return r.Outcome == OutcomePart && r.Body == o.Body }
+func (r *Record) reopened(o *Record) bool { return r.Outcome == OutcomePartial && r.Body == o.Body }
 
 func (r *Record) same(o *Record) bool { return r.Owner == o.Owner && r.Seq == o.Seq }
 
@@ -102,7 +102,7 @@
 			index[r.Owner] = i
 			s.Owners = append(s.Owners, r.Owner)
 		}
-		s.Records = append(s.Records, storedRecord{ID: r.ID[:], Body: r.Body, Owner: i, Seq: r.Seq, At: r.At.UnixMilli(), Outcome: r.Outcome, Part: r.Part})
+		s.Records = append(s.Records, storedRecord{ID: r.ID[:], Body: r.Body, Owner: i, Seq: r.Seq, At: r.At.UnixMilli(), Outcome: r.Outcome, Part: r.PartiallyRan})
 	}
 	return encode(&s)
 }
@@ -129,7 +129,7 @@
 			return nil, nil, fmt.Errorf("decode claims: malformed record")
 		}
 		id := ID(r.ID)
-		im[id] = Record{ID: id, Body: r.Body, Owner: s.Owners[r.Owner], Seq: r.Seq, At: time.UnixMilli(r.At), Outcome: r.Outcome, Part: r.Part}
+		im[id] = Record{ID: id, Body: r.Body, Owner: s.Owners[r.Owner], Seq: r.Seq, At: time.UnixMilli(r.At), Outcome: r.Outcome, PartiallyRan: r.Part}
 	}
 	return im, s.Sealed, nil
 }
--- a/process/claim/shard.go
+++ b/process/claim/shard.go
@@ -31,7 +31,7 @@
 	for i := len(s.sealed) - 1; i >= 0 && !ok; i-- {
 		r, ok = s.sealed[i].records[id]
 	}
-	return r, ok && r.Outcome != OutcomeGone && now.Sub(r.At) < window
+	return r, ok && r.Outcome != OutcomeReleased && now.Sub(r.At) < window
 }
 
 func (s *shardCopy) isSealed(id ID) bool {
@@ -68,7 +68,7 @@
 	r := op.record
 	switch {
 	case op.action == add && (!ok || op.replaces(&cur) || cur.reopened(&r)):
-		r.Part = r.Part || (ok && (cur.Part || cur.Outcome == OutcomePart))
+		r.PartiallyRan = r.PartiallyRan || (ok && (cur.PartiallyRan || cur.Outcome == OutcomePartial))
 		s.open[r.ID] = r
 		return opResult{other: r}, true
 	case op.action == add && !cur.same(&r):
@@ -77,16 +77,16 @@
 		return opResult{other: cur}, false
 	case op.action == mark && ok && cur.same(&r) && cur.Outcome != r.Outcome:
 		cur.Outcome = r.Outcome
-	case (op.action == remove || op.action == part) && ok && op.replaces(&cur) && cur.Outcome != OutcomePart:
-		cur.Outcome = OutcomeGone
-		if op.action == part || cur.Part {
-			cur.Outcome = OutcomePart
+	case (op.action == remove || op.action == part) && ok && op.replaces(&cur) && cur.Outcome != OutcomePartial:
+		cur.Outcome = OutcomeReleased
+		if op.action == part || cur.PartiallyRan {
+			cur.Outcome = OutcomePartial
 		}
 	default:
 		return opResult{}, false
 	}
 	s.open[r.ID] = cur
-	if cur.Outcome == OutcomeGone && !s.isSealed(r.ID) {
+	if cur.Outcome == OutcomeReleased && !s.isSealed(r.ID) {
 		delete(s.open, r.ID)
 	}
 	return opResult{}, true
@@ -107,7 +107,7 @@
 // has a name that no other write uses, and counts only once the shard's object
 // names it: a part whose update failed holds claims that do not stand.
 func (c *committer) seal(ctx context.Context, index int, q *shardQueue, next *shardCopy) *shardCopy {
-	if len(next.open) < c.opts.SealAt {
+	if len(next.open) < c.opts.SealThreshold {
 		return next
 	}
 	data, err := next.open.encode(nil)
--- a/process/claim/simulation_test.go
+++ b/process/claim/simulation_test.go
@@ -47,12 +47,12 @@
 		w.hosts[h].Release(background, k)
 		return
 	case 4:
-		w.hosts[h].ReleasePart(background, k)
+		w.hosts[h].ReleasePartial(background, k)
 		return
 	case 1:
-		w.hosts[h].Lose(background, k)
+		w.hosts[h].MarkUnknown(background, k)
 	default:
-		w.hosts[h].Finish(background, k, Answer{Status: 200})
+		w.hosts[h].Finish(background, k, Response{Status: 200})
 	}
 	w.ran[k]++
 	if w.ran[k] > 1 {
@@ -89,7 +89,7 @@
 		w.objects.SetFaults(standin.Faults{})
 		w.net.Heal(a, b)
 	}
-	w.clock.Advance(w.opts.Backoff)
+	w.clock.Advance(w.opts.StoreBackoff)
 }
 
 // Hosts die, pause and lose each other and the platform in any order while
@@ -103,7 +103,7 @@
 			w.hosts = append(w.hosts, w.start(name(h), w.next))
 		}
 		for i, h := range w.hosts {
-			ticket, _ := h.Mint(background, "depot")
+			ticket, _ := h.MintTicket(background, "depot")
 			w.keys = append(w.keys, key(ticket), key(fmt.Sprint("k", i)))
 		}
 		t.Repeat(map[string]func(*rapid.T){"begin": w.begin, "begin2": w.begin, "end": w.end, "fault": w.fault, "restart": w.restart})
--- a/process/claim/table.go
+++ b/process/claim/table.go
@@ -28,7 +28,7 @@
 	seq     uint64 // of the claim's record or of the loan
 	first   uint64 // lowest seq under which this process tried to claim the key
 	part    bool   // an earlier send ran stages that may be repeated
-	answer  *Answer
+	answer  *Response
 	done    chan struct{}
 	ticket  *Ticket // nil: claimed on the platform
 	lender  string  // host that lent the ticket; empty: minted here
@@ -150,7 +150,7 @@
 
 // trim drops the oldest answers over the bound of bytes; the keys stay.
 func (t *table) trim() {
-	for i := 0; t.answers > t.opts.AnswerBytes && i < len(t.order); i++ {
+	for i := 0; t.answers > t.opts.MaxResponseBytes && i < len(t.order); i++ {
 		if h, ok := t.byID[t.order[i]]; ok && h.answer != nil {
 			t.answers -= int64(len(h.answer.Body))
 			h.answer = nil
@@ -164,7 +164,7 @@
 	now := t.clock.Now()
 	full := len(t.byID) >= t.opts.MaxKeys
 	since := now.Sub(t.swept)
-	if since < minSweep || (since < t.opts.AnswerTime/sweepsPerAnswerTime && !full) {
+	if since < minSweep || (since < t.opts.ResponseTTL/sweepsPerAnswerTime && !full) {
 		return
 	}
 	t.swept = now
@@ -174,7 +174,7 @@
 		if !ok {
 			continue
 		}
-		young := now.Sub(h.touched) < t.opts.AnswerTime
+		young := now.Sub(h.touched) < t.opts.ResponseTTL
 		if h.inUse() || young || (h.ticket != nil && !now.After(h.ticket.Expires)) {
 			kept = append(kept, id)
 			continue
--- a/process/claim/ticket_test.go
+++ b/process/claim/ticket_test.go
@@ -10,7 +10,7 @@
 )
 
 func mintOn(g *WithT, m *Manager) string {
-	text, err := m.Mint(background, "depot")
+	text, err := m.MintTicket(background, "depot")
 	g.Expect(err).NotTo(HaveOccurred())
 	return text
 }
@@ -25,12 +25,12 @@
 	a, b, d := c.start("a", 1), c.start("b", 1), c.start("d", 1)
 	k := key(mintOn(g, a))
 	g.Expect(b.Begin(background, k).State).To(Equal(Granted))
-	b.Finish(background, k, Answer{Status: 200, Body: []byte("x")})
+	b.Finish(background, k, Response{Status: 200, Body: []byte("x")})
 	for _, h := range []*Manager{a, b, d} {
 		res := h.Begin(background, k)
 		g.Expect(res.State).To(Equal(Done))
-		g.Expect(res.Answer.Body).To(BeEquivalentTo("x"))
-		g.Expect(h.Begin(background, Key{Account: k.Account, Key: k.Key, Body: 1}).State).To(Equal(Mismatch))
+		g.Expect(res.Response.Body).To(BeEquivalentTo("x"))
+		g.Expect(h.Begin(background, Key{Account: k.Account, Key: k.Key, Body: 1}).State).To(Equal(BodyMismatch))
 	}
 }
 
@@ -43,13 +43,13 @@
 	a, b, d := c.start("a", 1), c.start("b", 1), c.start("d", 1)
 	k := key(mintOn(g, a))
 	c.net.LoseAnswers("b", "a")
-	g.Expect(b.Begin(background, k).State).To(Equal(Foreign))
+	g.Expect(b.Begin(background, k).State).To(Equal(UnknownTicket))
 	g.Expect(d.Begin(background, k).State).NotTo(Equal(Granted))
 	c.net.Heal("b", "a")
 	g.Eventually(func() State { return b.Begin(background, k).State }).Should(Equal(Granted))
 	b.Release(background, k)
 	g.Eventually(func() State { return d.Begin(background, k).State }).Should(Equal(Granted))
-	g.Expect(b.Begin(background, Key{Account: k.Account, Key: k.Key, Body: 1}).State).To(Equal(Mismatch))
+	g.Expect(b.Begin(background, Key{Account: k.Account, Key: k.Key, Body: 1}).State).To(Equal(BodyMismatch))
 }
 
 // Each of these tickets cannot be decided, and none of them runs: the minter
@@ -59,15 +59,15 @@
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
 	k := key(mintOn(g, a))
-	g.Expect(a.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(Foreign))
-	g.Expect(b.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(Foreign))
-	g.Expect(a.Begin(background, key(TicketPrefix+"!")).State).To(Equal(Foreign))
+	g.Expect(a.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(UnknownTicket))
+	g.Expect(b.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(UnknownTicket))
+	g.Expect(a.Begin(background, key(TicketPrefix+"!")).State).To(Equal(UnknownTicket))
 	c.net.Cut("a", "b")
-	g.Expect(b.Begin(background, k).State).To(Equal(Foreign))
+	g.Expect(b.Begin(background, k).State).To(Equal(UnknownTicket))
 	c.net.Heal("a", "b")
 	restarted := c.start("a", 2)
 	for _, h := range []*Manager{restarted, b} {
-		g.Expect(h.Begin(background, k).State).To(Equal(Foreign))
+		g.Expect(h.Begin(background, k).State).To(Equal(UnknownTicket))
 	}
 }
 
@@ -76,17 +76,17 @@
 func TestForgottenTicketIsExpired(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
-	c.opts.TicketLife = 2 * c.opts.AnswerTime
+	c.opts.TicketTTL = 2 * c.opts.ResponseTTL
 	a := c.start("a", 1)
 	k := key(mintOn(g, a))
 	g.Expect(a.Begin(background, k).State).To(Equal(Granted))
-	a.Finish(background, k, Answer{Status: 200})
+	a.Finish(background, k, Response{Status: 200})
 	for range 30 {
-		c.clock.Advance(c.opts.AnswerTime / 4)
+		c.clock.Advance(c.opts.ResponseTTL / 4)
 		a.table.sweep()
-		g.Expect(a.Begin(background, k).State).To(BeElementOf(Done, Foreign))
+		g.Expect(a.Begin(background, k).State).To(BeElementOf(Done, UnknownTicket))
 	}
-	g.Expect(a.Begin(background, k).State).To(Equal(Foreign))
+	g.Expect(a.Begin(background, k).State).To(Equal(UnknownTicket))
 	g.Expect(a.table.byID).To(BeEmpty())
 }
 
@@ -95,16 +95,16 @@
 func TestTableIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
-	c.opts.AnswerBytes, c.opts.MaxKeys = 100, 3
+	c.opts.MaxResponseBytes, c.opts.MaxKeys = 100, 3
 	a := c.start("a", 1)
 	for _, k := range []string{"1", "2", "3"} {
 		g.Expect(a.Begin(background, key(k)).State).To(Equal(Granted))
-		a.Finish(background, key(k), Answer{Status: 200, Body: make([]byte, 50)})
+		a.Finish(background, key(k), Response{Status: 200, Body: make([]byte, 50)})
 	}
 	g.Expect(a.Begin(background, key("1"))).To(Equal(Result{State: Done}))
-	g.Expect(a.Begin(background, key("3")).Answer).NotTo(BeNil())
+	g.Expect(a.Begin(background, key("3")).Response).NotTo(BeNil())
 	g.Expect(a.Begin(background, key("4")).State).To(Equal(Unavailable))
-	c.clock.Advance(c.opts.AnswerTime + time.Second)
+	c.clock.Advance(c.opts.ResponseTTL + time.Second)
 	g.Expect(a.Begin(background, key("4")).State).To(Equal(Granted))
 	g.Expect(a.Begin(background, key("1")).State).To(Equal(Done), "the platform remembers it")
 }
--- a/process/quarantine/apart.go
+++ b/process/quarantine/apart.go
@@ -1,7 +1,7 @@
 package quarantine
 
 // Busy implements Apart.
-func (s *Shared) Busy(server string) bool {
+func (s *SharedGuard) HasSuspect(server string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	_, ok := s.alone[server]
@@ -9,7 +9,7 @@
 }
 
 // Enter implements Apart.
-func (s *Shared) Enter(server string, fp Fingerprint) bool {
+func (s *SharedGuard) Acquire(server string, fp Fingerprint) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, ok := s.alone[server]; ok {
@@ -20,7 +20,7 @@
 }
 
 // Leave implements Apart.
-func (s *Shared) Leave(server string) {
+func (s *SharedGuard) Release(server string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.alone, server)
@@ -29,7 +29,7 @@
 }
 
 // Freed implements Apart.
-func (s *Shared) Freed() <-chan struct{} {
+func (s *SharedGuard) Released() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.freed
@@ -37,7 +37,7 @@
 
 // Clear implements Apart. A quarantine stays: only its term or an operator
 // ends it.
-func (s *Shared) Clear(fp Fingerprint) {
+func (s *SharedGuard) ClearSuspicion(fp Fingerprint) {
 	if r, ok := (*s.verdicts.Load())[fp]; !ok || len(r.Deaths) == 0 || !r.Convicted.IsZero() {
 		return
 	}
@@ -45,11 +45,11 @@
 }
 
 // List implements Guard.
-func (s *Shared) List() []Entry {
+func (s *SharedGuard) List() []Entry {
 	now := s.clock.Now()
 	out := []Entry{}
 	for fp, r := range *s.verdicts.Load() {
-		if v, _ := s.verdict(&r, now); v != Clear {
+		if v, _ := s.verdict(&r, now); v != Allowed {
 			out = append(out, Entry{Fingerprint: fp, Crashes: len(r.Deaths), Verdict: v, Expires: s.expires(&r)})
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // Lift implements Guard; peers lift the quarantine too.
-func (s *Shared) Lift(fp Fingerprint) bool {
+func (s *SharedGuard) Lift(fp Fingerprint) bool {
 	r, ok := (*s.verdicts.Load())[fp]
 	if !ok || len(r.Deaths) == 0 {
 		return false
@@ -68,7 +68,7 @@
 }
 
 // forgive forgets the deaths up to now, here and on the peers.
-func (s *Shared) forgive(fp Fingerprint) {
+func (s *SharedGuard) forgive(fp Fingerprint) {
 	s.mu.Lock()
 	r := s.merge(row{Fingerprint: fp, Since: s.clock.Now()})
 	s.mu.Unlock()
--- a/process/quarantine/crashing_request_test.go
+++ b/process/quarantine/crashing_request_test.go
@@ -16,14 +16,14 @@
 type fleet struct {
 	net    *peertest.Network
 	clock  *clock.Manual
-	guards []*Shared
+	guards []*SharedGuard
 }
 
 func newFleet(hosts int) *fleet {
 	f := &fleet{net: peertest.NewNetwork(), clock: clock.NewManual(time.Unix(1e9, 0))}
 	for i := range hosts {
 		link := f.net.Join(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: 1})
-		f.guards = append(f.guards, NewShared(f.clock, clock.NewSeeded(1), link, DefaultOptions()))
+		f.guards = append(f.guards, NewSharedGuard(f.clock, clock.NewSeeded(1), link, DefaultOptions()))
 	}
 	return f
 }
@@ -38,16 +38,16 @@
 	if v == Refused {
 		return 0
 	}
-	apart, _ := g.(Apart)
-	if v == Alone {
-		apart.Enter(server, poison)
-		defer apart.Leave(server)
+	apart, _ := g.(Isolator)
+	if v == Isolated {
+		apart.Acquire(server, poison)
+		defer apart.Release(server)
 	}
 	for _, fp := range append(beside, poison) {
-		g.Begin(fp, server)
+		g.BeginAttempt(fp, server)
 	}
 	for _, fp := range append(beside, poison) {
-		g.End(fp, server, true)
+		g.EndAttempt(fp, server, true)
 	}
 	f.clock.Advance(3 * time.Second)
 	return 1
@@ -64,14 +64,14 @@
 		lost, naive := 0, 0
 		for i := range 30 {
 			lost += send(f, f.guards[i%hosts], lost, 1, 2, 3)
-			naive += send(f, Open{}, naive)
+			naive += send(f, AllowAll{}, naive)
 		}
 		g.Expect(naive).To(Equal(30), "the naive variant")
 		g.Expect(lost).To(Equal(2), "%d hosts", hosts)
 		for _, guard := range f.guards {
 			for fp := Fingerprint(1); fp <= 3; fp++ {
 				v, _ := guard.Check(fp)
-				g.Expect(v).To(BeElementOf(Clear, Alone))
+				g.Expect(v).To(BeElementOf(Allowed, Isolated))
 			}
 			g.Expect(guard.List()).To(ContainElement(HaveField("Fingerprint", poison)))
 		}
@@ -79,7 +79,7 @@
 		f.clock.Advance(time.Second)
 		g.Expect(f.guards[0].Lift(poison)).To(BeTrue())
 		v, _ := f.guards[hosts-1].Check(poison)
-		g.Expect(v).To(Equal(Clear))
+		g.Expect(v).To(Equal(Allowed))
 	}
 }
 
@@ -111,18 +111,18 @@
 	for s := range 5 {
 		for range 10 {
 			fp++
-			f.guards[int(fp)%3].End(fp, fmt.Sprint("s", s), true)
+			f.guards[int(fp)%3].EndAttempt(fp, fmt.Sprint("s", s), true)
 		}
 	}
 	f.clock.Advance(500 * time.Millisecond)
 	for again := Fingerprint(1); again <= 10; again++ {
 		guard := f.guards[again%3]
 		v, _ := guard.Check(again)
-		g.Expect(v).To(Equal(Alone))
+		g.Expect(v).To(Equal(Isolated))
 		server := fmt.Sprint("t", again)
-		g.Expect(guard.Enter(server, again)).To(BeTrue())
-		guard.End(again, server, true)
-		guard.Leave(server)
+		g.Expect(guard.Acquire(server, again)).To(BeTrue())
+		guard.EndAttempt(again, server, true)
+		guard.Release(server)
 	}
 	refused := 0
 	for i := Fingerprint(1); i <= fp; i++ {
@@ -132,10 +132,10 @@
 	}
 	g.Expect(refused).To(Equal(0))
 	f.clock.Advance(5 * time.Second)
-	f.guards[0].Clear(1)
+	f.guards[0].ClearSuspicion(1)
 	for _, guard := range f.guards {
 		v, _ := guard.Check(1)
-		g.Expect(v).To(Equal(Clear))
+		g.Expect(v).To(Equal(Allowed))
 	}
 }
 
@@ -145,23 +145,23 @@
 	g := NewWithT(t)
 	f := newFleet(1)
 	guard := f.guards[0]
-	guard.End(poison, "s1", true)
+	guard.EndAttempt(poison, "s1", true)
 	f.clock.Advance(3 * time.Second)
-	g.Expect(guard.Enter("s2", poison)).To(BeTrue())
-	g.Expect(guard.Enter("s2", 9)).To(BeFalse())
-	guard.End(1, "s2", true)
-	guard.End(poison, "s2", true)
-	freed := guard.Freed()
-	guard.Leave("s2")
+	g.Expect(guard.Acquire("s2", poison)).To(BeTrue())
+	g.Expect(guard.Acquire("s2", 9)).To(BeFalse())
+	guard.EndAttempt(1, "s2", true)
+	guard.EndAttempt(poison, "s2", true)
+	freed := guard.Released()
+	guard.Release("s2")
 	g.Expect(freed).To(BeClosed())
 	v, _ := guard.Check(1)
-	g.Expect(v).To(Equal(Clear))
+	g.Expect(v).To(Equal(Allowed))
 	v, wait := guard.Check(poison)
 	g.Expect(v).To(Equal(Refused))
 	g.Expect(wait).To(BeNumerically(">", time.Minute))
 	f.clock.Advance(wait)
 	v, _ = guard.Check(poison)
-	g.Expect(v).To(Equal(Clear))
+	g.Expect(v).To(Equal(Allowed))
 }
 
 // A server is dead, and its address still takes connections and drops them.
@@ -170,20 +170,20 @@
 func TestAttemptOnADeadServerIsNotBlamed(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2)
-	f.guards[0].End(poison, "s1", true)
-	f.guards[0].End(poison, "s2", true)
+	f.guards[0].EndAttempt(poison, "s1", true)
+	f.guards[0].EndAttempt(poison, "s2", true)
 	for fp := Fingerprint(1); fp < 5; fp++ {
 		for _, server := range []string{"s1", "s2"} {
 			guard := f.guards[fp%2]
-			guard.Begin(fp, server)
-			guard.End(fp, server, true)
+			guard.BeginAttempt(fp, server)
+			guard.EndAttempt(fp, server, true)
 			v, _ := guard.Check(fp)
-			g.Expect(v).To(Equal(Clear))
+			g.Expect(v).To(Equal(Allowed))
 		}
 	}
-	f.guards[0].Alive("s1")
-	f.guards[0].Begin(9, "s1")
-	f.guards[0].End(9, "s1", true)
+	f.guards[0].MarkAlive("s1")
+	f.guards[0].BeginAttempt(9, "s1")
+	f.guards[0].EndAttempt(9, "s1", true)
 	v, _ := f.guards[0].Check(9)
-	g.Expect(v).To(Equal(Alone))
+	g.Expect(v).To(Equal(Isolated))
 }
--- a/process/quarantine/dead.go
+++ b/process/quarantine/dead.go
@@ -1,19 +1,19 @@
 package quarantine
 
 // Begin implements Guard.
-func (s *Shared) Begin(fp Fingerprint, server string) {
+func (s *SharedGuard) BeginAttempt(fp Fingerprint, server string) {
 	if s.deadCount.Load() == 0 {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if at, ok := s.dead[server]; ok && s.clock.Now().Sub(at) < s.opts.DeadFor {
+	if at, ok := s.dead[server]; ok && s.clock.Now().Sub(at) < s.opts.MaxDeadDuration {
 		s.onDead[attempt{fp, server}]++
 	}
 }
 
 // Alive implements Apart.
-func (s *Shared) Alive(server string) {
+func (s *SharedGuard) MarkAlive(server string) {
 	if s.deadCount.Load() == 0 {
 		return
 	}
@@ -28,7 +28,7 @@
 
 // beganOnDead takes note that an attempt has ended, and reports whether the
 // server was dead when it began.
-func (s *Shared) beganOnDead(fp Fingerprint, server string) bool {
+func (s *SharedGuard) beganOnDead(fp Fingerprint, server string) bool {
 	if s.deadCount.Load() == 0 {
 		return false
 	}
--- a/process/quarantine/peers.go
+++ b/process/quarantine/peers.go
@@ -24,7 +24,7 @@
 // parallelTells bounds the peers told at once.
 const parallelTells = 32
 
-func (s *Shared) handle() {
+func (s *SharedGuard) handle() {
 	s.link.Handle(methodTell, s.onTell)
 	s.link.Handle(methodList, func(context.Context, peer.Identity, []byte) ([]byte, error) {
 		return msgpack.Marshal(s.inEffect())
@@ -32,11 +32,11 @@
 }
 
 // share tells every peer, as far as they can be reached in ShareTime.
-func (s *Shared) share(r row) {
+func (s *SharedGuard) share(r row) {
 	if s.link == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), s.opts.ShareTime)
+	ctx, cancel := context.WithTimeout(context.Background(), s.opts.ShareTimeout)
 	defer cancel()
 	var g errgroup.Group
 	g.SetLimit(parallelTells)
@@ -50,7 +50,7 @@
 	_ = g.Wait()
 }
 
-func (s *Shared) onTell(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
+func (s *SharedGuard) onTell(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var rows []row
 	if err := msgpack.Unmarshal(payload, &rows); err != nil {
 		return nil, fmt.Errorf("quarantine: malformed rows: %w", err)
@@ -60,7 +60,7 @@
 }
 
 // learn merges a peer's rows.
-func (s *Shared) learn(rows []row) {
+func (s *SharedGuard) learn(rows []row) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, r := range rows[:min(len(rows), maxTold)] {
@@ -73,7 +73,7 @@
 	}
 }
 
-func (s *Shared) inEffect() []row {
+func (s *SharedGuard) inEffect() []row {
 	now := s.clock.Now()
 	var out []row
 	for _, r := range *s.verdicts.Load() {
@@ -86,7 +86,7 @@
 
 // Run compares notes with one random peer at a time until ctx ends, so that a
 // host that was cut off or has just started learns what it missed.
-func (s *Shared) Run(ctx context.Context) error {
+func (s *SharedGuard) Run(ctx context.Context) error {
 	wait := time.Duration(0)
 	for {
 		select {
@@ -94,12 +94,12 @@
 			return nil
 		case <-s.clock.After(wait):
 		}
-		wait = s.opts.SyncEvery
+		wait = s.opts.SyncInterval
 		s.sync(ctx)
 	}
 }
 
-func (s *Shared) sync(ctx context.Context) {
+func (s *SharedGuard) sync(ctx context.Context) {
 	if s.link == nil {
 		return
 	}
@@ -107,7 +107,7 @@
 	if len(peers) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.opts.ShareTime)
+	ctx, cancel := context.WithTimeout(ctx, s.opts.ShareTimeout)
 	defer cancel()
 	var rows []row
 	if s.link.Call(ctx, peers[s.rand.IntN(len(peers))].Host, methodList, nil, &rows) == nil {
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -31,9 +31,9 @@
 
 // Verdicts.
 const (
-	Clear   Verdict = iota // run as any other
-	Alone                  // a suspect: run apart from other requests
-	Refused                // in quarantine
+	Allowed  Verdict = iota // run as any other
+	Isolated                // a suspect: run apart from other requests
+	Refused                 // in quarantine
 )
 
 // Entry is one row of the operators' list.
@@ -48,45 +48,45 @@
 // takes no lock that another request holds for long.
 type Guard interface {
 	Check(fp Fingerprint) (v Verdict, retryAfter time.Duration)
-	Begin(fp Fingerprint, server string)
+	BeginAttempt(fp Fingerprint, server string)
 	// End reports an attempt's end; died means that the server was lost while
 	// it ran this request.
-	End(fp Fingerprint, server string, died bool)
+	EndAttempt(fp Fingerprint, server string, died bool)
 	List() []Entry
 	Lift(fp Fingerprint) bool
 }
 
 // Apart is what a Guard may offer beside: suspects run one a server, so that a
 // crash tells which of them caused it, and a suspect that ran is cleared.
-type Apart interface {
+type Isolator interface {
 	// Busy reports whether a suspect runs on server.
-	Busy(server string) bool
+	HasSuspect(server string) bool
 	// Enter takes server for the suspect; false: another one has it. Leave
 	// follows once after true.
-	Enter(server string, fp Fingerprint) bool
-	Leave(server string)
+	Acquire(server string, fp Fingerprint) bool
+	Release(server string)
 	// Freed returns a channel that is closed at the next Leave.
-	Freed() <-chan struct{}
+	Released() <-chan struct{}
 	// Alive tells that server answered.
-	Alive(server string)
+	MarkAlive(server string)
 	// Clear tells that the whole request ran to its end without harm.
-	Clear(fp Fingerprint)
+	ClearSuspicion(fp Fingerprint)
 }
 
 // Open is the Guard that lets everything run: the naive variant.
-type Open struct{}
+type AllowAll struct{}
 
 // Check implements Guard.
-func (Open) Check(Fingerprint) (Verdict, time.Duration) { return Clear, 0 }
+func (AllowAll) Check(Fingerprint) (Verdict, time.Duration) { return Allowed, 0 }
 
 // Begin implements Guard.
-func (Open) Begin(Fingerprint, string) {}
+func (AllowAll) BeginAttempt(Fingerprint, string) {}
 
 // End implements Guard.
-func (Open) End(Fingerprint, string, bool) {}
+func (AllowAll) EndAttempt(Fingerprint, string, bool) {}
 
 // List implements Guard.
-func (Open) List() []Entry { return nil }
+func (AllowAll) List() []Entry { return nil }
 
 // Lift implements Guard.
-func (Open) Lift(Fingerprint) bool { return false }
+func (AllowAll) Lift(Fingerprint) bool { return false }
--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -20,11 +20,11 @@
 		res := c.Claims.Begin(ctx, c.claimKey)
 		switch res.State {
 		case claim.Granted:
-			c.claimed, c.fresh = true, !res.Part
+			c.claimed, c.fresh = true, !res.PartiallyRan
 			return false, nil
 		case claim.Done:
-			if res.Answer != nil {
-				c.replay(res.Answer)
+			if res.Response != nil {
+				c.replay(res.Response)
 				return true, nil
 			}
 			e := kind.New(kind.OutcomeUnknown, "the request ran; its answer is no longer kept")
@@ -50,11 +50,11 @@
 func claimRefusal(res claim.Result) *kind.Error {
 	var e *kind.Error
 	switch res.State {
-	case claim.Mismatch:
+	case claim.BodyMismatch:
 		e = kind.New(kind.KeyReused, "send a new key with a new body")
 	case claim.Unavailable:
 		e = kind.New(kind.ClaimUnavailable, "the claim could not be made")
-	case claim.Foreign:
+	case claim.UnknownTicket:
 		e = kind.New(kind.UnknownTicket, "the entry host that minted the ticket has ended, or did not mint it")
 		if res.RetryAfter > 0 {
 			e = kind.New(kind.ClaimUnavailable, "the entry host that minted the ticket cannot be reached")
@@ -67,7 +67,7 @@
 }
 
 // replay gives a kept answer, in the form that this send asks for.
-func (c *call) replay(a *claim.Answer) {
+func (c *call) replay(a *claim.Response) {
 	if !c.wantsStream() || a.Status != http.StatusOK {
 		c.write(a.Status, a.Header["Content-Type"], a.Body)
 		return
@@ -79,8 +79,8 @@
 }
 
 // whole is a whole answer as it is kept for resends.
-func whole(contentType string, body []byte) claim.Answer {
-	return claim.Answer{Status: http.StatusOK, Header: map[string]string{"Content-Type": contentType}, Body: body}
+func whole(contentType string, body []byte) claim.Response {
+	return claim.Response{Status: http.StatusOK, Header: map[string]string{"Content-Type": contentType}, Body: body}
 }
 
 // settle tells the claim store how the attempt ended. It uses a context of its
@@ -100,20 +100,20 @@
 		// The service has answered: a resend gets the same answer.
 		c.Claims.Finish(ctx, c.claimKey, c.keepProblem(err))
 	default:
-		c.Claims.Lose(ctx, c.claimKey)
+		c.Claims.MarkUnknown(ctx, c.claimKey)
 	}
 }
 
-func (c *call) keepProblem(e *kind.Error) claim.Answer {
+func (c *call) keepProblem(e *kind.Error) claim.Response {
 	p := c.problem(e, e.Ran())
 	body, _ := json.Marshal(p) // cannot fail
-	return claim.Answer{Status: p.Status, Header: map[string]string{"Content-Type": problemType}, Body: body}
+	return claim.Response{Status: p.Status, Header: map[string]string{"Content-Type": problemType}, Body: body}
 }
 
 // release gives the key up. Stages that may be repeated may have run.
 func (c *call) release(ctx context.Context, ranPart bool) {
-	if parts, ok := c.Claims.(claim.Parts); ok && ranPart {
-		parts.ReleasePart(ctx, c.claimKey)
+	if parts, ok := c.Claims.(claim.PartialReleaser); ok && ranPart {
+		parts.ReleasePartial(ctx, c.claimKey)
 		return
 	}
 	c.Claims.Release(ctx, c.claimKey)
@@ -137,14 +137,14 @@
 		case late.Whole:
 			c.Claims.Finish(ctx, c.claimKey, whole(late.ContentType, late.Body))
 		default:
-			c.Claims.Lose(ctx, c.claimKey)
+			c.Claims.MarkUnknown(ctx, c.claimKey)
 		}
 	}()
 }
 
 // mint answers a request for a ticket.
 func (c *call) mint() {
-	text, err := c.Claims.Mint(c.r.Context(), c.r.Header.Get(c.Headers.Account))
+	text, err := c.Claims.MintTicket(c.r.Context(), c.r.Header.Get(c.Headers.Account))
 	if err != nil || text == "" {
 		c.refuse(kind.New(kind.ClaimUnavailable, "no ticket can be minted here"))
 		return
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -144,7 +144,7 @@
 	}
 	c.Log.Error("request panicked", "request", c.id, "panic", v)
 	if c.claimed {
-		c.Claims.Lose(c.r.Context(), c.claimKey)
+		c.Claims.MarkUnknown(c.r.Context(), c.claimKey)
 	}
 	if c.answered {
 		panic(http.ErrAbortHandler)
--- a/request/entry/headers_test.go
+++ b/request/entry/headers_test.go
@@ -72,11 +72,11 @@
 		Profile: &admission.Profile{},
 	}
 	h := &Handler{
-		InForce: &inforce.Value[snapshot.Snapshot]{}, Admission: admission.AlwaysAdmit{}, Claims: claim.NewMemory(), Quarantine: quarantine.Open{},
+		InForce: &inforce.Value[snapshot.Snapshot]{}, Admission: admission.AlwaysAdmit{}, Claims: claim.NewMemory(), Quarantine: quarantine.AllowAll{},
 		Gate: &drain.Gate{}, Clock: clock.System{}, Log: log.New(io.Discard), Tracer: noop.NewTracerProvider().Tracer(""),
 		Headers: DefaultHeaders(), Limits: DefaultLimits(), Counters: &Counters{},
 		Runner: &pipeline.Runner{
-			Backend: b, Admission: admission.AlwaysAdmit{}, Quarantine: quarantine.Open{}, Clock: clock.System{}, Rand: clock.SystemRand{},
+			Backend: b, Admission: admission.AlwaysAdmit{}, Quarantine: quarantine.AllowAll{}, Clock: clock.System{}, Rand: clock.SystemRand{},
 			Tracer: noop.NewTracerProvider().Tracer(""), Options: pipeline.DefaultOptions(),
 		},
 	}
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -40,7 +40,7 @@
 		e.RetryAfter = wait
 		return nil, e
 	}
-	alone := verdict == quarantine.Alone && x.Apart != nil
+	alone := verdict == quarantine.Isolated && x.Apart != nil
 	info := pick.Info{
 		Now: x.Clock.Now(), Rand: x.Rand, Bytes: len(in), Exclude: x.tried,
 		Class: x.req.Route.Class, Affinity: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
@@ -66,11 +66,11 @@
 		return srv, nil
 	}
 	for {
-		free := x.Apart.Freed()
+		free := x.Apart.Released()
 		try := *info
 		try.Exclude = append(x.busy(st), info.Exclude...)
 		srv, err := st.Pool.Picker.Pick(&try)
-		if err == nil && x.Apart.Enter(srv.Name, x.req.Fingerprint) {
+		if err == nil && x.Apart.Acquire(srv.Name, x.req.Fingerprint) {
 			return srv, nil
 		}
 		if err != nil && len(try.Exclude) == len(info.Exclude) {
@@ -88,7 +88,7 @@
 func (x *run) busy(st *snapshot.Stage) []*server.State {
 	var out []*server.State
 	for _, s := range st.Pool.Picker.Servers() {
-		if x.Apart.Busy(s.Name) {
+		if x.Apart.HasSuspect(s.Name) {
 			out = append(out, s.State)
 		}
 	}
@@ -103,7 +103,7 @@
 	defer span.End()
 	a.server.State.Begin()
 	defer a.server.State.End()
-	x.Quarantine.Begin(x.req.Fingerprint, a.server.Name)
+	x.Quarantine.BeginAttempt(x.req.Fingerprint, a.server.Name)
 	began := x.Clock.Now()
 	err := send(ctx)
 	x.record(ctx, a, began, err)
@@ -119,15 +119,15 @@
 func (x *run) ended(a *attempt, err error) {
 	var be *backend.Error
 	died := errors.As(err, &be) && be.Reset && be.Sent == backend.MaySent && !x.alive(a)
-	x.Quarantine.End(x.req.Fingerprint, a.server.Name, died)
+	x.Quarantine.EndAttempt(x.req.Fingerprint, a.server.Name, died)
 	if x.Apart == nil {
 		return
 	}
 	if a.alone {
-		x.Apart.Leave(a.server.Name)
+		x.Apart.Release(a.server.Name)
 	}
 	if err == nil {
-		x.Apart.Alive(a.server.Name)
+		x.Apart.MarkAlive(a.server.Name)
 	}
 }
 
--- a/request/pipeline/paused_test.go
+++ b/request/pipeline/paused_test.go
@@ -49,7 +49,7 @@
 		return snapshot.Stage{Stage: table.Stage{Name: name, Pool: "p", Budget: table.Duration(time.Second), Repeatable: repeatable}, Pool: pool, Index: i}
 	}
 	r := &Runner{
-		Backend: b, Admission: admission.AlwaysAdmit{}, Quarantine: quarantine.Open{}, Clock: clk, Rand: clock.NewSeeded(1),
+		Backend: b, Admission: admission.AlwaysAdmit{}, Quarantine: quarantine.AllowAll{}, Clock: clk, Rand: clock.NewSeeded(1),
 		Tracer: noop.NewTracerProvider().Tracer(""), Options: DefaultOptions(),
 	}
 	res, err := r.Run(t.Context(), &Request{
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -26,7 +26,7 @@
 	Backend     backend.Caller
 	Admission   admission.Admitter
 	Quarantine  quarantine.Guard
-	Apart       quarantine.Apart // nil: suspects run like any request
+	Apart       quarantine.Isolator // nil: suspects run like any request
 	Clock       clock.Clock
 	Rand        clock.Rand
 	Tracer      trace.Tracer
@@ -122,7 +122,7 @@
 		body = out
 	}
 	if r.Apart != nil {
-		r.Apart.Clear(req.Fingerprint)
+		r.Apart.ClearSuspicion(req.Fingerprint)
 	}
 	return &Result{ContentType: x.contentType, Body: body, Started: x.started}, nil
 }
--- a/request/pipeline/stream.go
+++ b/request/pipeline/stream.go
@@ -136,7 +136,7 @@
 		s.Counters.Resumed.Add(1)
 		a.number = s.number
 		// The end of the last attempt gave the server free for other suspects.
-		a.alone = a.alone && s.Apart.Enter(a.server.Name, s.req.Fingerprint)
+		a.alone = a.alone && s.Apart.Acquire(a.server.Name, s.req.Fingerprint)
 		return true
 	case s.offset > 0 && s.req.Sink != nil:
 		// A server that takes no connection has lost the stream with its
