--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -147,7 +147,7 @@
 // Dropped returns how many answers arrived that no call waited for.
 func (c *Conn) Dropped() int64 { return c.dropped.Load() }
 
-// Close ends the connection; calls in flight get peer.ErrNoAnswer.
+// Close ends the connection; calls in flight get peer.ErrNoResponse.
 func (c *Conn) Close() { c.end(ErrClosed) }
 
 func (c *Conn) end(cause error) {
@@ -287,7 +287,7 @@
 	defer c.forget(f.ID)
 	if sent, err := c.send(ctx, f); err != nil {
 		if sent {
-			return nil, fmt.Errorf("%w: %w", peer.ErrNoAnswer, err)
+			return nil, fmt.Errorf("%w: %w", peer.ErrNoResponse, err)
 		}
 		return nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, err)
 	}
@@ -295,9 +295,9 @@
 	case a := <-ch:
 		return result(a)
 	case <-c.done:
-		return nil, fmt.Errorf("%w: %w", peer.ErrNoAnswer, c.Err())
+		return nil, fmt.Errorf("%w: %w", peer.ErrNoResponse, c.Err())
 	case <-ctx.Done():
-		return nil, fmt.Errorf("%w: %w", peer.ErrNoAnswer, ctx.Err())
+		return nil, fmt.Errorf("%w: %w", peer.ErrNoResponse, ctx.Err())
 	}
 }
 
--- a/connection/peerconn/peerconn_test.go
+++ b/connection/peerconn/peerconn_test.go
@@ -130,7 +130,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	_, err = c.Call(ctx, "echo", nil)
-	g.Expect(err).To(MatchError(peer.ErrNoAnswer))
+	g.Expect(err).To(MatchError(peer.ErrNoResponse))
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
 	g.Expect(c.Err()).To(MatchError(ErrSilent))
 	_, err = c.Call(ctx, "echo", nil)
@@ -188,7 +188,7 @@
 		cancel()
 	}()
 	_, err = c.Call(ctx, "slow", nil)
-	g.Expect(err).To(MatchError(peer.ErrNoAnswer))
+	g.Expect(err).To(MatchError(peer.ErrNoResponse))
 	close(release)
 	g.Expect(c.Call(context.Background(), "quick", nil)).To(BeEquivalentTo("quick"))
 	g.Eventually(c.Dropped, 10*time.Second).Should(BeEquivalentTo(1))
@@ -234,7 +234,7 @@
 	_, err = c.Call(context.Background(), "big", make([]byte, 4096))
 	g.Expect(err).To(MatchError(peer.ErrUnreachable), "nothing was sent")
 	_, err = c.Call(context.Background(), "big", nil)
-	g.Expect(err).To(MatchError(peer.ErrNoAnswer))
+	g.Expect(err).To(MatchError(peer.ErrNoResponse))
 	g.Expect(c.Err()).To(MatchError(ErrFrameTooLarge))
 }
 
--- a/connection/serverprobe/serverprobe.go
+++ b/connection/serverprobe/serverprobe.go
@@ -60,9 +60,9 @@
 	Leaving bool     `json:"leaving"`
 }
 
-// Report implements report.Prober. A server that answers without a report is
+// Poll implements report.Prober. A server that answers without a report is
 // alive: it returns report.ErrNoReport.
-func (c *Client) Report(ctx context.Context, address string, fresh bool) (report.Report, error) {
+func (c *Client) Poll(ctx context.Context, address string, fresh bool) (report.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+c.path, nil)
@@ -97,5 +97,5 @@
 	return err
 }
 
-// Forget drops kept connections, of which one turned out to be silent.
-func (c *Client) Forget() { c.kept.CloseIdleConnections() }
+// CloseIdleConnections drops kept connections, of which one turned out to be silent.
+func (c *Client) CloseIdleConnections() { c.kept.CloseIdleConnections() }
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -141,11 +141,11 @@
 	initializing := h.initializing()
 	var readers []peer.Identity
 	for _, id := range h.mesh.Peers() {
-		if id.Region != h.self.Region || !peer.Before(id, h.self) || initializing && id.Share <= h.self.Share || h.stages.HasLeft(id) {
+		if id.Region != h.self.Region || !peer.Outranks(id, h.self) || initializing && id.Cores <= h.self.Cores || h.stages.HasLeft(id) {
 			continue
 		}
 		position, _ := slices.BinarySearchFunc(readers, id, func(a, b peer.Identity) int {
-			if peer.Before(a, b) {
+			if peer.Outranks(a, b) {
 				return -1
 			}
 			return 1
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -61,7 +61,7 @@
 	}
 	defer h.mesh.Close()
 	server := &peerconn.Server{
-		Options: opts, Serve: h.mesh.Dispatch, Accepted: h.mesh.Accepted,
+		Options: opts, Serve: h.mesh.Dispatch, Accepted: h.mesh.AddAccepted,
 		Refused: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
 	}
 	g, ctx := errgroup.WithContext(ctx)
@@ -118,7 +118,7 @@
 			continue
 		}
 		listed[name] = o
-		h.mesh.Learn(o.Value)
+		h.mesh.AddPeer(o.Value)
 	}
 	previous := h.listedHosts.Swap(&listed)
 	if previous == nil {
@@ -158,7 +158,7 @@
 	time.AfterFunc(h.settings.StopBound, func() {
 		for _, current := range h.mesh.Peers() {
 			if current.Host == id.Host && current.Incarnation == id.Incarnation {
-				h.mesh.Forget(id.Host)
+				h.mesh.RemovePeer(id.Host)
 			}
 		}
 	})
@@ -188,7 +188,7 @@
 		Host: h.settings.Host, Incarnation: uint64(time.Now().UnixNano()), Domain: h.settings.Domain,
 		Region:  h.settings.Regions[h.settings.Domain],
 		Address: h.listeners.peers.Addr().String(),
-		Share:   h.settings.ProcessorShare,
+		Cores:   h.settings.ProcessorShare,
 	}
 	h.mesh = peer.NewMesh(peer.MeshOptions{
 		Self: h.self, Clock: h.clock, Rand: h.rand, MaxBackoff: time.Second,
--- a/edge/prune.go
+++ b/edge/prune.go
@@ -59,11 +59,11 @@
 	}
 }
 
-// isFirstReachable reports whether this host comes first, in the order of peer.Before,
+// isFirstReachable reports whether this host comes first, in the order of peer.Outranks,
 // among the reachable hosts.
 func (h *Host) isFirstReachable(ctx context.Context) bool {
 	for _, id := range h.mesh.Peers() {
-		if peer.Before(id, h.self) && h.isReachable(ctx, id.Host) {
+		if peer.Outranks(id, h.self) && h.isReachable(ctx, id.Host) {
 			return false
 		}
 	}
--- a/edge/readers_test.go
+++ b/edge/readers_test.go
@@ -27,7 +27,7 @@
 	h.peerSecret.Store(&secret)
 	for i, id := range others {
 		id.Host, id.Region, id.Address = fmt.Sprintf("other-%d", i+1), "r", "127.0.0.1:1"
-		h.mesh.Learn(id)
+		h.mesh.AddPeer(id)
 	}
 	return h
 }
@@ -42,7 +42,7 @@
 // loss: the platform's list contains their earlier processes, which are all older.
 func TestInitializingHostReadsOnlyFromStrongerHosts(t *testing.T) {
 	g := NewWithT(t)
-	before := []peer.Identity{{Share: 0.8, Incarnation: 1}, {Share: 0.8, Incarnation: 2}}
+	before := []peer.Identity{{Cores: 0.8, Incarnation: 1}, {Cores: 0.8, Incarnation: 2}}
 	strong := newIdleHost(t, 0.8, before...)
 	g.Expect(strong.readers()).To(BeEmpty())
 	strong.markInitialized()
@@ -56,7 +56,7 @@
 // once that host has stopped.
 func TestStoppingReaderIsNotUsed(t *testing.T) {
 	g := NewWithT(t)
-	h := newIdleHost(t, 0.2, peer.Identity{Share: 0.8, Incarnation: 1}, peer.Identity{Share: 0.8, Incarnation: 2})
+	h := newIdleHost(t, 0.2, peer.Identity{Cores: 0.8, Incarnation: 1}, peer.Identity{Cores: 0.8, Incarnation: 2})
 	h.markInitialized()
 	_, err := h.mesh.Dispatch(t.Context(), h.mesh.Peers()[0], "stages.leave", nil)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -80,7 +80,7 @@
 	}
 	tel := telemetry.Options{
 		Service: "bilberryd", Host: opts.Name, LogLevel: opts.LogLevel, LogJSON: opts.LogJSON,
-		Export: opts.Spans, Endpoint: opts.SpansTo, Sample: opts.SpansShare, Exporter: opts.SpanExporter,
+		ExporterName: opts.Spans, Endpoint: opts.SpansTo, SampleRatio: opts.SpansShare, SpanExporter: opts.SpanExporter,
 	}
 	logger, err := telemetry.NewLog(tel)
 	if err != nil {
--- a/entryhost/loads.go
+++ b/entryhost/loads.go
@@ -40,7 +40,7 @@
 
 // fetch stores one report; a server that gives none keeps its last.
 func (o *outsideLoads) fetch(ctx context.Context, s *server.State) {
-	r, err := o.prober.Report(ctx, s.Address, false)
+	r, err := o.prober.Poll(ctx, s.Address, false)
 	if err != nil {
 		return
 	}
--- a/entryhost/loads_test.go
+++ b/entryhost/loads_test.go
@@ -14,14 +14,14 @@
 
 type countingProber struct{ asked chan string }
 
-// Report implements report.Prober.
-func (p *countingProber) Report(_ context.Context, address string, _ bool) (report.Report, error) {
+// Poll implements report.Prober.
+func (p *countingProber) Poll(_ context.Context, address string, _ bool) (report.Report, error) {
 	p.asked <- address
 	return report.Report{Running: 5, Queued: 2, Slots: 8}, nil
 }
 
-// Forget implements report.Prober.
-func (*countingProber) Forget() {}
+// CloseIdleConnections implements report.Prober.
+func (*countingProber) CloseIdleConnections() {}
 
 // Without the bound on the rate, reports would cost as much as there are
 // servers: hosts times servers in all.
@@ -47,7 +47,7 @@
 		g.Eventually(p.asked).Should(Receive(Equal(want)))
 	}
 	g.Eventually(c.Waiters).Should(Equal(1))
-	g.Expect(b.Busy(c.Now())).To(BeNumerically("~", 7, .5))
+	g.Expect(b.EstimatedRequests(c.Now())).To(BeNumerically("~", 7, .5))
 	cancel()
 	g.Eventually(done).Should(Receive(BeNil()))
 }
--- a/entryhost/members.go
+++ b/entryhost/members.go
@@ -24,7 +24,7 @@
 	view member.View
 
 	monitor  *member.Monitor
-	servers  *report.Watcher
+	servers  *report.Poller
 	lease    *lease.Elector
 	orders   *order.Manager
 	accepted atomic.Pointer[modelTable]
@@ -71,7 +71,7 @@
 			if id := c.Peer(); id.Host == self.Host && id.Incarnation != self.Incarnation {
 				h.log.Error("another entry host has this name; give each its own --name", "address", id.Address)
 			}
-			mesh.Accepted(c)
+			mesh.AddAccepted(c)
 		},
 		Refused: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
 	}
@@ -90,11 +90,11 @@
 		Link: mesh, Clock: h.clock, Rand: h.rand, Draining: h.gate.Closed,
 		Seeds: func() []string { return append(h.members.servers.Seeds(), seeds...) },
 	})
-	mesh.OnSeen(m.Seen)
+	mesh.OnConnect(m.RecordAlive)
 	h.members.monitor, h.members.view = m, m
 	h.members.servers = report.New(report.Options{
 		Link: mesh, View: m, Monitor: m, Clock: h.clock, Rand: h.rand,
-		Prober: serverprobe.New(serverprobe.Options{}), Targets: h.targets, Hosts: h.store.Hosts,
+		Prober: serverprobe.New(serverprobe.Options{}), Targets: h.targets, ListHosts: h.store.Hosts,
 	})
 	h.add("membership", m.Run)
 	h.add("backend server reports", h.members.servers.Run)
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -55,7 +55,7 @@
 	p, ttl := &h.members, h.opts.Members.LeaseTTL
 	p.lease = lease.NewElector(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.KeyPrefix + h.opts.Domain, Host: h.opts.Name,
-		IsCandidate: func() bool { return !h.gate.Closed() && member.First(m, self, "lease", leaseCandidates) },
+		IsCandidate: func() bool { return !h.gate.Closed() && member.IsOwner(m, self, "lease", leaseCandidates) },
 		TTL:         ttl, Margin: ttl / marginPart, MaxOrderDuration: ttl / longestOrderPart,
 	})
 	p.orders = order.New(order.Options{
@@ -174,8 +174,8 @@
 	return map[string]any{
 		"alive": states[member.Alive], "suspect": states[member.Suspect], "gone": states[member.Gone],
 		"heartbeats_sent": hb.Sent.Load(), "heartbeats_received": hb.Received.Load(), "heartbeats_failed": hb.Failed.Load(),
-		"checks": hb.Checks.Load(), "judged_gone": hb.Judged.Load(), "pulls": hb.Pulls.Load(),
-		"polls": rep.Polls.Load(), "host_list_reads": rep.Lists.Load(), "loads_shared": rep.Shared.Load(), "loads_shared_bytes": rep.SharedBytes.Load(),
+		"checks": hb.Checks.Load(), "judged_gone": hb.DeclaredGone.Load(), "pulls": hb.Pulls.Load(),
+		"polls": rep.Polls.Load(), "host_list_reads": rep.HostListReads.Load(), "loads_shared": rep.LoadsShared.Load(), "loads_shared_bytes": rep.LoadsSharedBytes.Load(),
 		"lease_held": held, "lease_fence": fence,
 		"orders_sent": ord.Sent.Load(), "orders_confirmed": ord.Confirmed.Load(), "orders_failed": ord.Failed.Load(), "orders_stopped": ord.LeaseNotHeld.Load(),
 	}
--- a/entryhost/releases_test.go
+++ b/entryhost/releases_test.go
@@ -38,7 +38,7 @@
 		Expect(alone.ready()).To(BeFalse())
 
 		second := w.hostWith(func(o *Options) { o.Name, o.Peers = "e3", first.members.listener.Addr().String() })
-		second.members.mesh.Learn(first.members.link.Self())
+		second.members.mesh.AddPeer(first.members.link.Self())
 		Eventually(second.ready, 10*time.Second).Should(BeTrue())
 		Expect(second.Status().Release).To(Equal(rel.Number))
 	})
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -73,7 +73,7 @@
 var requestVars = expvar.NewMap("requests")
 
 // serverLeaves spreads the sign that an answer gave.
-func (h *Host) serverLeaves(s *server.State) { h.members.servers.Leaving(s.Address) }
+func (h *Host) serverLeaves(s *server.State) { h.members.servers.MarkLeaving(s.Address) }
 
 // flushTimeout bounds the last write of claims' outcomes.
 const flushTimeout = 2 * time.Second
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -285,7 +285,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if _, err := client.Report(b.Context(), address, false); err != nil {
+		if _, err := client.Poll(b.Context(), address, false); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/internal/faultrun/bench_test.go
+++ b/internal/faultrun/bench_test.go
@@ -23,7 +23,7 @@
 					w.objects.SetFaults(standin.Faults{Down: true})
 					if cut {
 						for _, pair := range [][2]string{{"h0", "h1"}, {"h0", "h3"}, {"h2", "h1"}, {"h2", "h3"}} {
-							w.net.Cut(pair[0], pair[1])
+							w.net.Partition(pair[0], pair[1])
 						}
 					}
 					served := 0
--- a/internal/faultrun/faults_test.go
+++ b/internal/faultrun/faults_test.go
@@ -199,9 +199,9 @@
 			c.start(s.A)
 		}
 	case CutHosts:
-		c.link(on, func() { c.net.Cut(a, b) }, a, b)
+		c.link(on, func() { c.net.Partition(a, b) }, a, b)
 	case LosePeer:
-		c.link(on, func() { c.net.LoseAnswers(a, b) }, a, b)
+		c.link(on, func() { c.net.LoseResponses(a, b) }, a, b)
 	case PlatformDown:
 		platform(standin.Faults{Down: true})
 	case PlatformLosing:
--- a/internal/memberbench/bench_test.go
+++ b/internal/memberbench/bench_test.go
@@ -72,8 +72,8 @@
 	t.calls = c.Reads + c.Writes + c.Watches
 	for _, h := range f.all {
 		t.sent += h.monitor.Counters.Sent.Load()
-		t.busy += h.monitor.Counters.Busy.Load()
-		t.loads += h.watcher.Counters.SharedBytes.Load()
+		t.busy += h.monitor.Counters.BusyNanos.Load()
+		t.loads += h.watcher.Counters.LoadsSharedBytes.Load()
 		t.polls += h.watcher.Counters.Polls.Load()
 	}
 	return t
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -53,7 +53,7 @@
 type host struct {
 	mesh     *peer.Mesh
 	monitor  *member.Monitor
-	watcher  *report.Watcher
+	watcher  *report.Poller
 	keeper   *lease.Elector
 	registry *server.Registry
 	domain   string
@@ -148,16 +148,16 @@
 		return c, nil
 	}})
 	h.monitor = member.New(member.Options{Link: h.mesh, Clock: sys, Rand: rnd, Seeds: func() []string { return seeds }})
-	h.mesh.OnSeen(h.monitor.Seen)
+	h.mesh.OnConnect(h.monitor.RecordAlive)
 	h.watcher = report.New(report.Options{
 		Link: h.mesh, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd,
-		Prober: serverprobe.New(serverprobe.Options{}), Hosts: f.store.Hosts, Targets: func() []report.Target { return f.targets(h) },
+		Prober: serverprobe.New(serverprobe.Options{}), ListHosts: f.store.Hosts, Targets: func() []report.Target { return f.targets(h) },
 	})
 	h.keeper = lease.NewElector(lease.Options{
 		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
-		IsCandidate: func() bool { return member.First(h.monitor, self, "lease", 2) },
+		IsCandidate: func() bool { return member.IsOwner(h.monitor, self, "lease", 2) },
 	})
-	port := &peerconn.Server{Options: conns, Serve: h.mesh.Dispatch, Accepted: func(c peer.Conn) { h.mesh.Accepted(c) }}
+	port := &peerconn.Server{Options: conns, Serve: h.mesh.Dispatch, Accepted: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for _, run := range []func(context.Context) error{
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -126,7 +126,7 @@
 
 func (f *flow) send(st *table.Stage, srv *pick.Server) {
 	f.req.MayHaveQueued = !srv.Free(f.time())
-	srv.State.Begin()
+	srv.State.BeginRequest()
 	a := &attempt{on: f.servers[srv.Address], srv: srv, at: f.now}
 	f.current = a
 	f.bytes(srv, f.rec.Bytes[f.stage])
@@ -169,7 +169,7 @@
 		return
 	}
 	f.current = nil
-	a.srv.State.End()
+	a.srv.State.EndRequest()
 	if f.Record != nil {
 		f.Record(f.time(), a.srv.State, recorded(r), f.now-a.at)
 	}
@@ -232,7 +232,7 @@
 func (f *flow) end(o admission.Outcome) {
 	f.over = true
 	if a := f.current; a != nil {
-		a.srv.State.End()
+		a.srv.State.EndRequest()
 		if a.job != nil {
 			a.on.cancel(a.job)
 		}
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -61,7 +61,9 @@
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 				return pick.NewPlaced(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
 			},
-			Record: func(now time.Time, s *server.State, o server.Outcome, took time.Duration) { s.Record(now, o, took) },
+			Record: func(now time.Time, s *server.State, o server.Outcome, took time.Duration) {
+				s.RecordOutcome(now, o, took)
+			},
 		}
 		d.budgets()
 		return d
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -189,7 +189,7 @@
 
 // Put implements objectapi.Store.
 func (o *Objects) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
-	if len(value) > objectapi.MaxValue {
+	if len(value) > objectapi.MaxValueBytes {
 		return 0, objectapi.ErrTooLarge
 	}
 	if err := o.enter(ctx, func(c *Counts) { c.Writes++ }); err != nil {
--- a/process/claim/at_most_once_test.go
+++ b/process/claim/at_most_once_test.go
@@ -225,9 +225,9 @@
 	run(0)
 	g.Expect(c.objects.Counts().Writes).To(BeNumerically("<", 100))
 	// The hosts lose each other: each writes for itself, and all are claimed.
-	c.net.Cut("a", "b")
-	c.net.Cut("a", "c")
-	c.net.Cut("b", "c")
+	c.net.Partition("a", "b")
+	c.net.Partition("a", "c")
+	c.net.Partition("b", "c")
 	run(1000)
 }
 
--- a/process/claim/commit.go
+++ b/process/claim/commit.go
@@ -17,7 +17,7 @@
 const ObjectPrefix = "claims/"
 
 // maxShard leaves room below the platform's limit of a value.
-const maxShard = objectapi.MaxValue - 64<<10
+const maxShard = objectapi.MaxValueBytes - 64<<10
 
 // maxMarks bounds the outcomes that wait for a write to travel with.
 const maxMarks = 4096
--- a/process/claim/simulation_test.go
+++ b/process/claim/simulation_test.go
@@ -82,9 +82,9 @@
 	case 2:
 		w.objects.SetFaults(standin.Faults{StaleReads: true})
 	case 3:
-		w.net.Cut(a, b)
+		w.net.Partition(a, b)
 	case 4:
-		w.net.LoseAnswers(a, b)
+		w.net.LoseResponses(a, b)
 	default:
 		w.objects.SetFaults(standin.Faults{})
 		w.net.Heal(a, b)
--- a/process/member/heartbeat.go
+++ b/process/member/heartbeat.go
@@ -63,7 +63,7 @@
 	var answer heartbeat
 	began := time.Now()
 	hb := m.compose()
-	m.Counters.Busy.Add(int64(time.Since(began)))
+	m.Counters.BusyNanos.Add(int64(time.Since(began)))
 	m.Counters.Sent.Add(1)
 	if err := m.opts.Link.Call(ctx, host, MethodHeartbeat, hb, &answer); err != nil {
 		return err
@@ -92,9 +92,9 @@
 // take uses what a heartbeat or its answer says.
 func (m *Monitor) take(from peer.Identity, hb *heartbeat) {
 	began := time.Now()
-	defer func() { m.Counters.Busy.Add(int64(time.Since(began))) }()
+	defer func() { m.Counters.BusyNanos.Add(int64(time.Since(began))) }()
 	now := m.opts.Clock.Now()
-	m.opts.Link.Learn(from)
+	m.opts.Link.AddPeer(from)
 	m.heard(from, hb.Draining, now)
 	m.takeHearsay(hb.News, now)
 	for _, p := range hb.Parts {
@@ -115,7 +115,7 @@
 	}
 	for _, n := range list {
 		if !n.Silent {
-			m.opts.Link.Learn(n.Identity)
+			m.opts.Link.AddPeer(n.Identity)
 		}
 	}
 	for _, host := range m.gossip(list, now, 2*m.opts.Interval) {
--- a/process/member/links.go
+++ b/process/member/links.go
@@ -19,7 +19,7 @@
 }
 
 // Place returns the index that host has in Rank, without sorting.
-func Place(key, host string, hosts []string) int {
+func RankIndex(key, host string, hosts []string) int {
 	place := 0
 	for _, other := range hosts {
 		if other != host && before(key, other, host) {
@@ -47,7 +47,7 @@
 
 // Domain returns the names of the hosts of domain that are not gone, with self
 // if it stands there.
-func Domain(v View, self peer.Identity, domain string) []string {
+func HostsInDomain(v View, self peer.Identity, domain string) []string {
 	var out []string
 	if self.Domain == domain {
 		out = append(out, self.Host)
@@ -61,8 +61,8 @@
 }
 
 // First reports whether self is among the first n of its domain for key.
-func First(v View, self peer.Identity, key string, n int) bool {
-	return Place(key, self.Host, Domain(v, self, self.Domain)) < n
+func IsOwner(v View, self peer.Identity, key string, n int) bool {
+	return RankIndex(key, self.Host, HostsInDomain(v, self, self.Domain)) < n
 }
 
 // targets returns whom self sends heartbeats to: a few hosts at fixed distances
--- a/process/member/member_test.go
+++ b/process/member/member_test.go
@@ -48,7 +48,7 @@
 	f.started++
 	link := f.net.Join(peer.Identity{Host: name, Incarnation: f.started, Domain: domain, Region: "r", Address: address(name)})
 	m := member.New(member.Options{
-		Link: link, Clock: clock.System{}, Rand: clock.NewSeeded(f.started), Interval: interval, SeedEvery: 10 * interval,
+		Link: link, Clock: clock.System{}, Rand: clock.NewSeeded(f.started), Interval: interval, SeedInterval: 10 * interval,
 		Draining: func() bool { _, ok := f.draining.Load(name); return ok },
 		Seeds: func() []string {
 			var out []string
@@ -157,7 +157,7 @@
 	})
 	for range 3 {
 		checks := h.Counters.Checks.Load()
-		f.net.Break("a-0", "a-1")
+		f.net.BreakConnection("a-0", "a-1")
 		f.g.Eventually(h.Counters.Checks.Load, patience).Should(BeNumerically(">", checks))
 		f.see(member.Alive, "a-1")
 	}
@@ -184,7 +184,7 @@
 	f := newFleet(t)
 	as, bs := f.domain("a", 3, "a-0"), f.domain("b", 3, "a-0")
 	f.see(member.Alive, append(as, bs...)...)
-	f.cut(as, bs, f.net.Cut)
+	f.cut(as, bs, f.net.Partition)
 	for _, a := range as {
 		for _, b := range bs {
 			f.g.Eventually(func() member.State { p, _ := f.hosts[a].Lookup(b); return p.State }, patience).Should(Equal(member.Gone))
@@ -217,7 +217,7 @@
 			}
 		})
 	}
-	f.net.Cut("a-0", "a-1")
+	f.net.Partition("a-0", "a-1")
 	f.g.Eventually(func() member.State { p, _ := f.hosts["a-0"].Lookup("a-1"); return p.State }, patience).Should(Equal(member.Gone))
 	received := f.hosts["a-2"].Counters.Received.Load()
 	f.g.Eventually(f.hosts["a-2"].Counters.Received.Load, patience).Should(BeNumerically(">", received+20))
--- a/process/member/monitor.go
+++ b/process/member/monitor.go
@@ -21,12 +21,12 @@
 // Transport is the link with what membership needs beside calls.
 type Transport interface {
 	peer.Link
-	Learn(id peer.Identity)
-	Forget(host string)
+	AddPeer(id peer.Identity)
+	RemovePeer(host string)
 	// Fresh returns nil when host proved itself on a new connection.
-	Fresh(ctx context.Context, host string) error
+	Reconnect(ctx context.Context, host string) error
 	// Meet opens a connection to an address and returns who answers there.
-	Meet(ctx context.Context, address string) (peer.Identity, error)
+	DialAddress(ctx context.Context, address string) (peer.Identity, error)
 }
 
 // Options configure a Monitor; zero values get the defaults.
@@ -40,13 +40,13 @@
 	// Draining reports whether this host takes no new requests. May be nil.
 	Draining func() bool
 
-	Interval   time.Duration // between heartbeats; default 1 s
-	Timeout    time.Duration // of one heartbeat or fresh connection; default 800 ms
-	SeedEvery  time.Duration // between visits of the seeds; default 10 s
-	ForgetGone time.Duration // after which a gone host is forgotten; default 2 h
-	Successors int           // heartbeat targets in the domain; default 3
-	Links      int           // hosts that keep links to each other domain; default 2
-	MaxPeers   int           // default 4096
+	Interval         time.Duration // between heartbeats; default 1 s
+	Timeout          time.Duration // of one heartbeat or fresh connection; default 800 ms
+	SeedInterval     time.Duration // between visits of the seeds; default 10 s
+	RemoveGoneAfter  time.Duration // after which a gone host is forgotten; default 2 h
+	Successors       int           // heartbeat targets in the domain; default 3
+	CrossDomainLinks int           // hosts that keep links to each other domain; default 2
+	MaxPeers         int           // default 4096
 }
 
 const (
@@ -60,10 +60,10 @@
 func (o *Options) setDefaults() {
 	setDefault(&o.Interval, time.Second)
 	setDefault(&o.Timeout, 800*time.Millisecond)
-	setDefault(&o.SeedEvery, 10*time.Second)
-	setDefault(&o.ForgetGone, 2*time.Hour)
+	setDefault(&o.SeedInterval, 10*time.Second)
+	setDefault(&o.RemoveGoneAfter, 2*time.Hour)
 	setDefault(&o.Successors, 3)
-	setDefault(&o.Links, 2)
+	setDefault(&o.CrossDomainLinks, 2)
 	setDefault(&o.MaxPeers, 4096)
 }
 
@@ -75,8 +75,8 @@
 
 // Counters count a Monitor's work since the start.
 type Counters struct {
-	Sent, Received, Failed, Checks, Judged, Pulls atomic.Int64
-	Busy                                          atomic.Int64 // nanoseconds spent on making and reading heartbeats
+	Sent, Received, Failed, Checks, DeclaredGone, Pulls atomic.Int64
+	BusyNanos                                           atomic.Int64 // nanoseconds spent on making and reading heartbeats
 }
 
 // Monitor exchanges heartbeats and keeps the View of the other entry hosts.
@@ -142,7 +142,7 @@
 }
 
 // Kick sends the next heartbeats now, for news that should not wait.
-func (m *Monitor) Kick() {
+func (m *Monitor) HeartbeatNow() {
 	select {
 	case m.kick <- struct{}{}:
 	default:
@@ -154,14 +154,14 @@
 		m.setDraining()
 	}
 	now := m.opts.Clock.Now()
-	for _, host := range targets(m.self, m.current.Load().peers, m.opts.Successors, m.opts.Links) {
+	for _, host := range targets(m.self, m.current.Load().peers, m.opts.Successors, m.opts.CrossDomainLinks) {
 		m.start(func() { m.beat(host) })
 	}
 	for _, host := range m.probes(now, probesATick) {
 		m.start(func() { m.check(host) })
 	}
-	for _, host := range m.forget(now, m.opts.ForgetGone) {
-		m.opts.Link.Forget(host)
+	for _, host := range m.forget(now, m.opts.RemoveGoneAfter) {
+		m.opts.Link.RemovePeer(host)
 	}
 	m.visitSeeds(now)
 }
@@ -175,7 +175,7 @@
 
 // Hint tells that host may be dead, such as after a failed call. It is checked
 // on a fresh connection before it is judged.
-func (m *Monitor) Hint(host string) { m.start(func() { m.check(host) }) }
+func (m *Monitor) CheckHost(host string) { m.start(func() { m.check(host) }) }
 
 // beat exchanges one heartbeat. A failure is about the connection until a
 // fresh one has failed too.
@@ -214,15 +214,15 @@
 	}
 	m.endCheck(host, began, now, alive, firstProbeIntervals*m.opts.Interval, maxProbeIntervals*m.opts.Interval)
 	if after, _ := m.Lookup(host); after.State == Gone && before.State != Gone {
-		m.Counters.Judged.Add(1)
-		m.Kick()
+		m.Counters.DeclaredGone.Add(1)
+		m.HeartbeatNow()
 	}
 }
 
 func (m *Monitor) fresh(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
-	return m.opts.Link.Fresh(ctx, host)
+	return m.opts.Link.Reconnect(ctx, host)
 }
 
 // visitSeeds opens connections to seeds at which no live peer is known: at
@@ -242,7 +242,7 @@
 	if len(alive) > 1 && now.Before(m.seedAt) {
 		return
 	}
-	m.seedAt = now.Add(m.jittered(m.opts.SeedEvery))
+	m.seedAt = now.Add(m.jittered(m.opts.SeedInterval))
 	for _, address := range m.opts.Seeds() {
 		if !alive[address] {
 			m.start(func() { m.meet(address) })
@@ -253,17 +253,17 @@
 func (m *Monitor) meet(address string) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
-	id, err := m.opts.Link.Meet(ctx, address)
+	id, err := m.opts.Link.DialAddress(ctx, address)
 	if err != nil || id.Host == m.self.Host {
 		return
 	}
 	m.heard(id, false, m.opts.Clock.Now())
 	_ = m.members(id.Host)
-	m.Kick()
+	m.HeartbeatNow()
 }
 
 // errOld is the answer to a heartbeat of an incarnation that has a successor.
 var errOld = errors.New("member: a newer incarnation is known")
 
 // Seen records that an incarnation proved itself on a connection.
-func (m *Monitor) Seen(id peer.Identity) { m.heard(id, false, m.opts.Clock.Now()) }
+func (m *Monitor) RecordAlive(id peer.Identity) { m.heard(id, false, m.opts.Clock.Now()) }
--- a/process/objectapi/client.go
+++ b/process/objectapi/client.go
@@ -67,7 +67,7 @@
 
 // Put implements Store.
 func (c *Client) Put(ctx context.Context, key string, value []byte, expect uint64) (version uint64, err error) {
-	if len(value) > MaxValue {
+	if len(value) > MaxValueBytes {
 		return 0, fmt.Errorf("%w: %s has %d bytes", ErrTooLarge, key, len(value))
 	}
 	c.counts.writes.Add(1)
@@ -109,7 +109,7 @@
 func (c *Client) read(ctx context.Context, send func(context.Context) error) error {
 	c.counts.reads.Add(1)
 	err := c.call(ctx, c.timeout/2, send)
-	if !errors.Is(err, ErrNoAnswer) || ctx.Err() != nil {
+	if !errors.Is(err, ErrNoResponse) || ctx.Err() != nil {
 		return err
 	}
 	c.counts.reads.Add(1)
--- a/process/objectapi/client_test.go
+++ b/process/objectapi/client_test.go
@@ -50,7 +50,7 @@
 	_, err = h.Put(ctx, "a/b", []byte("2"), obj.Version)
 	g.Expect(err).To(MatchError(objectapi.ErrUnknownOutcome))
 	g.Expect(calls.Load()).To(BeEquivalentTo(4))
-	g.Expect(h.Counts()).To(Equal(objectapi.Counts{Reads: 2, Writes: 2, Retried: 1, Unavailable: 1, Unknown: 1}))
+	g.Expect(h.Counts()).To(Equal(objectapi.Counts{Reads: 2, Writes: 2, Retried: 1, Unavailable: 1, UnknownOutcome: 1}))
 }
 
 // The platform's call budget is spent. After its first refusal the client sends
--- a/process/objectapi/objectapi.go
+++ b/process/objectapi/objectapi.go
@@ -11,7 +11,7 @@
 
 // MaxValue is the largest value the object API takes, in bytes: the platform's
 // object of 1 MiB holds it in base64, with its name and revisions.
-const MaxValue = 760 << 10
+const MaxValueBytes = 760 << 10
 
 // Errors of the object API. Use errors.Is.
 var (
@@ -29,7 +29,7 @@
 	// ErrTooLarge: the value is over MaxValue.
 	ErrTooLarge = errors.New("platform: value too large")
 	// ErrNoAnswer marks a call that got no answer at all.
-	ErrNoAnswer = errors.New("platform: no answer")
+	ErrNoResponse = errors.New("platform: no answer")
 	// ErrRateLimited: the call budget is spent; nothing was written.
 	ErrRateLimited = errors.New("platform: call rate exceeded")
 )
--- a/process/objectapi/pace.go
+++ b/process/objectapi/pace.go
@@ -62,14 +62,14 @@
 
 // Counts are a client's calls since it was made.
 type Counts struct {
-	Reads       int64 `json:"reads"`
-	Writes      int64 `json:"writes"`
-	Watches     int64 `json:"watches"`
-	Retried     int64 `json:"retried"`     // reads repeated on a new connection
-	Held        int64 `json:"held"`        // calls not sent after a refusal for the rate
-	Limited     int64 `json:"limited"`     // calls the platform refused for their rate
-	Unavailable int64 `json:"unavailable"` // calls refused or without an answer
-	Unknown     int64 `json:"unknown"`     // writes without an answer
+	Reads          int64 `json:"reads"`
+	Writes         int64 `json:"writes"`
+	Watches        int64 `json:"watches"`
+	Retried        int64 `json:"retried"`     // reads repeated on a new connection
+	NotSent        int64 `json:"held"`        // calls not sent after a refusal for the rate
+	RateLimited    int64 `json:"limited"`     // calls the platform refused for their rate
+	Unavailable    int64 `json:"unavailable"` // calls refused or without an answer
+	UnknownOutcome int64 `json:"unknown"`     // writes without an answer
 }
 
 // Counts returns the calls since the client was made.
@@ -77,6 +77,6 @@
 	n := &c.counts
 	return Counts{
 		Reads: n.reads.Load(), Writes: n.writes.Load(), Watches: n.watches.Load(), Retried: n.retried.Load(),
-		Held: n.held.Load(), Limited: n.limited.Load(), Unavailable: n.unavailable.Load(), Unknown: n.unknown.Load(),
+		NotSent: n.held.Load(), RateLimited: n.limited.Load(), Unavailable: n.unavailable.Load(), UnknownOutcome: n.unknown.Load(),
 	}
 }
--- a/process/objectapi/patient.go
+++ b/process/objectapi/patient.go
@@ -13,12 +13,12 @@
 // repeating it is safe. It is for operators' commands: a procedure of several
 // calls goes on where it was, and does not start again and spend the budget on
 // the calls that it has done already.
-type Patient struct {
+type RetryingStore struct {
 	Store
 	Clock clock.Clock
 	Rand  clock.Rand
 	// Tries bounds the calls; default 30, about half a minute of waiting.
-	Tries int
+	MaxAttempts int
 }
 
 const (
@@ -27,8 +27,8 @@
 	longestWait  = 2 * time.Second
 )
 
-func (p Patient) repeat(ctx context.Context, call func() error) error {
-	tries := p.Tries
+func (p RetryingStore) repeat(ctx context.Context, call func() error) error {
+	tries := p.MaxAttempts
 	if tries <= 0 {
 		tries = defaultTries
 	}
@@ -48,7 +48,7 @@
 }
 
 // Get implements Store.
-func (p Patient) Get(ctx context.Context, key string) (obj Object, err error) {
+func (p RetryingStore) Get(ctx context.Context, key string) (obj Object, err error) {
 	err = p.repeat(ctx, func() error {
 		obj, err = p.Store.Get(ctx, key)
 		return err
@@ -57,7 +57,7 @@
 }
 
 // List implements Store.
-func (p Patient) List(ctx context.Context, prefix string) (objs []Object, err error) {
+func (p RetryingStore) List(ctx context.Context, prefix string) (objs []Object, err error) {
 	err = p.repeat(ctx, func() error {
 		objs, err = p.Store.List(ctx, prefix)
 		return err
@@ -66,7 +66,7 @@
 }
 
 // Put implements Store.
-func (p Patient) Put(ctx context.Context, key string, value []byte, expect uint64) (version uint64, err error) {
+func (p RetryingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (version uint64, err error) {
 	err = p.repeat(ctx, func() error {
 		version, err = p.Store.Put(ctx, key, value, expect)
 		return err
@@ -75,6 +75,6 @@
 }
 
 // Delete implements Store.
-func (p Patient) Delete(ctx context.Context, key string, expect uint64) error {
+func (p RetryingStore) Delete(ctx context.Context, key string, expect uint64) error {
 	return p.repeat(ctx, func() error { return p.Store.Delete(ctx, key, expect) })
 }
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -123,7 +123,7 @@
 
 // OnSeen registers f, which is called with each incarnation that proved itself
 // on a connection. It is called before the mesh starts.
-func (m *Mesh) OnSeen(f func(Identity)) { m.onSeen = f }
+func (m *Mesh) OnConnect(f func(Identity)) { m.onSeen = f }
 
 // Dispatch answers calls that arrive; connections are given it.
 func (m *Mesh) Dispatch(ctx context.Context, from Identity, method Method, payload []byte) ([]byte, error) {
@@ -138,7 +138,7 @@
 
 // Learn remembers a peer that somebody told of. An older incarnation than the
 // known one is ignored: it is news that travelled slowly.
-func (m *Mesh) Learn(id Identity) {
+func (m *Mesh) AddPeer(id Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.learn(id)
@@ -166,7 +166,7 @@
 }
 
 // Forget drops a peer and its connections.
-func (m *Mesh) Forget(host string) {
+func (m *Mesh) RemovePeer(host string) {
 	m.mu.Lock()
 	r := m.peers[host]
 	delete(m.peers, host)
@@ -185,7 +185,7 @@
 }
 
 // Accepted takes a proven connection that a peer opened.
-func (m *Mesh) Accepted(c Conn) { m.install(c, func(r *remote) *Conn { return &r.accepted }) }
+func (m *Mesh) AddAccepted(c Conn) { m.install(c, func(r *remote) *Conn { return &r.accepted }) }
 
 // install puts c in the place of an earlier connection of the same direction.
 // The peer opened the newer one because it gave up the older.
@@ -327,7 +327,7 @@
 // Fresh opens a new connection to host whatever the state of the present one,
 // and returns nil when the peer proved itself on it. The proof is an answer of
 // the peer's process, so nil is evidence that the host lives.
-func (m *Mesh) Fresh(ctx context.Context, host string) error {
+func (m *Mesh) Reconnect(ctx context.Context, host string) error {
 	m.mu.Lock()
 	r := m.peers[host]
 	m.mu.Unlock()
@@ -339,7 +339,7 @@
 }
 
 // Meet opens a connection to an address whose entry host is not yet known.
-func (m *Mesh) Meet(ctx context.Context, address string) (Identity, error) {
+func (m *Mesh) DialAddress(ctx context.Context, address string) (Identity, error) {
 	c, err := m.opts.Dial(ctx, address, m.Dispatch)
 	if err != nil {
 		return Identity{}, fmt.Errorf("%w: %w", ErrUnreachable, err)
--- a/process/peer/peer.go
+++ b/process/peer/peer.go
@@ -13,7 +13,7 @@
 	// ErrUnreachable: no byte of the call can have been read by the peer.
 	ErrUnreachable = errors.New("peer: unreachable")
 	// ErrNoAnswer: the call was sent and its answer did not come.
-	ErrNoAnswer = errors.New("peer: no answer")
+	ErrNoResponse = errors.New("peer: no answer")
 	// ErrRefused: the peer's handler returned an error.
 	ErrRefused = errors.New("peer: refused")
 )
@@ -25,17 +25,17 @@
 	Domain      string // failure domain
 	Region      string
 	Address     string // peer address, host:port
-	// Share is the processor time of the host in cores; 0: not known. Work for
+	// Cores is the processor time of the host in cores; 0: not known. Work for
 	// other hosts goes to a strong one.
-	Share float64
+	Cores float64 `json:"Share"`
 }
 
 // Before tells whether a comes before b as the host that works for others: the
 // stronger, then the one that has run for longer, which is most likely to stay
 // and keeps the work when others come.
-func Before(a, b Identity) bool {
-	if a.Share != b.Share {
-		return a.Share > b.Share
+func Outranks(a, b Identity) bool {
+	if a.Cores != b.Cores {
+		return a.Cores > b.Cores
 	}
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation < b.Incarnation
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -59,10 +59,10 @@
 }
 
 // Cut stops calls from a to b and from b to a.
-func (n *Network) Cut(a, b string) { n.set(a, b, cutBefore); n.set(b, a, cutBefore) }
+func (n *Network) Partition(a, b string) { n.set(a, b, cutBefore); n.set(b, a, cutBefore) }
 
 // LoseAnswers lets calls from a reach b but loses b's answers.
-func (n *Network) LoseAnswers(a, b string) { n.set(a, b, cutAfter) }
+func (n *Network) LoseResponses(a, b string) { n.set(a, b, cutAfter) }
 
 // Heal undoes Cut and LoseAnswers between a and b.
 func (n *Network) Heal(a, b string) { n.set(a, b, 0); n.set(b, a, 0) }
@@ -122,7 +122,7 @@
 		return peer.ErrUnreachable
 	}
 	if c == cutConnection {
-		return peer.ErrNoAnswer
+		return peer.ErrNoResponse
 	}
 	if h == nil {
 		return fmt.Errorf("%w: no handler for %s", peer.ErrRefused, m)
@@ -130,7 +130,7 @@
 	answer, err := h(ctx, l.self, payload)
 	l.net.count(l.self.Host, host, len(payload)+len(answer))
 	if c == cutAfter || ctx.Err() != nil {
-		return peer.ErrNoAnswer
+		return peer.ErrNoResponse
 	}
 	if err != nil {
 		return fmt.Errorf("%w: %w", peer.ErrRefused, err)
--- a/process/peer/peertest/transport.go
+++ b/process/peer/peertest/transport.go
@@ -7,14 +7,14 @@
 )
 
 // Learn does nothing: every link knows the whole network.
-func (l *Link) Learn(peer.Identity) {}
+func (l *Link) AddPeer(peer.Identity) {}
 
 // Forget does nothing, as Learn.
-func (l *Link) Forget(string) {}
+func (l *Link) RemovePeer(string) {}
 
 // Fresh succeeds when host has joined and no cut is in between. A lost answer
 // fails it too: the proof would not arrive.
-func (l *Link) Fresh(_ context.Context, host string) error {
+func (l *Link) Reconnect(_ context.Context, host string) error {
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	pair := [2]string{l.self.Host, host}
@@ -27,7 +27,7 @@
 }
 
 // Meet finds the host by its address.
-func (l *Link) Meet(ctx context.Context, address string) (peer.Identity, error) {
+func (l *Link) DialAddress(ctx context.Context, address string) (peer.Identity, error) {
 	l.net.mu.Lock()
 	var found *Link
 	for _, other := range l.net.links {
@@ -36,7 +36,7 @@
 		}
 	}
 	l.net.mu.Unlock()
-	if found == nil || l.Fresh(ctx, found.self.Host) != nil {
+	if found == nil || l.Reconnect(ctx, found.self.Host) != nil {
 		return peer.Identity{}, peer.ErrUnreachable
 	}
 	return found.self, nil
@@ -44,7 +44,7 @@
 
 // Break makes calls from a to b fail while fresh connections work, as on a
 // connection that something in between has forgotten. Heal undoes it.
-func (n *Network) Break(a, b string) {
+func (n *Network) BreakConnection(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[[2]string{a, b}] = cutConnection
--- a/process/quarantine/crashing_request_test.go
+++ b/process/quarantine/crashing_request_test.go
@@ -89,7 +89,7 @@
 func TestCrashingRequestDuringACut(t *testing.T) {
 	g := NewWithT(t)
 	f := newFleet(2)
-	f.net.Cut("h0", "h1")
+	f.net.Partition("h0", "h1")
 	lost := 0
 	for range 10 {
 		lost += send(f, f.guards[0], lost)
--- a/process/reach/reach.go
+++ b/process/reach/reach.go
@@ -20,7 +20,7 @@
 // Options configures a Monitor; all fields are required.
 type Options struct {
 	// Probe sends a small request to the API on a connection of its own. Any error other
-	// than objectapi.ErrNoAnswer and objectapi.ErrUnavailable counts as a response.
+	// than objectapi.ErrNoResponse and objectapi.ErrUnavailable counts as a response.
 	Probe func(ctx context.Context) error
 	Clock clock.Clock
 	Rand  clock.Rand
@@ -191,7 +191,7 @@
 	case <-o.ended:
 		return true, nil
 	case <-ctx.Done():
-		return true, errors.Join(objectapi.ErrUnavailable, objectapi.ErrNoAnswer, ctx.Err())
+		return true, errors.Join(objectapi.ErrUnavailable, objectapi.ErrNoResponse, ctx.Err())
 	}
 }
 
@@ -199,7 +199,7 @@
 // requests now. A rejection of the request itself, for its rate or its content, is a
 // response.
 func isUnavailable(err error) bool {
-	return errors.Is(err, objectapi.ErrNoAnswer) || errors.Is(err, objectapi.ErrUnavailable)
+	return errors.Is(err, objectapi.ErrNoResponse) || errors.Is(err, objectapi.ErrUnavailable)
 }
 
 // recordResult ends the outage if the result of a request shows a response of the API. A
@@ -224,7 +224,7 @@
 // blocks until the API recovers. If the response is overdue when the API is found to
 // respond, the request was most likely lost in an outage: it is sent once more, and the
 // first response is returned. If ctx ends while Call waits for recovery, the error wraps
-// objectapi.ErrUnavailable and objectapi.ErrNoAnswer.
+// objectapi.ErrUnavailable and objectapi.ErrNoResponse.
 func Call[T any](ctx context.Context, m *Monitor, wait time.Duration, request RequestFunc[T]) (T, error) {
 	recovered, err := m.awaitRecovery(ctx)
 	if err != nil {
@@ -247,7 +247,7 @@
 	if !ok {
 		send(ctx, request, true, results)
 		res = <-results
-		if errors.Is(res.err, objectapi.ErrNoAnswer) {
+		if errors.Is(res.err, objectapi.ErrNoResponse) {
 			res = <-results
 		}
 	}
--- a/process/reach/reach_test.go
+++ b/process/reach/reach_test.go
@@ -45,13 +45,13 @@
 	a.mu.Unlock()
 	if unresponsive {
 		<-ctx.Done()
-		return errors.Join(objectapi.ErrNoAnswer, ctx.Err())
+		return errors.Join(objectapi.ErrNoResponse, ctx.Err())
 	}
 	select {
 	case <-time.After(latency):
 		return err
 	case <-ctx.Done():
-		return errors.Join(objectapi.ErrNoAnswer, ctx.Err())
+		return errors.Join(objectapi.ErrNoResponse, ctx.Err())
 	}
 }
 
@@ -141,10 +141,10 @@
 func TestOnlyProbesAreSentDuringOutage(t *testing.T) {
 	run(t, func(x *fixture) {
 		x.api.setUnresponsive(true)
-		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
+		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoResponse))
 		x.Expect(x.monitor.Unresponsive()).To(BeTrue())
 		sent := x.api.count(&x.api.requests)
-		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
+		x.Expect(x.call(time.Second, 0)).To(MatchError(objectapi.ErrNoResponse))
 		x.Expect(x.api.count(&x.api.requests)).To(Equal(sent))
 		x.Expect(x.api.count(&x.api.probes)).To(BeNumerically("<=", 8))
 		x.api.setUnresponsive(false)
@@ -198,7 +198,7 @@
 		run(t, func(x *fixture) {
 			x.notified = notified
 			x.api.setUnresponsive(true)
-			x.Expect(x.call(10*time.Second, 0)).To(MatchError(objectapi.ErrNoAnswer))
+			x.Expect(x.call(10*time.Second, 0)).To(MatchError(objectapi.ErrNoResponse))
 			n = x.api.count(&x.api.probes)
 		})
 		return n
@@ -211,7 +211,7 @@
 // connections or reports itself unavailable: the first request that fails in this way
 // starts the probes, and the other requests wait.
 func TestResetsAndUnavailabilityCountAsOutage(t *testing.T) {
-	for _, failure := range []error{objectapi.ErrNoAnswer, objectapi.ErrUnavailable} {
+	for _, failure := range []error{objectapi.ErrNoResponse, objectapi.ErrUnavailable} {
 		run(t, func(x *fixture) {
 			x.api.setError(failure)
 			x.Expect(x.call(time.Second, 0)).To(MatchError(failure))
--- a/process/release/publish.go
+++ b/process/release/publish.go
@@ -46,7 +46,7 @@
 
 // store is the platform, with patience for its call rate.
 func (p *Publisher) store() objectapi.Store {
-	return objectapi.Patient{Store: p.Store, Clock: p.Clock, Rand: p.Rand}
+	return objectapi.RetryingStore{Store: p.Store, Clock: p.Clock, Rand: p.Rand}
 }
 
 // base is the state that a commit builds on.
--- a/process/release/release.go
+++ b/process/release/release.go
@@ -22,7 +22,7 @@
 	HighWaterMarkKey = "bilberry/floor"
 	queuePrefix      = "bilberry/queue/"
 	partPrefix       = "bilberry/releases/"
-	// maxPart leaves room below objectapi.MaxValue for the JSON around rows.
+	// maxPart leaves room below objectapi.MaxValueBytes for the JSON around rows.
 	maxPart = 690 << 10
 )
 
--- a/process/release/spread_bench_test.go
+++ b/process/release/spread_bench_test.go
@@ -196,7 +196,7 @@
 				for _, h := range fl.hosts {
 					h.line.cut()
 				}
-				fl.betweenDomains(fl.net.Cut)
+				fl.betweenDomains(fl.net.Partition)
 				rel, _ := fl.change(i + 1)
 				pass(3 * time.Second) // the outage: watchers reach their longest backoff
 				fl.betweenDomains(fl.net.Heal)
--- a/process/release/spread_test.go
+++ b/process/release/spread_test.go
@@ -52,7 +52,7 @@
 	second := fl.publish("pools/a", "1")
 	fl.inForce(second)
 
-	fl.betweenDomains(fl.net.Cut)
+	fl.betweenDomains(fl.net.Partition)
 	third := fl.publish("pools/a", "2")
 	for _, h := range fl.domain("d0") {
 		g.Eventually(func() uint64 { n, _ := h.f.Summary(); return n }, 5*time.Second).Should(Equal(third.Number))
@@ -137,8 +137,8 @@
 // the hosts behind it too.
 func TestLostFetchIsAskedOfOthers(t *testing.T) {
 	fl, ranked := fleetThatDoesNotCompare(t)
-	fl.net.LoseAnswers(ranked[2], ranked[0])
-	fl.net.LoseAnswers(ranked[2], ranked[1])
+	fl.net.LoseResponses(ranked[2], ranked[0])
+	fl.net.LoseResponses(ranked[2], ranked[1])
 	fl.inForce(fl.publish("pools/a", "1"))
 }
 
--- a/process/report/report.go
+++ b/process/report/report.go
@@ -42,9 +42,9 @@
 type Prober interface {
 	// Report polls address, on a fresh connection if fresh is set. It returns
 	// ErrNoReport, ErrNoConnection, or another error when no answer came.
-	Report(ctx context.Context, address string, fresh bool) (Report, error)
+	Poll(ctx context.Context, address string, fresh bool) (Report, error)
 	// Forget drops kept connections.
-	Forget()
+	CloseIdleConnections()
 }
 
 // Target is one backend server of the tables in force.
@@ -64,11 +64,11 @@
 	// Targets returns the backend servers of all domains.
 	Targets func() []Target
 	// Hosts reads the platform's list; may be nil.
-	Hosts func(ctx context.Context) ([]objectapi.Host, error)
+	ListHosts func(ctx context.Context) ([]objectapi.Host, error)
 
-	Interval  time.Duration // between polls; default 1 s
-	Owners    int           // hosts of the domain that poll one server; default 2
-	ShareRate int           // bytes a second for sharing load with peers; default 750
+	Interval            time.Duration // between polls; default 1 s
+	Owners              int           // hosts of the domain that poll one server; default 2
+	ShareBytesPerSecond int           // bytes a second for sharing load with peers; default 750
 }
 
 func (o *Options) setDefaults() {
@@ -78,8 +78,8 @@
 	if o.Owners <= 0 {
 		o.Owners = 2
 	}
-	if o.ShareRate <= 0 {
-		o.ShareRate = 750
+	if o.ShareBytesPerSecond <= 0 {
+		o.ShareBytesPerSecond = 750
 	}
 }
 
@@ -94,10 +94,10 @@
 )
 
 // Counters count a Watcher's work.
-type Counters struct{ Rounds, Polls, Lists, Shared, SharedBytes atomic.Int64 }
+type Counters struct{ Rounds, Polls, HostListReads, LoadsShared, LoadsSharedBytes atomic.Int64 }
 
 // Watcher polls, shares and applies reports.
-type Watcher struct {
+type Poller struct {
 	Counters Counters
 
 	opts Options
@@ -130,9 +130,9 @@
 }
 
 // New returns a watcher and registers it on the link and the heartbeats.
-func New(opts Options) *Watcher {
+func New(opts Options) *Poller {
 	opts.setDefaults()
-	w := &Watcher{opts: opts, known: map[string]*known{}}
+	w := &Poller{opts: opts, known: map[string]*known{}}
 	opts.Link.Handle(MethodLoads, w.onLoads)
 	opts.View.OnChange(w.noteJoined)
 	if opts.Monitor != nil {
@@ -142,7 +142,7 @@
 }
 
 // Run polls and shares until ctx ends.
-func (w *Watcher) Run(ctx context.Context) error {
+func (w *Poller) Run(ctx context.Context) error {
 	defer w.work.Close()
 	for {
 		w.round(ctx)
@@ -155,26 +155,26 @@
 	}
 }
 
-func (w *Watcher) round(ctx context.Context) {
+func (w *Poller) round(ctx context.Context) {
 	w.refresh()
 	w.Counters.Rounds.Add(1)
 	if w.joined.Swap(false) {
 		w.repeatSigns()
 	}
 	self := w.opts.Link.Self()
-	hosts := member.Domain(w.opts.View, self, self.Domain)
+	hosts := member.HostsInDomain(w.opts.View, self, self.Domain)
 	now := w.opts.Clock.Now()
 	for _, k := range w.due(self, hosts, now) {
 		w.work.Go(func() { w.poll(ctx, k) })
 	}
-	if w.opts.Hosts != nil && member.First(w.opts.View, self, "platform host list", w.opts.Owners) {
+	if w.opts.ListHosts != nil && member.IsOwner(w.opts.View, self, "platform host list", w.opts.Owners) {
 		w.work.Go(func() { w.list(ctx) })
 	}
 	w.work.Go(func() { w.share(ctx, hosts, now) })
 }
 
 // refresh takes in the servers of the tables in force.
-func (w *Watcher) refresh() {
+func (w *Poller) refresh() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	next := make(map[string]*known, len(w.known))
@@ -197,7 +197,7 @@
 
 // due returns the servers to poll now: those that this host owns, and those
 // that it holds for dead, rarely, in case the owners cannot reach them.
-func (w *Watcher) due(self peer.Identity, hosts []string, now time.Time) []*known {
+func (w *Poller) due(self peer.Identity, hosts []string, now time.Time) []*known {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.rounds++
@@ -206,7 +206,7 @@
 		owned := false
 		k.first = false
 		if k.target.Domain == self.Domain {
-			place := member.Place(address, self.Host, hosts)
+			place := member.RankIndex(address, self.Host, hosts)
 			k.first = place == 0
 			owned = k.first || (place < w.opts.Owners && w.rounds%standbyEvery == 0)
 		}
@@ -234,13 +234,13 @@
 // poll asks one server. A failure on a kept connection counts only when a
 // fresh connection fails too: the kept one may have been forgotten by
 // something in between while the server lives.
-func (w *Watcher) poll(ctx context.Context, k *known) {
+func (w *Poller) poll(ctx context.Context, k *known) {
 	address := k.target.State.Address
 	w.Counters.Polls.Add(1)
-	r, err := w.opts.Prober.Report(ctx, address, false)
+	r, err := w.opts.Prober.Poll(ctx, address, false)
 	if err != nil && !errors.Is(err, ErrNoReport) && ctx.Err() == nil {
-		w.opts.Prober.Forget()
-		r, err = w.opts.Prober.Report(ctx, address, true)
+		w.opts.Prober.CloseIdleConnections()
+		r, err = w.opts.Prober.Poll(ctx, address, true)
 	}
 	if ctx.Err() != nil {
 		return
@@ -255,7 +255,7 @@
 	}
 }
 
-func (w *Watcher) reported(k *known, r Report) {
+func (w *Poller) reported(k *known, r Report) {
 	now := w.opts.Clock.Now()
 	w.mu.Lock()
 	k.detail = k.detail || r.Role != k.report.Role || !equal(r.Models, k.report.Models) || r.Slots != k.report.Slots
@@ -267,9 +267,9 @@
 	w.observe(k, func(s *sign) { s.Down, s.Reported = false, r.Leaving })
 }
 
-func (w *Watcher) answered(k *known) { w.observe(k, func(s *sign) { s.Down = false }) }
+func (w *Poller) answered(k *known) { w.observe(k, func(s *sign) { s.Down = false }) }
 
-func (w *Watcher) failed(k *known, err error) {
+func (w *Poller) failed(k *known, err error) {
 	limit := lostPolls
 	if errors.Is(err, syscall.ECONNREFUSED) {
 		limit = refusedPolls
--- a/process/report/report_test.go
+++ b/process/report/report_test.go
@@ -48,7 +48,7 @@
 	host string
 }
 
-func (p prober) Report(_ context.Context, address string, fresh bool) (report.Report, error) {
+func (p prober) Poll(_ context.Context, address string, fresh bool) (report.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.polls[p.host]++
@@ -64,7 +64,7 @@
 	return p.reports[address], nil
 }
 
-func (p prober) Forget() {}
+func (p prober) CloseIdleConnections() {}
 
 func (b *backends) set(f func()) {
 	b.mu.Lock()
@@ -87,7 +87,7 @@
 
 type siteHost struct {
 	registry *server.Registry
-	watcher  *report.Watcher
+	watcher  *report.Poller
 	monitor  *member.Monitor
 }
 
@@ -117,7 +117,7 @@
 	h.monitor = member.New(member.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
 	h.watcher = report.New(report.Options{
 		Link: link, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd, Prober: prober{s.backends, name}, Interval: interval,
-		Hosts: func(context.Context) ([]objectapi.Host, error) {
+		ListHosts: func(context.Context) ([]objectapi.Host, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.list, s.err
@@ -185,8 +185,8 @@
 	s.set(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
 	s.everywhere("s0-0", (*server.State).Usable, false)
 	s.everywhere("s1-0", (*server.State).Usable, false)
-	lists := s.hosts["h0-0"].watcher.Counters.Lists.Load()
-	s.g.Eventually(s.hosts["h0-0"].watcher.Counters.Lists.Load, patience).Should(BeNumerically(">", lists+3))
+	lists := s.hosts["h0-0"].watcher.Counters.HostListReads.Load()
+	s.g.Eventually(s.hosts["h0-0"].watcher.Counters.HostListReads.Load, patience).Should(BeNumerically(">", lists+3))
 	s.g.Expect(s.state("h0-0", "s1-0").Usable()).To(BeFalse())
 }
 
@@ -293,7 +293,7 @@
 			}
 		}
 	}
-	pairs(s.net.Cut)
+	pairs(s.net.Partition)
 	s.set(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
 	for i := range 3 {
 		name := fmt.Sprint("h1-", i)
@@ -334,17 +334,17 @@
 	address := srv.Listener.Addr().String()
 	c := serverprobe.New(serverprobe.Options{})
 	for _, fresh := range []bool{false, true} {
-		r, err := c.Report(context.Background(), address, fresh)
+		r, err := c.Poll(context.Background(), address, fresh)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(r).To(Equal(report.Report{Running: 3, Queued: 1, Slots: 8, Models: []string{"m"}, Role: "r", Leaving: true}))
 	}
-	c.Forget()
+	c.CloseIdleConnections()
 	srv.Close()
-	_, err := c.Report(context.Background(), address, true)
+	_, err := c.Poll(context.Background(), address, true)
 	g.Expect(err).To(MatchError(syscall.ECONNREFUSED))
 	g.Expect(err).To(MatchError(report.ErrNoConnection))
 	plain := httptest.NewServer(http.NotFoundHandler())
 	defer plain.Close()
-	_, err = c.Report(context.Background(), plain.Listener.Addr().String(), true)
+	_, err = c.Poll(context.Background(), plain.Listener.Addr().String(), true)
 	g.Expect(err).To(MatchError(report.ErrNoReport))
 }
--- a/process/report/share.go
+++ b/process/report/share.go
@@ -40,7 +40,7 @@
 // share sends the reports that this host polled as first owner to the peers of
 // its domain. The time to the next share grows with the bytes, so that a large
 // domain gets older reports rather than more traffic.
-func (w *Watcher) share(ctx context.Context, hosts []string, now time.Time) {
+func (w *Poller) share(ctx context.Context, hosts []string, now time.Time) {
 	rows := w.rows(now)
 	if len(rows) == 0 || len(hosts) < 2 {
 		return
@@ -51,10 +51,10 @@
 	}
 	sent := len(data) * (len(hosts) - 1)
 	w.mu.Lock()
-	w.shareAt = now.Add(time.Duration(sent) * time.Second / time.Duration(w.opts.ShareRate))
+	w.shareAt = now.Add(time.Duration(sent) * time.Second / time.Duration(w.opts.ShareBytesPerSecond))
 	w.mu.Unlock()
-	w.Counters.Shared.Add(int64(len(hosts) - 1))
-	w.Counters.SharedBytes.Add(int64(sent))
+	w.Counters.LoadsShared.Add(int64(len(hosts) - 1))
+	w.Counters.LoadsSharedBytes.Add(int64(sent))
 	ctx, cancel := context.WithTimeout(ctx, w.opts.Interval)
 	defer cancel()
 	var calls sync.WaitGroup
@@ -66,7 +66,7 @@
 	calls.Wait()
 }
 
-func (w *Watcher) rows(now time.Time) []loadRow {
+func (w *Poller) rows(now time.Time) []loadRow {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if now.Before(w.shareAt) {
@@ -88,7 +88,7 @@
 	return out
 }
 
-func (w *Watcher) onLoads(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
+func (w *Poller) onLoads(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var rows []loadRow
 	if err := peer.Unmarshal(payload, &rows); err != nil {
 		return nil, fmt.Errorf("decode loads: %w", err)
--- a/process/report/signs.go
+++ b/process/report/signs.go
@@ -29,7 +29,7 @@
 const maxSigns = 16
 
 // observe applies this host's own evidence and spreads it if it is new.
-func (w *Watcher) observe(k *known, change func(*sign)) {
+func (w *Poller) observe(k *known, change func(*sign)) {
 	w.mu.Lock()
 	before := k.sign
 	change(&k.sign)
@@ -47,17 +47,17 @@
 	w.apply(k)
 	w.mu.Unlock()
 	if changed && w.opts.Monitor != nil {
-		w.opts.Monitor.Kick()
+		w.opts.Monitor.HeartbeatNow()
 	}
 }
 
-func (w *Watcher) apply(k *known) {
+func (w *Poller) apply(k *known) {
 	k.target.State.SetLeaving(k.sign.leaving())
 	k.target.State.SetDown(k.down)
 }
 
 // Leaving records that an answer of the server said that it leaves.
-func (w *Watcher) Leaving(address string) {
+func (w *Poller) MarkLeaving(address string) {
 	w.mu.Lock()
 	k := w.known[address]
 	w.mu.Unlock()
@@ -67,9 +67,9 @@
 }
 
 // spreads is how many heartbeats carry a sign.
-func (w *Watcher) spreads() int { return 6 + 2*bits.Len(uint(len(w.opts.View.Peers()))) }
+func (w *Poller) spreads() int { return 6 + 2*bits.Len(uint(len(w.opts.View.Peers()))) }
 
-func (w *Watcher) produceSigns() []byte {
+func (w *Poller) produceSigns() []byte {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var out []sign
@@ -95,7 +95,7 @@
 // being wrong costs a little capacity and being late breaks a promise. Down is
 // a hint: another host's broken link must not take a healthy server out here,
 // so this host probes by itself.
-func (w *Watcher) consumeSigns(_ peer.Identity, data []byte) {
+func (w *Poller) consumeSigns(_ peer.Identity, data []byte) {
 	var list []sign
 	if peer.Unmarshal(data, &list) != nil {
 		return
@@ -117,7 +117,7 @@
 	}
 	w.mu.Unlock()
 	if news && w.opts.Monitor != nil {
-		w.opts.Monitor.Kick()
+		w.opts.Monitor.HeartbeatNow()
 	}
 }
 
@@ -130,10 +130,10 @@
 }
 
 // verify probes a server of which others say that it died or came back.
-func (w *Watcher) verify(k *known) {
+func (w *Poller) verify(k *known) {
 	down := true
 	for try := 0; try < 2 && down; try++ {
-		_, err := w.opts.Prober.Report(context.Background(), k.target.State.Address, true)
+		_, err := w.opts.Prober.Poll(context.Background(), k.target.State.Address, true)
 		down = errors.Is(err, ErrNoConnection)
 	}
 	w.mu.Lock()
@@ -145,11 +145,11 @@
 
 // list takes in the platform's host list. It lags, so it only adds signs: a
 // server that its own report calls leaving stays so whatever the list says.
-func (w *Watcher) list(ctx context.Context) {
+func (w *Poller) list(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, 2*time.Second)
 	defer cancel()
-	w.Counters.Lists.Add(1)
-	hosts, err := w.opts.Hosts(ctx)
+	w.Counters.HostListReads.Add(1)
+	hosts, err := w.opts.ListHosts(ctx)
 	if err != nil {
 		return
 	}
@@ -187,7 +187,7 @@
 	return err == nil
 }
 
-func (w *Watcher) listed(k *known, leaving bool) {
+func (w *Poller) listed(k *known, leaving bool) {
 	w.mu.Lock()
 	same := k.sign.Listed == leaving
 	w.mu.Unlock()
@@ -198,7 +198,7 @@
 
 // observeListed changes the list's part of the sign and leaves a poll that is
 // under way alone.
-func (w *Watcher) observeListed(k *known, leaving bool) {
+func (w *Poller) observeListed(k *known, leaving bool) {
 	w.mu.Lock()
 	k.sign.Listed = leaving
 	k.sign.Version++
@@ -206,7 +206,7 @@
 	w.apply(k)
 	w.mu.Unlock()
 	if w.opts.Monitor != nil {
-		w.opts.Monitor.Kick()
+		w.opts.Monitor.HeartbeatNow()
 	}
 }
 
@@ -216,7 +216,7 @@
 
 // Seeds returns a few addresses of the platform's list, chosen at random, at
 // which entry hosts may be.
-func (w *Watcher) Seeds() []string {
+func (w *Poller) Seeds() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if len(w.seeds) <= maxSeeds {
@@ -232,7 +232,7 @@
 // noteJoined takes note when a host comes that was not there before. Signs
 // spread once, when they change; a host that starts, or comes back from a cut,
 // after a server was found leaving would never hear of it and send it work.
-func (w *Watcher) noteJoined() {
+func (w *Poller) noteJoined() {
 	next := map[string]uint64{}
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -249,7 +249,7 @@
 }
 
 // repeatSigns lets the signs that keep work away spread once more.
-func (w *Watcher) repeatSigns() {
+func (w *Poller) repeatSigns() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, k := range w.known {
--- a/process/server/health.go
+++ b/process/server/health.go
@@ -47,7 +47,7 @@
 // connection that cannot be made counts as several: a dead server fails at once
 // and looks idle, and would draw all work until it is ejected. A success ends
 // the ejection.
-func (s *State) Record(now time.Time, o Outcome, took time.Duration) {
+func (s *State) RecordOutcome(now time.Time, o Outcome, took time.Duration) {
 	h := &s.health
 	switch o {
 	case Succeeded:
@@ -96,11 +96,11 @@
 const (
 	Healthy Health = iota
 	// OnTrial: the period of ejection is over; Trial decides who may try.
-	OnTrial
+	TrialDue
 	// Outlier: attempts fail on it while it can be reached.
 	Outlier
 	// Lost: no connection can be made to it.
-	Lost
+	Disconnected
 )
 
 // Health returns the state at now.
@@ -110,9 +110,9 @@
 	case h.streak.Load() < ejectAfter:
 		return Healthy
 	case now.UnixNano() >= h.until.Load():
-		return OnTrial
+		return TrialDue
 	case h.unreachable.Load():
-		return Lost
+		return Disconnected
 	default:
 		return Outlier
 	}
@@ -131,7 +131,7 @@
 // Trial claims the one trial of a server whose period of ejection is over. One
 // request finds out whether the server is back; the others are kept from being
 // lost on it at the same time.
-func (s *State) Trial(now time.Time) bool { return s.health.extend(now, s.health.until.Load()) }
+func (s *State) ClaimTrial(now time.Time) bool { return s.health.extend(now, s.health.until.Load()) }
 
 // Latency returns the estimate over successful attempts.
 func (s *State) Latency() *estimate.Latency { return &s.health.latency }
--- a/process/server/load.go
+++ b/process/server/load.go
@@ -22,7 +22,7 @@
 // SetLoad stores a report. What this host has in flight is taken out of it: it
 // is known exactly at any time and needs no report.
 func (s *State) SetLoad(l *Load) {
-	own := s.Inflight()
+	own := s.InFlight()
 	s.reported.own.Store(own)
 	s.reported.others.Store(max(0, int64(l.Running+l.Queued)-own))
 	s.reported.received.Store(l.Received.UnixNano())
@@ -35,11 +35,13 @@
 
 // Busy estimates the requests on the server now: those of this host, and those
 // of others by the last report, weighted by its age.
-func (s *State) Busy(now time.Time) float64 { return s.BusyAt(now.UnixNano()) }
+func (s *State) EstimatedRequests(now time.Time) float64 {
+	return s.EstimatedRequestsAt(now.UnixNano())
+}
 
 // BusyAt is Busy for a time in unix nanoseconds.
-func (s *State) BusyAt(now int64) float64 {
-	own := float64(max(0, s.Inflight()))
+func (s *State) EstimatedRequestsAt(now int64) float64 {
+	own := float64(max(0, s.InFlight()))
 	others := s.reported.others.Load()
 	if others == 0 {
 		return own
@@ -50,7 +52,7 @@
 
 // Reported returns the requests on the server at its last report, and how many
 // of them this host had sent.
-func (s *State) Reported() (all, own float64) {
+func (s *State) ReportedRequests() (all, own float64) {
 	o := s.reported.own.Load()
 	return float64(o + s.reported.others.Load()), float64(o)
 }
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -42,13 +42,13 @@
 func (s *State) Hash() uint64 { return s.hash }
 
 // Begin counts a request as in flight; End must follow once.
-func (s *State) Begin() { s.inflight.Add(1) }
+func (s *State) BeginRequest() { s.inflight.Add(1) }
 
 // End undoes Begin.
-func (s *State) End() { s.inflight.Add(-1) }
+func (s *State) EndRequest() { s.inflight.Add(-1) }
 
 // Inflight returns the requests this entry host has running on the server.
-func (s *State) Inflight() int64 { return s.inflight.Load() }
+func (s *State) InFlight() int64 { return s.inflight.Load() }
 
 // SetDown records whether the server is believed dead.
 func (s *State) SetDown(down bool) { s.down.Store(down) }
--- a/process/server/server_test.go
+++ b/process/server/server_test.go
@@ -16,11 +16,11 @@
 func TestOldReportsCountForLess(t *testing.T) {
 	g := NewWithT(t)
 	s := state()
-	s.Begin()
+	s.BeginRequest()
 	s.SetLoad(&Load{Running: 9, Received: start})
-	g.Expect(s.Busy(start)).To(BeNumerically("~", 9, 1e-9))
-	g.Expect(s.Busy(start.Add(reportHalfLife))).To(BeNumerically("~", 1+4, 1e-9))
-	g.Expect(s.Busy(start.Add(time.Hour))).To(BeNumerically("~", 1, .1))
+	g.Expect(s.EstimatedRequests(start)).To(BeNumerically("~", 9, 1e-9))
+	g.Expect(s.EstimatedRequests(start.Add(reportHalfLife))).To(BeNumerically("~", 1+4, 1e-9))
+	g.Expect(s.EstimatedRequests(start.Add(time.Hour))).To(BeNumerically("~", 1, .1))
 }
 
 // A caller sees errors for a minute after a server came back: its ejections had
@@ -29,13 +29,13 @@
 func TestReportBringsALostServerBack(t *testing.T) {
 	g := NewWithT(t)
 	s := state()
-	s.Record(start, Unreachable, 0)
-	g.Expect(s.Health(start)).To(Equal(Lost))
+	s.RecordOutcome(start, Unreachable, 0)
+	g.Expect(s.Health(start)).To(Equal(Disconnected))
 	s.SetLoad(&Load{Received: start.Add(-time.Second)})
-	g.Expect(s.Health(start)).To(Equal(Lost))
+	g.Expect(s.Health(start)).To(Equal(Disconnected))
 	s.SetLoad(&Load{Received: start.Add(100 * time.Millisecond)})
 	g.Expect(s.Health(start.Add(200 * time.Millisecond))).To(Equal(Healthy))
-	s.Record(start.Add(300*time.Millisecond), Failed, 0)
+	s.RecordOutcome(start.Add(300*time.Millisecond), Failed, 0)
 	g.Expect(s.Health(start.Add(300 * time.Millisecond))).NotTo(Equal(Healthy))
 }
 
@@ -45,7 +45,7 @@
 	g := NewWithT(t)
 	s := state()
 	for range ejectAfter {
-		s.Record(start, Failed, 0)
+		s.RecordOutcome(start, Failed, 0)
 	}
 	s.SetLoad(&Load{Received: start.Add(time.Millisecond)})
 	g.Expect(s.Health(start.Add(2 * time.Millisecond))).To(Equal(Outlier))
@@ -57,9 +57,9 @@
 	now := start
 	var periods []time.Duration
 	for range 5 {
-		s.Record(now, Unreachable, 0)
+		s.RecordOutcome(now, Unreachable, 0)
 		from := now
-		for s.Health(now) == Lost {
+		for s.Health(now) == Disconnected {
 			now = now.Add(100 * time.Millisecond)
 		}
 		periods = append(periods, now.Sub(from))
@@ -71,7 +71,7 @@
 	g := NewWithT(t)
 	s := state()
 	for range 100 {
-		s.Record(start, Overloaded, 0)
+		s.RecordOutcome(start, Overloaded, 0)
 	}
 	g.Expect(s.Health(start)).To(Equal(Healthy))
 }
--- a/process/stages/announce.go
+++ b/process/stages/announce.go
@@ -57,7 +57,7 @@
 // authenticates the caller.
 func (p *Pool) Announce() {
 	list := slices.Clone(p.link.Peers())
-	sort.Slice(list, func(i, j int) bool { return peer.Before(list[i], list[j]) })
+	sort.Slice(list, func(i, j int) bool { return peer.Outranks(list[i], list[j]) })
 	for _, id := range list[:min(len(list), maxAnnouncedHosts)] {
 		p.notify(id.Host, methodHello)
 	}
--- a/process/stages/bench_test.go
+++ b/process/stages/bench_test.go
@@ -71,7 +71,7 @@
 		b.Run(fmt.Sprint("hosts=", hosts), func(b *testing.B) {
 			mesh := peer.NewMesh(peer.MeshOptions{Self: peer.Identity{Host: "self", Incarnation: 1000, Region: "r0"}, Clock: clock.System{}, Rand: clock.SystemRand{}})
 			for i := range hosts - 1 {
-				mesh.Learn(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: uint64(1 + i*7919%hosts), Region: fmt.Sprint("r", i%3), Share: 0.4})
+				mesh.AddPeer(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: uint64(1 + i*7919%hosts), Region: fmt.Sprint("r", i%3), Cores: 0.4})
 			}
 			p := NewPool(mesh, clock.System{}, nil, func(string) string { return "r1" }, discardLog{})
 			b.ReportAllocs()
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -103,7 +103,7 @@
 	if aInRegion, bInRegion := a.Region == region, b.Region == region; region != "" && aInRegion != bInRegion {
 		return aInRegion
 	}
-	return peer.Before(a, b)
+	return peer.Outranks(a, b)
 }
 
 // Bounds of the time for which an unresponsive host is skipped. The minimum is about the
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -12,7 +12,7 @@
 )
 
 // Pool finds the owner, the host that runs stage work for a region, and serves other hosts
-// when this host is the owner. The owner is the first host by peer.Before: all hosts compute
+// when this host is the owner. The owner is the first host by peer.Outranks: all hosts compute
 // it without an election, and a returning host does not take the work away from an equally
 // strong one. While hosts disagree, several of them run stage work. That causes less full
 // calls and some refusals by busy servers, but no wrong result.
@@ -128,7 +128,7 @@
 		}
 		if failingSince.IsZero() {
 			failingSince = callStart
-			if errors.Is(err, peer.ErrNoAnswer) {
+			if errors.Is(err, peer.ErrNoResponse) {
 				failingSince = p.clock.Now() // the host was reachable until now
 			}
 		}
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -86,7 +86,7 @@
 	}
 	if lose {
 		go func() { _, _ = to.handlers[m](context.Background(), n.self, payload) }()
-		return peer.ErrNoAnswer
+		return peer.ErrNoResponse
 	}
 	answer, err := to.handlers[m](ctx, n.self, payload)
 	if err != nil {
@@ -149,9 +149,9 @@
 func TestStrongestHostOfRegionIsOwner(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
-	weak := x.add(t, peer.Identity{Host: "weak", Incarnation: 1, Region: "x", Share: 0.2})
-	strong := x.add(t, peer.Identity{Host: "strong", Incarnation: 9, Region: "x", Share: 0.8})
-	x.add(t, peer.Identity{Host: "far", Incarnation: 2, Region: "y", Share: 0.8})
+	weak := x.add(t, peer.Identity{Host: "weak", Incarnation: 1, Region: "x", Cores: 0.2})
+	strong := x.add(t, peer.Identity{Host: "strong", Incarnation: 9, Region: "x", Cores: 0.8})
+	x.add(t, peer.Identity{Host: "far", Incarnation: 2, Region: "y", Cores: 0.8})
 	_, err := weak.run("r")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(strong.itemsMade()).To(Equal(5))
--- a/process/stages/prefixes_test.go
+++ b/process/stages/prefixes_test.go
@@ -42,9 +42,9 @@
 func TestRegionsAnnounceUnexpectedHolders(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
-	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
-	there := x.add(t, peer.Identity{Host: "there", Region: "r2", Domain: "r2", Share: 1, Incarnation: 1})
-	x.add(t, peer.Identity{Host: "beside", Region: "r2", Domain: "r2", Share: 0.5, Incarnation: 2})
+	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Cores: 1, Incarnation: 1})
+	there := x.add(t, peer.Identity{Host: "there", Region: "r2", Domain: "r2", Cores: 1, Incarnation: 1})
+	x.add(t, peer.Identity{Host: "beside", Region: "r2", Domain: "r2", Cores: 0.5, Incarnation: 2})
 	now := time.Now()
 	for i, target := range []Target{{ID: "next"}, {ID: "home", Home: true}} {
 		ticket := &Ticket{Request: &Request{ID: target.ID, TargetTime: now.Add(time.Second), Targets: []Target{target}, Prompt: draftPrompt}}
@@ -59,7 +59,7 @@
 func TestPrefixNoticesAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
-	n := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 1, Incarnation: 1})
+	n := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Cores: 1, Incarnation: 1})
 	for range maxPrefixNotices + 10 {
 		n.pool.queuePrefixNotice(cachedPrefix{"part", "s"})
 	}
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -19,9 +19,9 @@
 func TestOwnerIsInAllowedRegions(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
-	client := x.add(t, peer.Identity{Host: "client's", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 3})
-	home := x.add(t, peer.Identity{Host: "home", Region: "r2", Domain: "r2", Share: 0.2, Incarnation: 2})
-	strong := x.add(t, peer.Identity{Host: "strong", Region: "r3", Domain: "r3", Share: 1, Incarnation: 1})
+	client := x.add(t, peer.Identity{Host: "client's", Region: "r1", Domain: "r1", Cores: 0.1, Incarnation: 3})
+	home := x.add(t, peer.Identity{Host: "home", Region: "r2", Domain: "r2", Cores: 0.2, Incarnation: 2})
+	strong := x.add(t, peer.Identity{Host: "strong", Region: "r3", Domain: "r3", Cores: 1, Incarnation: 1})
 	for _, n := range x.hosts {
 		n.pool.region = func(string) string { return "" }
 		n.pool.MarkPeersKnown()
@@ -55,8 +55,8 @@
 func TestRestrictedRequestsDoNotLogOwnerChange(t *testing.T) {
 	g := NewWithT(t)
 	x := &network{hosts: map[string]*node{}}
-	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Share: 0.1, Incarnation: 2})
-	x.add(t, peer.Identity{Host: "strong", Region: "r2", Domain: "r2", Share: 1, Incarnation: 1})
+	here := x.add(t, peer.Identity{Host: "here", Region: "r1", Domain: "r1", Cores: 0.1, Incarnation: 2})
+	x.add(t, peer.Identity{Host: "strong", Region: "r2", Domain: "r2", Cores: 1, Incarnation: 1})
 	log := &ownerLog{}
 	here.pool.log = log
 	for range 3 {
--- a/process/telemetry/telemetry.go
+++ b/process/telemetry/telemetry.go
@@ -29,16 +29,16 @@
 
 // Options configure telemetry.
 type Options struct {
-	Service  string
-	Host     string
-	LogLevel string
-	LogJSON  bool
-	Export   string  // ExportNone, ExportStdout or ExportOTLP
-	Endpoint string  // OTLP: host:port
-	Sample   float64 // share of requests traced, 0 to 1
-	Out      io.Writer
+	Service      string
+	Host         string
+	LogLevel     string
+	LogJSON      bool
+	ExporterName string  // ExportNone, ExportStdout or ExportOTLP
+	Endpoint     string  // OTLP: host:port
+	SampleRatio  float64 // share of requests traced, 0 to 1
+	LogOutput    io.Writer
 	// Exporter gets each span at once, in place of Export.
-	Exporter sdktrace.SpanExporter
+	SpanExporter sdktrace.SpanExporter
 }
 
 // NewLog returns the process's logger.
@@ -47,10 +47,10 @@
 	if err != nil {
 		return nil, fmt.Errorf("log level %q: use debug, info, warn or error", o.LogLevel)
 	}
-	if o.Out == nil {
-		o.Out = os.Stderr
+	if o.LogOutput == nil {
+		o.LogOutput = os.Stderr
 	}
-	l := log.NewWithOptions(o.Out, log.Options{Level: level, ReportTimestamp: true})
+	l := log.NewWithOptions(o.LogOutput, log.Options{Level: level, ReportTimestamp: true})
 	if o.LogJSON {
 		l.SetFormatter(log.JSONFormatter)
 	} else {
@@ -62,12 +62,12 @@
 // NewTracer returns the process's tracer and a function that flushes it.
 func NewTracer(ctx context.Context, o Options) (trace.Tracer, func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
-	if o.Exporter != nil {
-		return provider(o, sdktrace.WithSyncer(o.Exporter))
+	if o.SpanExporter != nil {
+		return provider(o, sdktrace.WithSyncer(o.SpanExporter))
 	}
 	var exp sdktrace.SpanExporter
 	var err error
-	switch o.Export {
+	switch o.ExporterName {
 	case ExportNone, "":
 		return noop.NewTracerProvider().Tracer(o.Service), func(context.Context) error { return nil }, nil
 	case ExportStdout:
@@ -75,7 +75,7 @@
 	case ExportOTLP:
 		exp, err = otlptracehttp.New(ctx, otlptracehttp.WithEndpoint(o.Endpoint), otlptracehttp.WithInsecure())
 	default:
-		return nil, nil, fmt.Errorf("span exporter %q: use none, stdout or otlp", o.Export)
+		return nil, nil, fmt.Errorf("span exporter %q: use none, stdout or otlp", o.ExporterName)
 	}
 	if err != nil {
 		return nil, nil, fmt.Errorf("span exporter: %w", err)
@@ -86,7 +86,7 @@
 func provider(o Options, export sdktrace.TracerProviderOption) (trace.Tracer, func(context.Context) error, error) {
 	res := resource.NewSchemaless(attribute.String("service.name", o.Service), attribute.String("host.name", o.Host))
 	tp := sdktrace.NewTracerProvider(export, sdktrace.WithResource(res),
-		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(o.Sample))))
+		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(o.SampleRatio))))
 	return tp.Tracer(o.Service), tp.Shutdown, nil
 }
 
--- a/process/telemetry/telemetry_test.go
+++ b/process/telemetry/telemetry_test.go
@@ -13,7 +13,7 @@
 func TestLogIsStructured(t *testing.T) {
 	g := NewWithT(t)
 	var out bytes.Buffer
-	l, err := NewLog(Options{Service: "bilberryd", Host: "e1", LogLevel: "info", LogJSON: true, Out: &out})
+	l, err := NewLog(Options{Service: "bilberryd", Host: "e1", LogLevel: "info", LogJSON: true, LogOutput: &out})
 	g.Expect(err).NotTo(HaveOccurred())
 	l.Debug("hidden")
 	l.Info("request refused", "request", "r-1", "trace", "t-1")
@@ -29,7 +29,7 @@
 	g := NewWithT(t)
 	_, err := NewLog(Options{LogLevel: "loud"})
 	g.Expect(err).To(MatchError(ContainSubstring("debug, info, warn or error")))
-	_, _, err = NewTracer(t.Context(), Options{Export: "file"})
+	_, _, err = NewTracer(t.Context(), Options{ExporterName: "file"})
 	g.Expect(err).To(MatchError(ContainSubstring("none, stdout or otlp")))
 }
 
@@ -37,7 +37,7 @@
 	g := NewWithT(t)
 	g.Expect(TraceID(context.Background())).To(BeEmpty())
 	spans := tracetest.NewInMemoryExporter()
-	tracer, flush, err := NewTracer(t.Context(), Options{Service: "s", Sample: 1, Exporter: spans})
+	tracer, flush, err := NewTracer(t.Context(), Options{Service: "s", SampleRatio: 1, SpanExporter: spans})
 	g.Expect(err).NotTo(HaveOccurred())
 	ctx, span := tracer.Start(t.Context(), "entry")
 	id := TraceID(ctx)
@@ -49,7 +49,7 @@
 func TestTheSampledShareIsKept(t *testing.T) {
 	g := NewWithT(t)
 	spans := tracetest.NewInMemoryExporter()
-	tracer, _, err := NewTracer(t.Context(), Options{Service: "s", Sample: 0, Exporter: spans})
+	tracer, _, err := NewTracer(t.Context(), Options{Service: "s", SampleRatio: 0, SpanExporter: spans})
 	g.Expect(err).NotTo(HaveOccurred())
 	_, span := tracer.Start(t.Context(), "entry")
 	span.End()
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -101,8 +101,8 @@
 		attribute.String("request.id", x.req.ID), attribute.String("pool", st.Pool.Name),
 		attribute.String("server", a.server.Name), attribute.Int("attempt", a.number)))
 	defer span.End()
-	a.server.State.Begin()
-	defer a.server.State.End()
+	a.server.State.BeginRequest()
+	defer a.server.State.EndRequest()
 	x.Quarantine.BeginAttempt(x.req.Fingerprint, a.server.Name)
 	began := x.Clock.Now()
 	err := send(ctx)
@@ -150,7 +150,7 @@
 		if ctx.Err() != nil {
 			proof = server.Failed
 		}
-		a.server.State.Record(x.Clock.Now(), proof, 0)
+		a.server.State.RecordOutcome(x.Clock.Now(), proof, 0)
 		return false
 	}
 	// The server lives: connections that lost their way to it would each cost
--- a/request/pipeline/evidence.go
+++ b/request/pipeline/evidence.go
@@ -20,7 +20,7 @@
 	}
 	now := x.Clock.Now()
 	if o, ok := evidence(err); ok {
-		a.server.State.Record(now, o, now.Sub(began))
+		a.server.State.RecordOutcome(now, o, now.Sub(began))
 	}
 }
 
--- a/version/pick/explain.go
+++ b/version/pick/explain.go
@@ -29,7 +29,7 @@
 	out := make([]Candidate, 0, len(p.servers))
 	for i := range p.servers {
 		s := &p.servers[i]
-		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: describe(s, now), Own: s.State.Inflight()}
+		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: describe(s, now), Own: s.State.InFlight()}
 		c.Latency = s.State.Latency().Mean()
 		if c.Tier == "" {
 			c.Tier = "unused"
@@ -50,11 +50,11 @@
 		return "down"
 	}
 	switch s.State.Health(now) {
-	case server.OnTrial:
+	case server.TrialDue:
 		return "on trial"
 	case server.Outlier:
 		return "ejected: attempts fail"
-	case server.Lost:
+	case server.Disconnected:
 		return "ejected: no connection"
 	}
 	return "usable"
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -55,15 +55,15 @@
 
 func (l *Load) add(s *Server, now time.Time) {
 	if !s.serves(now) {
-		if s.State.Usable() && s.State.Health(now) == server.OnTrial {
+		if s.State.Usable() && s.State.Health(now) == server.TrialDue {
 			l.Trials++
 		}
 		return
 	}
 	l.Slots += s.capacity()
-	l.Busy += s.State.Busy(now)
-	l.Own += float64(s.State.Inflight())
-	all, own := s.State.Reported()
+	l.Busy += s.State.EstimatedRequests(now)
+	l.Own += float64(s.State.InFlight())
+	all, own := s.State.ReportedRequests()
 	l.Then += all
 	l.OwnThen += own
 }
@@ -78,7 +78,9 @@
 const freeShare = .75
 
 // Free reports whether work sent to the server now surely finds a slot.
-func (s *Server) Free(now time.Time) bool { return s.State.Busy(now) <= freeShare*s.capacity() }
+func (s *Server) Free(now time.Time) bool {
+	return s.State.EstimatedRequests(now) <= freeShare*s.capacity()
+}
 
 // capacity returns the slots of the server by its weight.
 func (s *Server) capacity() float64 {
--- a/version/pick/placed.go
+++ b/version/pick/placed.go
@@ -100,7 +100,7 @@
 func (p *Placed) Pick(info *Info) (*Server, error) {
 	for range maxTrials {
 		s, err := p.pick(info)
-		if err != nil || s.State.Health(info.Now) != server.OnTrial || s.State.Trial(info.Now) {
+		if err != nil || s.State.Health(info.Now) != server.TrialDue || s.State.ClaimTrial(info.Now) {
 			return s, err
 		}
 	}
@@ -231,9 +231,9 @@
 // A server to which no connection can be made is of no use in any case.
 func (p *Placed) ejected(t tier, s *Server, now time.Time) bool {
 	switch s.State.Health(now) {
-	case server.Healthy, server.OnTrial:
+	case server.Healthy, server.TrialDue:
 		return false
-	case server.Lost:
+	case server.Disconnected:
 		return true
 	}
 	bound := max(1, int(p.opts.EjectShare*float64(len(t))))
@@ -251,7 +251,7 @@
 // load returns requests for a slot, raised while the server is new.
 func (p *Placed) load(s *Server, now time.Time) float64 {
 	nano := now.UnixNano()
-	l := s.State.BusyAt(nano) / s.capacity()
+	l := s.State.EstimatedRequestsAt(nano) / s.capacity()
 	if s.outside && s.State.ReportAge(nano) > p.opts.ReportLife {
 		l += unknownLoad
 	}
--- a/version/pick/placed_test.go
+++ b/version/pick/placed_test.go
@@ -31,7 +31,7 @@
 
 func fill(s *Server, n int) {
 	for range n {
-		s.State.Begin()
+		s.State.BeginRequest()
 	}
 }
 
@@ -78,7 +78,7 @@
 	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
 	for i := range all {
 		for range 5 {
-			all[i].State.Record(start, server.Failed, time.Second)
+			all[i].State.RecordOutcome(start, server.Failed, time.Second)
 		}
 		g.Expect(all[i].State.Health(start)).To(Equal(server.Outlier))
 	}
@@ -101,7 +101,7 @@
 	all := servers(2, near)
 	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
 	fill(&all[1], 3)
-	all[0].State.Record(start, server.Unreachable, 0)
+	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	for range 20 {
 		s, err := p.Pick(info())
 		g.Expect(err).NotTo(HaveOccurred())
@@ -116,7 +116,7 @@
 		}
 	}
 	g.Expect(trials).To(Equal(1))
-	all[0].State.Record(later.Now, server.Succeeded, time.Millisecond)
+	all[0].State.RecordOutcome(later.Now, server.Succeeded, time.Millisecond)
 	g.Expect(all[0].State.Health(later.Now)).To(Equal(server.Healthy))
 }
 
@@ -164,11 +164,11 @@
 	}
 	for range 16 { // half of all slots
 		s, _ := p.Pick(in)
-		s.State.Begin()
+		s.State.BeginRequest()
 	}
-	g.Expect(first.State.Inflight()).To(BeNumerically("<=", 4))
+	g.Expect(first.State.InFlight()).To(BeNumerically("<=", 4))
 	for i := range all {
-		g.Expect(all[i].State.Inflight()).To(BeNumerically("<=", 4))
+		g.Expect(all[i].State.InFlight()).To(BeNumerically("<=", 4))
 	}
 }
 
@@ -192,7 +192,7 @@
 		for range each {
 			s, err := p.Pick(in)
 			g.Expect(err).NotTo(HaveOccurred())
-			s.State.Begin()
+			s.State.BeginRequest()
 			sent[s.Name]++
 		}
 	}
@@ -248,10 +248,10 @@
 	})
 	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4), "what the other can spare is unknown")
-	all[0].State.Record(start, server.Unreachable, 0)
+	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4))
 	only := NewPlaced(DefaultOptions("h", "a1", "a"), all[1:])
 	g.Expect(only.Load(start).Slots).To(BeNumerically("==", 4))
-	all[1].State.Record(start, server.Unreachable, 0)
+	all[1].State.RecordOutcome(start, server.Unreachable, 0)
 	g.Expect(only.Load(start).Slots).To(BeZero())
 }
