--- a/connection/backend/backend.go
+++ b/connection/backend/backend.go
@@ -30,19 +30,19 @@
 	// Key is passed on to services that check repeats themselves; may be empty.
 	Key string
 	// Resume is the offset from which a stream continues; 0: from the start.
-	Resume int64
+	ResumeOffset int64
 	// FirstByte bounds the wait for the first byte of the answer, and Idle the
 	// wait between later ones. 0: only ctx bounds them.
-	FirstByte time.Duration
-	Idle      time.Duration
+	FirstByteTimeout time.Duration
+	IdleTimeout      time.Duration
 	// Doubt, if set, is asked when a bound has passed without progress; true
 	// gives the call up, false doubles the bound. Unset: the call is given up.
 	// reused tells that the connection served an earlier call.
-	Doubt func(reused bool) bool
+	OnStall func(reused bool) bool
 }
 
 // Reply is a whole answer.
-type Reply struct {
+type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
@@ -59,41 +59,41 @@
 
 // Caller sends attempts. Implementations never repeat a call by themselves,
 // follow no redirect and use no proxy.
-type Caller interface {
+type Client interface {
 	// Do returns the whole answer or a *Error.
-	Do(ctx context.Context, c *Call) (*Reply, error)
+	Do(ctx context.Context, c *Call) (*Response, error)
 	// Stream passes chunks to sink in order of offset, without gaps or
 	// repeats, and returns nil only after the final chunk.
 	Stream(ctx context.Context, c *Call, sink func(Chunk) error) error
 	// Probe asks the server on a fresh connection whether it is alive.
 	Probe(ctx context.Context, s *server.State) error
 	// Forget drops every idle connection to the server.
-	Forget(s *server.State)
+	CloseIdleConnections(s *server.State)
 }
 
 // Sent tells how far a failed call got.
-type Sent int
+type Delivery int
 
 // Values of Sent.
 const (
-	NotSent  Sent = iota // no byte can have reached the server
-	MaySent              // the server may have received the call
-	Answered             // the server answered with a status
+	NotSent   Delivery = iota // no byte can have reached the server
+	MaybeSent                 // the server may have received the call
+	Responded                 // the server answered with a status
 )
 
 // Error is a failed call.
 type Error struct {
-	Sent    Sent
-	Status  int  // for Answered
-	Refused bool // the server said, by status, that it did not start the work
-	Silent  bool // no progress in time while the connection stayed open
-	Reset   bool // the connection ended: the server may have died
-	Cause   error
+	Delivery         Delivery
+	Status           int  // for Answered
+	NotStarted       bool // the server said, by status, that it did not start the work
+	Stalled          bool // no progress in time while the connection stayed open
+	ConnectionFailed bool // the connection ended: the server may have died
+	Cause            error
 }
 
 // Error implements error.
 func (e *Error) Error() string {
-	return fmt.Sprintf("backend call (sent=%d status=%d silent=%t reset=%t): %v", e.Sent, e.Status, e.Silent, e.Reset, e.Cause)
+	return fmt.Sprintf("backend call (sent=%d status=%d silent=%t reset=%t): %v", e.Delivery, e.Status, e.Stalled, e.ConnectionFailed, e.Cause)
 }
 
 // Unwrap returns the cause.
--- a/connection/backend/exchange.go
+++ b/connection/backend/exchange.go
@@ -31,21 +31,21 @@
 }
 
 // open sends the call and checks that the answer's head belongs to it.
-func (h *HTTP) open(ctx context.Context, c *Call) (*exchange, error) {
+func (h *HTTPClient) open(ctx context.Context, c *Call) (*exchange, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	x := &exchange{call: c, cancel: cancel}
 	req, err := h.newRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.connected}), c)
 	if err != nil {
 		cancel()
-		return nil, &Error{Sent: NotSent, Cause: err}
+		return nil, &Error{Delivery: NotSent, Cause: err}
 	}
-	x.watch(c.FirstByte)
+	x.watch(c.FirstByteTimeout)
 	x.resp, err = h.client(c.Server).Do(req)
 	if err != nil {
 		defer x.close()
 		return nil, x.failed(err)
 	}
-	x.watch(c.Idle)
+	x.watch(c.IdleTimeout)
 	err = x.check(c, &h.opts.Headers)
 	if !errors.Is(err, ErrMisdelivered) {
 		h.heard(c.Server, x.resp.Header)
@@ -59,9 +59,9 @@
 
 // heard takes what an answer says of its server. An answer is often the first
 // sign of a leave: it needs no report, list or peer to arrive.
-func (h *HTTP) heard(s *server.State, header http.Header) {
-	if h.opts.Leaving != nil && header.Get(h.opts.Headers.Leaving) == "true" && !s.Leaving() {
-		h.opts.Leaving(s)
+func (h *HTTPClient) heard(s *server.State, header http.Header) {
+	if h.opts.OnLeaving != nil && header.Get(h.opts.Headers.Leaving) == "true" && !s.Leaving() {
+		h.opts.OnLeaving(s)
 	}
 }
 
@@ -103,7 +103,7 @@
 	if ended {
 		return
 	}
-	if x.call.Doubt == nil || x.call.Doubt(x.reused.Load()) {
+	if x.call.OnStall == nil || x.call.OnStall(x.reused.Load()) {
 		x.giveUp(round)
 		return
 	}
@@ -140,20 +140,20 @@
 func (p progressReader) Read(b []byte) (int, error) {
 	n, err := p.x.resp.Body.Read(b)
 	if n > 0 {
-		p.x.watch(p.x.call.Idle)
+		p.x.watch(p.x.call.IdleTimeout)
 	}
 	return n, err
 }
 
 func (x *exchange) failed(err error) *Error {
-	e := &Error{Cause: err, Silent: x.silent.Load()}
-	if e.Silent {
+	e := &Error{Cause: err, Stalled: x.silent.Load()}
+	if e.Stalled {
 		e.Cause = fmt.Errorf("%w: %w", errSilent, err)
 	}
 	if x.sent.Load() {
-		e.Sent = MaySent
+		e.Delivery = MaybeSent
 	}
-	e.Reset = !e.Silent && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
+	e.ConnectionFailed = !e.Stalled && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 	return e
 }
 
@@ -164,7 +164,7 @@
 // connection may serve another exchange. More than an end is left unread, and
 // the connection is closed.
 func (x *exchange) finish() {
-	x.watch(x.call.Idle)
+	x.watch(x.call.IdleTimeout)
 	_, _ = io.CopyN(io.Discard, x.resp.Body, maxTrailer)
 }
 
--- a/connection/backend/headers_test.go
+++ b/connection/backend/headers_test.go
@@ -26,10 +26,10 @@
 	}))
 	defer srv.Close()
 	state := server.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
-	h := NewHTTP(HTTPOptions{Headers: names})
+	h := NewHTTPClient(HTTPOptions{Headers: names})
 	_, err := h.Do(context.Background(), &Call{
 		Server: state, Path: "/", RequestID: "r1", Stage: "a", Attempt: 2, Host: "e1", Account: "x", Key: "k",
-		Method: http.MethodGet, URI: "/v1?q=1", Resume: 7,
+		Method: http.MethodGet, URI: "/v1?q=1", ResumeOffset: 7,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	for name, want := range map[string]string{
@@ -49,7 +49,7 @@
 	repeating.Key = "Idempotency-Key"
 	for received, names := range map[int32]Headers{2: DefaultHeaders(), 3: repeating} {
 		s := newRaw(t, resetOnReuse)
-		h, state := NewHTTP(HTTPOptions{Headers: names}), s.state()
+		h, state := NewHTTPClient(HTTPOptions{Headers: names}), s.state()
 		for range 2 {
 			_, _ = h.Do(context.Background(), &Call{Server: state, Path: "/", RequestID: "r", Stage: "book", Key: "key"})
 		}
--- a/connection/backend/http.go
+++ b/connection/backend/http.go
@@ -23,41 +23,41 @@
 
 // HTTPOptions configure the HTTP caller.
 type HTTPOptions struct {
-	MaxAnswer   int64 // bytes; default 16 MiB
-	DialTimeout time.Duration
-	IdleConns   int     // kept for each backend server
-	Headers     Headers // default: DefaultHeaders
+	MaxResponseBytes int64 // bytes; default 16 MiB
+	DialTimeout      time.Duration
+	MaxIdleConns     int     // kept for each backend server
+	Headers          Headers // default: DefaultHeaders
 	// Leaving is called when an answer first says that its server leaves.
-	Leaving func(*server.State)
+	OnLeaving func(*server.State)
 }
 
 // HTTP is the Caller over net/http with one connection pool a backend server,
 // so that the pool of one server can be dropped without touching others.
-type HTTP struct {
+type HTTPClient struct {
 	opts    HTTPOptions
 	clients sync.Map // *server.State -> *http.Client
 }
 
 // NewHTTP returns an HTTP caller.
-func NewHTTP(opts HTTPOptions) *HTTP {
-	if opts.MaxAnswer <= 0 {
-		opts.MaxAnswer = 16 << 20
+func NewHTTPClient(opts HTTPOptions) *HTTPClient {
+	if opts.MaxResponseBytes <= 0 {
+		opts.MaxResponseBytes = 16 << 20
 	}
 	if opts.DialTimeout <= 0 {
 		opts.DialTimeout = 500 * time.Millisecond
 	}
-	if opts.IdleConns <= 0 {
-		opts.IdleConns = 64
+	if opts.MaxIdleConns <= 0 {
+		opts.MaxIdleConns = 64
 	}
 	if opts.Headers == (Headers{}) {
 		opts.Headers = DefaultHeaders()
 	}
 	// Names are put into canonical form once, not for each attempt.
 	opts.Headers.Each(func(_ string, name *string, _ string) { *name = textproto.CanonicalMIMEHeaderKey(*name) })
-	return &HTTP{opts: opts}
+	return &HTTPClient{opts: opts}
 }
 
-func (h *HTTP) client(s *server.State) *http.Client {
+func (h *HTTPClient) client(s *server.State) *http.Client {
 	if c, ok := h.clients.Load(s); ok {
 		return c.(*http.Client)
 	}
@@ -65,12 +65,12 @@
 	return c.(*http.Client)
 }
 
-func (h *HTTP) newClient() *http.Client {
+func (h *HTTPClient) newClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
 			Proxy:               nil, // never a proxy from the environment
 			DialContext:         (&net.Dialer{Timeout: h.opts.DialTimeout}).DialContext,
-			MaxIdleConnsPerHost: h.opts.IdleConns,
+			MaxIdleConnsPerHost: h.opts.MaxIdleConns,
 			IdleConnTimeout:     20 * time.Second,
 			DisableCompression:  true,
 		},
@@ -79,10 +79,10 @@
 }
 
 // Forget implements Caller.
-func (h *HTTP) Forget(s *server.State) { h.client(s).CloseIdleConnections() }
+func (h *HTTPClient) CloseIdleConnections(s *server.State) { h.client(s).CloseIdleConnections() }
 
 // Probe implements Caller.
-func (h *HTTP) Probe(ctx context.Context, s *server.State) error {
+func (h *HTTPClient) Probe(ctx context.Context, s *server.State) error {
 	c := h.newClient()
 	defer c.CloseIdleConnections()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Address+"/health", nil)
@@ -101,7 +101,7 @@
 }
 
 // Do implements Caller.
-func (h *HTTP) Do(ctx context.Context, c *Call) (*Reply, error) {
+func (h *HTTPClient) Do(ctx context.Context, c *Call) (*Response, error) {
 	x, err := h.open(ctx, c)
 	if err != nil {
 		return nil, err
@@ -110,32 +110,32 @@
 	if !x.delimited() {
 		return nil, x.failed(fmt.Errorf("%w: neither length nor chunks mark its end", ErrTruncated))
 	}
-	body, err := io.ReadAll(io.LimitReader(x.body(), h.opts.MaxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(x.body(), h.opts.MaxResponseBytes+1))
 	if err != nil {
 		return nil, x.failed(fmt.Errorf("%w: %w", ErrTruncated, err))
 	}
-	if int64(len(body)) > h.opts.MaxAnswer {
-		return nil, &Error{Sent: Answered, Status: x.resp.StatusCode, Cause: ErrTooLarge}
+	if int64(len(body)) > h.opts.MaxResponseBytes {
+		return nil, &Error{Delivery: Responded, Status: x.resp.StatusCode, Cause: ErrTooLarge}
 	}
-	return &Reply{Status: x.resp.StatusCode, ContentType: x.resp.Header.Get("Content-Type"), Body: body}, nil
+	return &Response{Status: x.resp.StatusCode, ContentType: x.resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
 // Stream implements Caller.
-func (h *HTTP) Stream(ctx context.Context, c *Call, sink func(Chunk) error) error {
+func (h *HTTPClient) Stream(ctx context.Context, c *Call, sink func(Chunk) error) error {
 	x, err := h.open(ctx, c)
 	if err != nil {
 		return err
 	}
 	defer x.close()
-	next := c.Resume
-	dec := json.NewDecoder(io.LimitReader(x.body(), h.opts.MaxAnswer))
+	next := c.ResumeOffset
+	dec := json.NewDecoder(io.LimitReader(x.body(), h.opts.MaxResponseBytes))
 	for {
 		var ch Chunk
 		if err := dec.Decode(&ch); err != nil {
 			return x.failed(fmt.Errorf("%w: %w", ErrTruncated, err))
 		}
 		if ch.Error != "" {
-			return &Error{Sent: Answered, Status: http.StatusInternalServerError, Cause: errors.New(ch.Error)}
+			return &Error{Delivery: Responded, Status: http.StatusInternalServerError, Cause: errors.New(ch.Error)}
 		}
 		if ch.Offset != next {
 			return x.failed(fmt.Errorf("%w: offset %d, want %d", ErrTruncated, ch.Offset, next))
@@ -154,7 +154,7 @@
 // hopHeaders is the room for the headers of one attempt.
 const hopHeaders = 16
 
-func (h *HTTP) newRequest(ctx context.Context, c *Call) (*http.Request, error) {
+func (h *HTTPClient) newRequest(ctx context.Context, c *Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Server.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, fmt.Errorf("build call: %w", err)
@@ -186,8 +186,8 @@
 		// treat the request as safe to repeat.
 		set(names.Key, c.Key)
 	}
-	if c.Resume > 0 {
-		set(names.Resume, strconv.FormatInt(c.Resume, 10))
+	if c.ResumeOffset > 0 {
+		set(names.Resume, strconv.FormatInt(c.ResumeOffset, 10))
 	}
 	otel.GetTextMapPropagator().Inject(ctx, propagation.HeaderCarrier(req.Header))
 	return req, nil
@@ -196,15 +196,15 @@
 func (x *exchange) check(c *Call, names *Headers) error {
 	h := x.resp.Header
 	if h.Get(names.RequestID) != c.RequestID || h.Get(names.Stage) != c.Stage || h.Get(names.Attempt) != strconv.Itoa(c.Attempt) {
-		return &Error{Sent: MaySent, Cause: fmt.Errorf("%w: got %q/%q/%q", ErrMisdelivered, h.Get(names.RequestID), h.Get(names.Stage), h.Get(names.Attempt))}
+		return &Error{Delivery: MaybeSent, Cause: fmt.Errorf("%w: got %q/%q/%q", ErrMisdelivered, h.Get(names.RequestID), h.Get(names.Stage), h.Get(names.Attempt))}
 	}
 	if x.resp.StatusCode == http.StatusOK {
 		return nil
 	}
 	text, _ := io.ReadAll(io.LimitReader(x.resp.Body, 512))
 	return &Error{
-		Sent: Answered, Status: x.resp.StatusCode,
-		Refused: h.Get(names.NotStarted) == "true",
-		Cause:   fmt.Errorf("status %d: %s", x.resp.StatusCode, text),
+		Delivery: Responded, Status: x.resp.StatusCode,
+		NotStarted: h.Get(names.NotStarted) == "true",
+		Cause:      fmt.Errorf("status %d: %s", x.resp.StatusCode, text),
 	}
 }
--- a/connection/backend/leaving_test.go
+++ b/connection/backend/leaving_test.go
@@ -38,7 +38,7 @@
 			}))
 			defer srv.Close()
 			told := 0
-			h := NewHTTP(HTTPOptions{Leaving: func(s *server.State) {
+			h := NewHTTPClient(HTTPOptions{OnLeaving: func(s *server.State) {
 				told++
 				s.SetLeaving(true)
 			}})
--- a/connection/backend/not_run_test.go
+++ b/connection/backend/not_run_test.go
@@ -116,11 +116,11 @@
 	g.Expect(naive.received.Load()).To(BeEquivalentTo(3), "the naive variant")
 
 	s := newRaw(t, resetOnReuse)
-	h, state := NewHTTP(HTTPOptions{}), s.state()
+	h, state := NewHTTPClient(HTTPOptions{}), s.state()
 	_, err := h.Do(t.Context(), call(state, "a"))
 	g.Expect(err).NotTo(HaveOccurred())
 	_, err = h.Do(t.Context(), call(state, "b"))
-	g.Expect(sent(g, err).Sent).To(Equal(MaySent))
+	g.Expect(sent(g, err).Delivery).To(Equal(MaybeSent))
 	g.Expect(s.received.Load()).To(BeEquivalentTo(2))
 }
 
@@ -139,9 +139,9 @@
 	_, err := http.Post("http://"+s.listener.Addr().String(), "", strings.NewReader("{}"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(target.received.Load()).To(BeEquivalentTo(1), "the naive variant")
-	h := NewHTTP(HTTPOptions{})
+	h := NewHTTPClient(HTTPOptions{})
 	_, err = h.Do(t.Context(), call(s.state(), "a"))
-	g.Expect(sent(g, err)).To(And(HaveField("Sent", Answered), HaveField("Status", 307)))
+	g.Expect(sent(g, err)).To(And(HaveField("Delivery", Responded), HaveField("Status", 307)))
 	g.Expect(target.received.Load()).To(BeEquivalentTo(1))
 	g.Expect(h.newClient().Transport.(*http.Transport).Proxy).To(BeNil())
 }
@@ -161,20 +161,20 @@
 		echo(c, r, 500, length(""), "")
 		return true
 	})
-	h := NewHTTP(HTTPOptions{})
+	h := NewHTTPClient(HTTPOptions{})
 	for _, c := range []struct {
 		server  *raw
-		sent    Sent
+		sent    Delivery
 		refused bool
 		reset   bool
 	}{
 		{closed, NotSent, false, true},
-		{dropping, MaySent, false, true},
-		{refusing, Answered, true, false},
-		{failing, Answered, false, false},
+		{dropping, MaybeSent, false, true},
+		{refusing, Responded, true, false},
+		{failing, Responded, false, false},
 	} {
 		_, err := h.Do(t.Context(), call(c.server.state(), "a"))
-		g.Expect(sent(g, err)).To(And(HaveField("Sent", c.sent), HaveField("Refused", c.refused), HaveField("Reset", c.reset)))
+		g.Expect(sent(g, err)).To(And(HaveField("Delivery", c.sent), HaveField("NotStarted", c.refused), HaveField("ConnectionFailed", c.reset)))
 	}
 }
 
@@ -193,11 +193,11 @@
 		echo(c, r, 200, length(body), body)
 		return true
 	})
-	h, state := NewHTTP(HTTPOptions{}), s.state()
+	h, state := NewHTTPClient(HTTPOptions{}), s.state()
 	first := call(state, "first")
-	first.FirstByte = 20 * time.Millisecond
+	first.FirstByteTimeout = 20 * time.Millisecond
 	_, err := h.Do(t.Context(), first)
-	g.Expect(sent(g, err)).To(And(HaveField("Silent", true), HaveField("Sent", MaySent)))
+	g.Expect(sent(g, err)).To(And(HaveField("Stalled", true), HaveField("Delivery", MaybeSent)))
 	close(late)
 	for i := range 20 {
 		id := fmt.Sprint("id", i)
@@ -225,7 +225,7 @@
 		}
 		return false
 	})
-	h, state := NewHTTP(HTTPOptions{}), s.state()
+	h, state := NewHTTPClient(HTTPOptions{}), s.state()
 	for _, want := range []error{ErrTruncated, ErrMisdelivered, ErrMisdelivered} {
 		_, err := h.Do(context.Background(), call(state, "a"))
 		g.Expect(err).To(MatchError(want))
@@ -247,7 +247,7 @@
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		h, state := NewHTTP(HTTPOptions{MaxAnswer: 4096}), s.state()
+		h, state := NewHTTPClient(HTTPOptions{MaxResponseBytes: 4096}), s.state()
 		if r, err := h.Do(ctx, call(state, "a")); err == nil && !strings.Contains(answer, string(r.Body)) && !strings.Contains(answer, "hunked") {
 			t.Fatalf("body %q is not in %q", r.Body, answer)
 		}
--- a/entryhost/path_test.go
+++ b/entryhost/path_test.go
@@ -153,8 +153,8 @@
 			Expect(string(body)).To(ContainSubstring("answer of model-1"))
 			Expect(resp.Header.Get("Content-Type")).To(Equal("text/plain; charset=utf-8"))
 
-			resp, body = send(h, "/v1/drafts", entry.StreamType, `{"x":1}`)
-			Expect(resp.Header.Get("Content-Type")).To(Equal(entry.StreamType))
+			resp, body = send(h, "/v1/drafts", entry.StreamMediaType, `{"x":1}`)
+			Expect(resp.Header.Get("Content-Type")).To(Equal(entry.StreamMediaType))
 			Expect(bytes.TrimSpace(body)).To(HaveSuffix(`"final":true}`))
 		}
 		Expect(w.services["rerankers"].Total()).To(BeEquivalentTo(4))
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -76,7 +76,7 @@
 // snapshot in force for new requests.
 func (h *Host) compile(rel release.Release) (func(), error) {
 	snap, err := snapshot.Build(rel, snapshot.Options{
-		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, Adjust: h.holdModels(),
+		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.holdModels(),
 	})
 	if err != nil {
 		return nil, err
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -39,9 +39,9 @@
 	})
 	h.afterDrain = append(h.afterDrain, h.flushClaims)
 	runner := &pipeline.Runner{
-		Backend: backend.NewHTTP(backend.HTTPOptions{Headers: h.opts.Requests.Headers, Leaving: h.serverLeaves}), Admission: h.policy.admit, Quarantine: p.guard,
+		Backend: backend.NewHTTPClient(backend.HTTPOptions{Headers: h.opts.Requests.Headers, OnLeaving: h.serverLeaves}), Admission: h.policy.admit, Quarantine: p.guard,
 		Clock: h.clock, Rand: h.rand, Tracer: h.tracer, Host: h.opts.Name, Incarnation: h.incarnation,
-		Options: h.opts.Requests.Run, Apart: p.guard,
+		Options: h.opts.Requests.Run, Isolator: p.guard,
 	}
 	requestVars.Set(h.opts.Name, expvar.Func(func() any {
 		return map[string]any{"attempts": runner.Counters.Map(), "claims": p.claims.Counters.Map(), "quarantine": p.guard.List()}
@@ -131,9 +131,9 @@
 	set.Int(&o.Quarantine.MaxCrashes, "quarantine-deaths", "backend servers lost to a request before it is refused", 1, 100)
 	set.Duration(&o.Quarantine.QuarantineDuration, "quarantine-term", "time for which such a request is refused", time.Second, 24*time.Hour)
 	set.Int(&o.Run.MaxAttempts, "attempts", "attempts of one stage", 1, 10)
-	set.Float(&o.Run.RetryShare, "retry-share", "retries for each request of a pool", 0, 1)
+	set.Float(&o.Run.RetryRatio, "retry-share", "retries for each request of a pool", 0, 1)
 	o.Headers.Each(func(setting string, name *string, meaning string) {
 		set.String(name, "server-header-"+setting, "backend servers' header: "+meaning, backend.CheckHeader)
 	})
-	set.Duration(&o.Run.MinSilence, "min-silence", "least wait for progress before a connection is doubted", time.Millisecond, time.Minute)
+	set.Duration(&o.Run.MinStallTimeout, "min-silence", "least wait for progress before a connection is doubted", time.Millisecond, time.Minute)
 }
--- a/entryhost/slow_caller_test.go
+++ b/entryhost/slow_caller_test.go
@@ -49,7 +49,7 @@
 		conn, err := net.Dial("tcp", callers)
 		Expect(err).NotTo(HaveOccurred())
 		DeferCleanup(conn.Close)
-		_, err = fmt.Fprintf(conn, "POST /v1/drafts HTTP/1.1\r\nHost: e1\r\nAccept: %s\r\nContent-Length: 2\r\n\r\n{}", entry.StreamType)
+		_, err = fmt.Fprintf(conn, "POST /v1/drafts HTTP/1.1\r\nHost: e1\r\nAccept: %s\r\nContent-Length: 2\r\n\r\n{}", entry.StreamMediaType)
 		Expect(err).NotTo(HaveOccurred())
 		Eventually(h.gate.Active, 5*time.Second).Should(BeEquivalentTo(1))
 		Eventually(h.gate.Active, 10*time.Second).Should(BeZero())
--- a/internal/faultrun/bench_test.go
+++ b/internal/faultrun/bench_test.go
@@ -57,7 +57,7 @@
 				w.limit = deadline
 				w.rebuild(false)
 				if !doubt {
-					w.host(0).runner.Options.MinSilence = time.Hour
+					w.host(0).runner.Options.MinStallTimeout = time.Hour
 				}
 				draft := func(i int) Answer {
 					return w.send(0, &Operation{Token: fmt.Sprint("d", i), Name: "draft", Repeatable: true}, "")
--- a/internal/faultrun/caller_test.go
+++ b/internal/faultrun/caller_test.go
@@ -25,7 +25,7 @@
 		req.Header.Set("Idempotency-Key", key)
 	}
 	if stream {
-		req.Header.Set("Accept", entry.StreamType)
+		req.Header.Set("Accept", entry.StreamMediaType)
 	}
 	resp, err := callers.Do(req)
 	if err != nil {
--- a/internal/faultrun/crashing_request_test.go
+++ b/internal/faultrun/crashing_request_test.go
@@ -55,5 +55,5 @@
 	o := w.host(0).runner.Options
 	retries := w.host(0).runner.Counters.Retries.Load()
 	t.Logf("%d requests, %d retries", n, retries)
-	g.Expect(retries).To(BeNumerically("<=", n*o.RetryShare+o.RetryBurst))
+	g.Expect(retries).To(BeNumerically("<=", n*o.RetryRatio+o.RetryBurst))
 }
--- a/internal/faultrun/faults_test.go
+++ b/internal/faultrun/faults_test.go
@@ -89,7 +89,7 @@
 	wg.Wait()
 	c.heal()
 	// Attempts whose callers were answered still run for a while.
-	<-time.After(runOptions().Settle)
+	<-time.After(runOptions().LateResultTimeout)
 	return w.ledger.Judge(seed, c.counts)
 }
 
--- a/internal/faultrun/own_answer_test.go
+++ b/internal/faultrun/own_answer_test.go
@@ -73,7 +73,7 @@
 	var a Answer
 	g.Eventually(done, patience).Should(Receive(&a))
 	g.Expect(a.Right).To(BeTrue())
-	g.Expect(w.host(0).runner.Counters.LateUsed.Load()).To(BeEquivalentTo(1))
+	g.Expect(w.host(0).runner.Counters.LateResponsesUsed.Load()).To(BeEquivalentTo(1))
 	release(-1)
 	for i := range 20 {
 		g.Expect(w.send(0, &Operation{Token: fmt.Sprint("next", i), Name: "draft", Repeatable: true}, "").Right).To(BeTrue())
@@ -87,7 +87,7 @@
 	g := NewWithT(t)
 	w := newWorld(t, 1, 1)
 	o := &w.host(0).runner.Options
-	o.MinSilence, o.ProbeTime = 200*time.Millisecond, patience
+	o.MinStallTimeout, o.ProbeTimeout = 200*time.Millisecond, patience
 	draft := func(i int) Answer {
 		return w.send(0, &Operation{Token: fmt.Sprint("d", i), Name: "draft", Repeatable: true}, "")
 	}
@@ -102,7 +102,7 @@
 		g.Expect(draft(100 + i).Whole).To(BeTrue())
 	}
 	t.Logf("30 requests after the connections were forgotten: %s", time.Since(start))
-	g.Expect(w.host(0).runner.Counters.Doubted.Load()).To(BeNumerically(">=", 1))
+	g.Expect(w.host(0).runner.Counters.Stalls.Load()).To(BeNumerically(">=", 1))
 	g.Expect(w.servers[0].relay.Lost()).To(BeNumerically("<=", 2), "attempts sent into silence")
 	w.host(0).registry.Each(func(s *server.State) { g.Expect(s.Health(time.Now())).To(Equal(server.Healthy)) })
 }
--- a/internal/faultrun/process_test.go
+++ b/internal/faultrun/process_test.go
@@ -143,7 +143,7 @@
 	p.g.Expect(err).NotTo(HaveOccurred())
 	booked.Body.Close()
 	p.g.Expect(booked.StatusCode).To(Equal(http.StatusOK))
-	stream, err := d.post("/chat", "", entry.StreamType, "{}")
+	stream, err := d.post("/chat", "", entry.StreamMediaType, "{}")
 	p.g.Expect(err).NotTo(HaveOccurred())
 	defer stream.Body.Close()
 	in := bufio.NewReader(stream.Body)
--- a/internal/faultrun/whole_answer_test.go
+++ b/internal/faultrun/whole_answer_test.go
@@ -19,7 +19,7 @@
 	}
 	a := w.send(0, chat("a"), "")
 	g.Expect(a).To(HaveField("Right", true))
-	g.Expect(w.host(0).runner.Counters.Resumed.Load()).To(BeEquivalentTo(1))
+	g.Expect(w.host(0).runner.Counters.Resumptions.Load()).To(BeEquivalentTo(1))
 }
 
 // The server is gone for good after half of the stream. Another server would
--- a/internal/faultrun/world_test.go
+++ b/internal/faultrun/world_test.go
@@ -129,7 +129,7 @@
 // runOptions are the defaults at the scale of the world's short deadlines.
 func runOptions() pipeline.Options {
 	o := pipeline.DefaultOptions()
-	o.MinSilence, o.ProbeTime, o.Settle = 40*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
+	o.MinStallTimeout, o.ProbeTimeout, o.LateResultTimeout = 40*time.Millisecond, 100*time.Millisecond, 300*time.Millisecond
 	return o
 }
 
@@ -148,13 +148,13 @@
 	h.claims = claim.New(claim.Config{Host: name, Incarnation: w.next, Store: h.store, Clock: clock.System{}, Link: link, Options: opts})
 	h.guard = shared
 	h.runner = &pipeline.Runner{
-		Backend: backend.NewHTTP(backend.HTTPOptions{DialTimeout: 100 * time.Millisecond}), Admission: admission.AlwaysAdmit{},
-		Quarantine: shared, Apart: shared, Clock: clock.System{}, Rand: clock.SystemRand{},
+		Backend: backend.NewHTTPClient(backend.HTTPOptions{DialTimeout: 100 * time.Millisecond}), Admission: admission.AlwaysAdmit{},
+		Quarantine: shared, Isolator: shared, Clock: clock.System{}, Rand: clock.SystemRand{},
 		Tracer: noop.NewTracerProvider().Tracer(""), Host: name, Incarnation: w.next, Options: runOptions(),
 	}
 	if w.naive {
 		h.claims, h.guard = claim.NewMemory(), quarantine.AllowAll{}
-		h.runner.Quarantine, h.runner.Apart = h.guard, nil
+		h.runner.Quarantine, h.runner.Isolator = h.guard, nil
 	}
 	h.http = httptest.NewUnstartedServer(w.handler(h))
 	h.http.Config.BaseContext = func(net.Listener) context.Context { return dead }
@@ -248,7 +248,7 @@
 		}
 		return Answer{Ran: Ran(p.Ran), Kind: string(p.Kind)}
 	}
-	if resp.Header.Get("Content-Type") == entry.StreamType {
+	if resp.Header.Get("Content-Type") == entry.StreamMediaType {
 		return readStream(sent, data)
 	}
 	return judge(sent, string(data))
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -177,7 +177,7 @@
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(entry.DefaultHeaders().Account, m.Account)
 	if m.Stream {
-		req.Header.Set("Accept", entry.StreamType)
+		req.Header.Set("Accept", entry.StreamMediaType)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -203,7 +203,7 @@
 		}
 		return string(p.Kind)
 	}
-	if resp.Header.Get("Content-Type") != entry.StreamType {
+	if resp.Header.Get("Content-Type") != entry.StreamMediaType {
 		return ""
 	}
 	lines := bytes.Split(bytes.TrimSpace(body), []byte("\n"))
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -25,8 +25,8 @@
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
 		defer mu.Unlock()
-		if r.Header.Get("Accept") == entry.StreamType {
-			w.Header().Set("Content-Type", entry.StreamType)
+		if r.Header.Get("Accept") == entry.StreamMediaType {
+			w.Header().Set("Content-Type", entry.StreamMediaType)
 			_, _ = w.Write([]byte("{\"offset\":0,\"data\":\"x\"}\n{\"offset\":1,\"final\":true}\n"))
 		}
 	}))
@@ -48,7 +48,7 @@
 	g := NewWithT(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/s" {
-			w.Header().Set("Content-Type", entry.StreamType)
+			w.Header().Set("Content-Type", entry.StreamMediaType)
 			_, _ = w.Write([]byte("{\"offset\":0,\"data\":\"x\"}\n"))
 			return
 		}
--- a/request/entry/answer.go
+++ b/request/entry/answer.go
@@ -14,15 +14,15 @@
 
 // Counters count answers for expvar.
 type Counters struct {
-	Completed atomic.Int64
-	Refused   atomic.Int64 // answered "ran: no"
-	Failed    atomic.Int64 // any other error
-	Unlogged  atomic.Int64 // error answers over Handler.LogLimit
+	Completed        atomic.Int64
+	Refused          atomic.Int64 // answered "ran: no"
+	Failed           atomic.Int64 // any other error
+	UnloggedRefusals atomic.Int64 // error answers over Handler.LogLimit
 }
 
 // StreamType is the media type of a streamed answer: one JSON chunk a line,
 // with the offset of its data, and a last one marked final.
-const StreamType = "application/x-ndjson"
+const StreamMediaType = "application/x-ndjson"
 
 const problemType = "application/problem+json"
 
@@ -40,7 +40,7 @@
 
 func (c *call) wantsStream() bool {
 	last := c.route.Stages[len(c.route.Stages)-1]
-	return last.Stream && strings.Contains(c.r.Header.Get("Accept"), StreamType)
+	return last.Stream && strings.Contains(c.r.Header.Get("Accept"), StreamMediaType)
 }
 
 // refuse gives the request's final answer at once.
@@ -89,7 +89,7 @@
 
 func (s *streamWriter) write(ch backend.Chunk) error {
 	if !s.started {
-		s.w.Header().Set("Content-Type", StreamType)
+		s.w.Header().Set("Content-Type", StreamMediaType)
 		s.started = true
 	}
 	if err := json.NewEncoder(s.w).Encode(ch); err != nil {
--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -94,7 +94,7 @@
 	switch {
 	case err == nil:
 		c.Claims.Finish(ctx, c.claimKey, whole(res.ContentType, res.Body))
-	case !res.Started:
+	case !res.NonRepeatableMayHaveRun:
 		c.release(ctx, err.Dispatched)
 	case err.Kind == kind.BackendRefused:
 		// The service has answered: a resend gets the same answer.
@@ -122,7 +122,7 @@
 // settleLate records the outcome of a stage that must not be repeated when it
 // comes after the caller got its answer, so that a resend learns it. The gate
 // counts it as work in flight.
-func (c *call) settleLate(pending <-chan pipeline.Late) {
+func (c *call) settleLate(pending <-chan pipeline.LateResult) {
 	c.Gate.EnterNested()
 	claimed := c.claimed
 	c.claimed = false
@@ -134,7 +134,7 @@
 		case !claimed:
 		case late.NotStarted:
 			c.release(ctx, true)
-		case late.Whole:
+		case late.Complete:
 			c.Claims.Finish(ctx, c.claimKey, whole(late.ContentType, late.Body))
 		default:
 			c.Claims.MarkUnknown(ctx, c.claimKey)
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -251,15 +251,15 @@
 	req := &pipeline.Request{
 		ID: c.hopID, Account: c.account, Key: c.key, Snapshot: c.snap,
 		Method: c.r.Method, URI: c.r.URL.RequestURI(), ContentType: c.r.Header.Get("Content-Type"), Body: c.body,
-		Route: c.route, Admitted: &c.admitted, Fingerprint: fp, Keep: c.claimed,
+		Route: c.route, Admitted: &c.admitted, Fingerprint: fp, CollectBody: c.claimed,
 	}
 	if c.wantsStream() {
 		c.stream = &streamWriter{w: c.w}
 		req.Sink = c.stream.write
 	}
 	res, err := c.Runner.Run(c.r.Context(), req)
-	if res != nil && res.Pending != nil {
-		c.settleLate(res.Pending)
+	if res != nil && res.Late != nil {
+		c.settleLate(res.Late)
 		return err
 	}
 	c.settle(res, err)
--- a/request/entry/headers_test.go
+++ b/request/entry/headers_test.go
@@ -39,13 +39,13 @@
 	keys  sync.Map // operation keys seen
 }
 
-func (c *counting) Do(_ context.Context, call *backend.Call) (*backend.Reply, error) {
+func (c *counting) Do(_ context.Context, call *backend.Call) (*backend.Response, error) {
 	c.calls.Add(1)
 	c.keys.Store(call.Key, true)
 	if c.fail != nil {
 		return nil, c.fail
 	}
-	return &backend.Reply{Status: http.StatusOK, Body: []byte(`"done"`)}, nil
+	return &backend.Response{Status: http.StatusOK, Body: []byte(`"done"`)}, nil
 }
 
 func (c *counting) Stream(_ context.Context, _ *backend.Call, sink func(backend.Chunk) error) error {
@@ -57,11 +57,11 @@
 }
 
 func (c *counting) Probe(context.Context, *server.State) error { return nil }
-func (c *counting) Forget(*server.State)                       {}
+func (c *counting) CloseIdleConnections(*server.State)         {}
 
 // handler serves a booking that must not be repeated, followed by a streamed
 // note of it.
-func handler(b backend.Caller) *Handler {
+func handler(b backend.Client) *Handler {
 	state := server.NewRegistry().Get("s", "127.0.0.1:1", time.Unix(0, 0))
 	p := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandom([]pick.Server{{State: state}})}
 	book := table.Stage{Name: "book", Pool: "p", Budget: table.Duration(time.Second)}
@@ -101,7 +101,7 @@
 	g := NewWithT(t)
 	b := &counting{}
 	h := handler(b)
-	stream := map[string]string{"Idempotency-Key": "k", "Accept": StreamType}
+	stream := map[string]string{"Idempotency-Key": "k", "Accept": StreamMediaType}
 	first := send(h, stream, "{}").Body.String()
 	g.Expect(first).To(ContainSubstring(`"final":true`))
 	g.Expect(send(h, map[string]string{"Idempotency-Key": "k"}, "{}").Body.String()).To(Equal(`"done"`))
@@ -114,7 +114,7 @@
 // a resend gets it again, and not an unknown outcome.
 func TestResendOfARefusedBookingGetsTheServicesAnswer(t *testing.T) {
 	g := NewWithT(t)
-	b := &counting{fail: &backend.Error{Sent: backend.Answered, Status: http.StatusConflict, Cause: errors.New("no bars left")}}
+	b := &counting{fail: &backend.Error{Delivery: backend.Responded, Status: http.StatusConflict, Cause: errors.New("no bars left")}}
 	h := handler(b)
 	first := send(h, map[string]string{"Idempotency-Key": "k"}, "{}")
 	again := send(h, map[string]string{"Idempotency-Key": "k"}, "{}")
@@ -174,9 +174,9 @@
 // FuzzHeaders sends arbitrary headers. Each request gets one answer, a whole
 // one or a problem of the closed list, and a malformed one executes nothing.
 func FuzzHeaders(f *testing.F) {
-	f.Add("depot", "k1", "2s", "id", StreamType, "{}")
+	f.Add("depot", "k1", "2s", "id", StreamMediaType, "{}")
 	f.Add(strings.Repeat("a", 200), "", "-1s", "", "", "")
-	f.Add("", strings.Repeat("k", 300), "1e9h", "\x00", "application/json, "+StreamType, "\xff")
+	f.Add("", strings.Repeat("k", 300), "1e9h", "\x00", "application/json, "+StreamMediaType, "\xff")
 	f.Add("", "bt1.AAAA", "0", strings.Repeat("i", 9000), "*/*", "{")
 	f.Fuzz(func(t *testing.T, account, key, timeout, id, accept, body string) {
 		b := &counting{}
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -40,7 +40,7 @@
 		e.RetryAfter = wait
 		return nil, e
 	}
-	alone := verdict == quarantine.Isolated && x.Apart != nil
+	alone := verdict == quarantine.Isolated && x.Isolator != nil
 	info := pick.Info{
 		Now: x.Clock.Now(), Rand: x.Rand, Bytes: len(in), Exclude: x.tried,
 		Class: x.req.Route.Class, Affinity: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
@@ -66,11 +66,11 @@
 		return srv, nil
 	}
 	for {
-		free := x.Apart.Released()
+		free := x.Isolator.Released()
 		try := *info
 		try.Exclude = append(x.busy(st), info.Exclude...)
 		srv, err := st.Pool.Picker.Pick(&try)
-		if err == nil && x.Apart.Acquire(srv.Name, x.req.Fingerprint) {
+		if err == nil && x.Isolator.Acquire(srv.Name, x.req.Fingerprint) {
 			return srv, nil
 		}
 		if err != nil && len(try.Exclude) == len(info.Exclude) {
@@ -88,7 +88,7 @@
 func (x *run) busy(st *snapshot.Stage) []*server.State {
 	var out []*server.State
 	for _, s := range st.Pool.Picker.Servers() {
-		if x.Apart.HasSuspect(s.Name) {
+		if x.Isolator.HasSuspect(s.Name) {
 			out = append(out, s.State)
 		}
 	}
@@ -118,16 +118,16 @@
 // no proof that the server died: only a fresh connection that fails as well is.
 func (x *run) ended(a *attempt, err error) {
 	var be *backend.Error
-	died := errors.As(err, &be) && be.Reset && be.Sent == backend.MaySent && !x.alive(a)
+	died := errors.As(err, &be) && be.ConnectionFailed && be.Delivery == backend.MaybeSent && !x.alive(a)
 	x.Quarantine.EndAttempt(x.req.Fingerprint, a.server.Name, died)
-	if x.Apart == nil {
+	if x.Isolator == nil {
 		return
 	}
 	if a.alone {
-		x.Apart.Release(a.server.Name)
+		x.Isolator.Release(a.server.Name)
 	}
 	if err == nil {
-		x.Apart.MarkAlive(a.server.Name)
+		x.Isolator.MarkAlive(a.server.Name)
 	}
 }
 
@@ -141,7 +141,7 @@
 
 // alive asks the server on a fresh connection, whatever became of the request.
 func (x *run) alive(a *attempt) bool {
-	ctx, cancel := context.WithTimeout(context.Background(), x.Options.ProbeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), x.Options.ProbeTimeout)
 	defer cancel()
 	if err := x.Backend.Probe(ctx, a.server.State); err != nil {
 		x.Counters.ProbesFailed.Add(1)
@@ -155,7 +155,7 @@
 	}
 	// The server lives: connections that lost their way to it would each cost
 	// a later request its wait, but they are no mark against the server.
-	x.Backend.Forget(a.server.State)
+	x.Backend.CloseIdleConnections(a.server.State)
 	return true
 }
 
@@ -185,7 +185,7 @@
 // sent notes what the attempt's end proves about execution.
 func (x *run) sent(err error) {
 	var be *backend.Error
-	if !errors.As(err, &be) || be.Sent != backend.NotSent {
+	if !errors.As(err, &be) || be.Delivery != backend.NotSent {
 		x.dispatched = true
 	}
 }
@@ -201,14 +201,14 @@
 	if x.number >= maxAttemptNumber || len(x.tried) >= x.Options.MaxAttempts {
 		return false
 	}
-	harmless := be.Sent == backend.NotSent || be.Refused
+	harmless := be.Delivery == backend.NotSent || be.NotStarted
 	if !harmless && !st.Repeatable {
 		return false
 	}
-	if be.Sent == backend.Answered && !be.Refused && be.Status < 500 {
+	if be.Delivery == backend.Responded && !be.NotStarted && be.Status < 500 {
 		return false
 	}
-	if be.Sent == backend.NotSent {
+	if be.Delivery == backend.NotSent {
 		return true // it cost no server anything
 	}
 	return x.mayRetry(st)
@@ -237,9 +237,9 @@
 	switch {
 	case !errors.As(err, &be):
 		return kind.New(kind.Cancelled, "stage %s: %w", st.Name, err)
-	case be.Sent == backend.NotSent || be.Refused:
+	case be.Delivery == backend.NotSent || be.NotStarted:
 		return kind.New(kind.NoBackend, "stage %s: %w", st.Name, err)
-	case be.Sent == backend.Answered && be.Status < 500:
+	case be.Delivery == backend.Responded && be.Status < 500:
 		return kind.New(kind.BackendRefused, "stage %s: %w", st.Name, err)
 	case !st.Repeatable:
 		return kind.New(kind.OutcomeUnknown, "stage %s: %w", st.Name, err)
--- a/request/pipeline/evidence.go
+++ b/request/pipeline/evidence.go
@@ -31,11 +31,11 @@
 		return server.Succeeded, true
 	case !errors.As(err, &be):
 		return 0, false
-	case be.Refused:
+	case be.NotStarted:
 		return server.Overloaded, true
-	case be.Sent == backend.NotSent:
+	case be.Delivery == backend.NotSent:
 		return server.Unreachable, true
-	case be.Sent == backend.Answered && be.Status >= http.StatusInternalServerError:
+	case be.Delivery == backend.Responded && be.Status >= http.StatusInternalServerError:
 		return server.Failed, true
 	default:
 		return 0, false
--- a/request/pipeline/evidence_test.go
+++ b/request/pipeline/evidence_test.go
@@ -19,12 +19,12 @@
 		says bool
 	}{
 		"whole answer":   {nil, server.Succeeded, true},
-		"no connection":  {&backend.Error{Sent: backend.NotSent}, server.Unreachable, true},
-		"queue full":     {&backend.Error{Sent: backend.Answered, Status: 503, Refused: true}, server.Overloaded, true},
-		"reset":          {&backend.Error{Sent: backend.MaySent, Reset: true}, 0, false}, // the probe says
-		"server error":   {&backend.Error{Sent: backend.Answered, Status: 500}, server.Failed, true},
-		"faulty request": {&backend.Error{Sent: backend.Answered, Status: 400}, 0, false},
-		"silence":        {&backend.Error{Sent: backend.MaySent, Silent: true}, 0, false},
+		"no connection":  {&backend.Error{Delivery: backend.NotSent}, server.Unreachable, true},
+		"queue full":     {&backend.Error{Delivery: backend.Responded, Status: 503, NotStarted: true}, server.Overloaded, true},
+		"reset":          {&backend.Error{Delivery: backend.MaybeSent, ConnectionFailed: true}, 0, false}, // the probe says
+		"server error":   {&backend.Error{Delivery: backend.Responded, Status: 500}, server.Failed, true},
+		"faulty request": {&backend.Error{Delivery: backend.Responded, Status: 400}, 0, false},
+		"silence":        {&backend.Error{Delivery: backend.MaybeSent, Stalled: true}, 0, false},
 		"other":          {errors.New("x"), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -24,9 +24,9 @@
 func (x *run) launch(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte, doubt func(reused bool) bool, results chan<- outcome) {
 	c := x.call(st, a, in)
 	p := x.pool(st)
-	c.FirstByte = p.firstByte.bound(x.Options.MinSilence, st.Budget.Std())
-	c.Idle = p.gap.bound(x.Options.MinSilence, x.Options.MaxIdle)
-	c.Doubt = doubt
+	c.FirstByteTimeout = p.firstByte.bound(x.Options.MinStallTimeout, st.Budget.Std())
+	c.IdleTimeout = p.gap.bound(x.Options.MinStallTimeout, x.Options.InitialIdleTimeout)
+	c.OnStall = doubt
 	start := x.Clock.Now()
 	go func() {
 		o := outcome{attempt: a}
@@ -80,13 +80,13 @@
 
 func mayHaveStarted(err error) bool {
 	var be *backend.Error
-	return !errors.As(err, &be) || (be.Sent != backend.NotSent && !be.Refused)
+	return !errors.As(err, &be) || (be.Delivery != backend.NotSent && !be.NotStarted)
 }
 
 // await waits for one attempt until it ends, its connection is judged lost, or
 // the caller's time is over.
 func (x *run) await(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte) (outcome, *kind.Error) {
-	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.left()+x.Options.Settle)
+	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.left()+x.Options.LateResultTimeout)
 	results := make(chan outcome, 1)
 	doubts := make(chan bool, 1)
 	x.launch(settle, st, a, in, notify(doubts), results)
@@ -97,7 +97,7 @@
 			cancel()
 			return o, nil
 		case reused := <-doubts:
-			x.Counters.Doubted.Add(1)
+			x.Counters.Stalls.Add(1)
 			// Slow and lost look alike. A server that does not answer a new
 			// connection either, or an old connection that stays silent while
 			// the server answers new ones, is not waited for any longer.
@@ -129,14 +129,14 @@
 // leave lets an attempt go on without the caller.
 func (x *run) leave(st *snapshot.Stage, results <-chan outcome, cancel context.CancelFunc) {
 	x.started, x.dispatched = true, true
-	late := make(chan Late, 1)
+	late := make(chan LateResult, 1)
 	x.pending = late
 	whole := x.last(st)
 	go func() {
 		defer cancel()
 		o := <-results
-		late <- Late{
-			Whole: o.err == nil && whole, ContentType: o.contentType, Body: o.body,
+		late <- LateResult{
+			Complete: o.err == nil && whole, ContentType: o.contentType, Body: o.body,
 			NotStarted: o.err != nil && !mayHaveStarted(o.err),
 		}
 	}()
--- a/request/pipeline/paused_test.go
+++ b/request/pipeline/paused_test.go
@@ -25,16 +25,16 @@
 	calls []string
 }
 
-func (p *pausing) Do(_ context.Context, c *backend.Call) (*backend.Reply, error) {
+func (p *pausing) Do(_ context.Context, c *backend.Call) (*backend.Response, error) {
 	p.calls = append(p.calls, c.Stage)
 	p.clock.Advance(time.Hour)
-	return &backend.Reply{Status: 200}, nil
+	return &backend.Response{Status: 200}, nil
 }
 
 func (p *pausing) Stream(context.Context, *backend.Call, func(backend.Chunk) error) error { return nil }
 
 func (p *pausing) Probe(context.Context, *server.State) error { return nil }
-func (p *pausing) Forget(*server.State)                       {}
+func (p *pausing) CloseIdleConnections(*server.State)         {}
 
 // The process is paused for an hour between two stages. It wakes before its
 // timers fire, so the request's context still looks alive; its caller gave up
@@ -58,6 +58,6 @@
 	})
 	g.Expect(err.Kind).To(Equal(kind.DeadlineExceeded))
 	g.Expect(err.Ran()).To(Equal(kind.RanUnknown))
-	g.Expect(res.Started).To(BeFalse())
+	g.Expect(res.NonRepeatableMayHaveRun).To(BeFalse())
 	g.Expect(b.calls).To(Equal([]string{"check"}))
 }
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -23,10 +23,10 @@
 // Runner runs requests. It is made once for the process and is safe for
 // concurrent use.
 type Runner struct {
-	Backend     backend.Caller
+	Backend     backend.Client
 	Admission   admission.Admitter
 	Quarantine  quarantine.Guard
-	Apart       quarantine.Isolator // nil: suspects run like any request
+	Isolator    quarantine.Isolator // nil: suspects run like any request
 	Clock       clock.Clock
 	Rand        clock.Rand
 	Tracer      trace.Tracer
@@ -56,7 +56,7 @@
 	// only collected.
 	Sink func(backend.Chunk) error
 	// Keep collects the whole answer beside the Sink, for resends.
-	Keep bool
+	CollectBody bool
 }
 
 // Result is a whole answer, or with an error what is known of the run.
@@ -64,15 +64,15 @@
 	ContentType string
 	Body        []byte // empty when it went to the Sink and Keep was not set
 	// Started is true if a stage that must not be repeated may have run.
-	Started bool
+	NonRepeatableMayHaveRun bool
 	// Pending, with an error, brings the outcome of such a stage that still
 	// runs after the caller was answered.
-	Pending <-chan Late
+	Late <-chan LateResult
 }
 
 // Late is the outcome of a stage that the caller no longer waits for.
-type Late struct {
-	Whole       bool // Body is the request's whole answer
+type LateResult struct {
+	Complete    bool // Body is the request's whole answer
 	ContentType string
 	Body        []byte
 	NotStarted  bool // it cannot have run
@@ -85,7 +85,7 @@
 	number     int  // of attempts made
 	dispatched bool // a byte may have reached a backend server
 	started    bool // of a stage that must not be repeated
-	pending    <-chan Late
+	pending    <-chan LateResult
 	tried      []*server.State // of the present stage
 	// contentType is that of the present stage's input.
 	contentType string
@@ -117,14 +117,14 @@
 		out, err := x.stage(ctx, &req.Route.Stages[i], body)
 		if err != nil {
 			err.Dispatched = err.Dispatched || x.dispatched
-			return &Result{Started: x.started, Pending: x.pending}, err
+			return &Result{NonRepeatableMayHaveRun: x.started, Late: x.pending}, err
 		}
 		body = out
 	}
-	if r.Apart != nil {
-		r.Apart.ClearSuspicion(req.Fingerprint)
+	if r.Isolator != nil {
+		r.Isolator.ClearSuspicion(req.Fingerprint)
 	}
-	return &Result{ContentType: x.contentType, Body: body, Started: x.started}, nil
+	return &Result{ContentType: x.contentType, Body: body, NonRepeatableMayHaveRun: x.started}, nil
 }
 
 // stage runs one stage, with retries where they are allowed.
--- a/request/pipeline/pools.go
+++ b/request/pipeline/pools.go
@@ -22,7 +22,7 @@
 	if p, ok := r.pools.byName.Load(st.Pool.Name); ok {
 		return p.(*poolState)
 	}
-	fresh := &poolState{budget: limit.NewRetryBudget(limit.RetryBudgetOptions{Ratio: r.Options.RetryShare, Burst: r.Options.RetryBurst})}
+	fresh := &poolState{budget: limit.NewRetryBudget(limit.RetryBudgetOptions{Ratio: r.Options.RetryRatio, Burst: r.Options.RetryBurst})}
 	p, _ := r.pools.byName.LoadOrStore(st.Pool.Name, fresh)
 	return p.(*poolState)
 }
--- a/request/pipeline/repeat.go
+++ b/request/pipeline/repeat.go
@@ -47,7 +47,7 @@
 			x.sent(o.err)
 			if o.err == nil {
 				if r.inflight > 0 && o.attempt.number < x.number {
-					x.Counters.LateUsed.Add(1)
+					x.Counters.LateResponsesUsed.Add(1)
 				}
 				return x.took(o.output), nil
 			}
@@ -55,7 +55,7 @@
 				return nil, err
 			}
 		case a := <-r.doubts:
-			x.Counters.Doubted.Add(1)
+			x.Counters.Stalls.Add(1)
 			go func() { r.probes <- probed{a, x.answers(a)} }()
 		case p := <-r.probes:
 			r.judged(p)
--- a/request/pipeline/stream.go
+++ b/request/pipeline/stream.go
@@ -62,12 +62,12 @@
 // attempt sends the stage, from the start of the last chunk if there is one.
 func (s *streaming) attempt(ctx context.Context, a *attempt) error {
 	c := s.call(s.st, a, s.in)
-	c.Resume = s.tail.Offset
+	c.ResumeOffset = s.tail.Offset
 	p := s.pool(s.st)
-	c.FirstByte = p.firstByte.bound(s.Options.MinSilence, s.st.Budget.Std())
-	c.Idle = p.gap.bound(s.Options.MinSilence, s.Options.MaxIdle)
-	c.Doubt = func(reused bool) bool {
-		s.Counters.Doubted.Add(1)
+	c.FirstByteTimeout = p.firstByte.bound(s.Options.MinStallTimeout, s.st.Budget.Std())
+	c.IdleTimeout = p.gap.bound(s.Options.MinStallTimeout, s.Options.InitialIdleTimeout)
+	c.OnStall = func(reused bool) bool {
+		s.Counters.Stalls.Add(1)
 		// A server that answers on a new connection and is silent on a new
 		// one too is slow; cutting it off would only add to its load.
 		return !s.answers(a) || reused
@@ -94,7 +94,7 @@
 	if ch.Offset != s.offset {
 		return fmt.Errorf("%w: offset %d, want %d", errChanged, ch.Offset, s.offset)
 	}
-	if s.req.Sink == nil || s.req.Keep {
+	if s.req.Sink == nil || s.req.CollectBody {
 		s.whole = append(s.whole, ch.Data...)
 	}
 	if ch.Data != "" {
@@ -128,15 +128,15 @@
 	if ctx.Err() != nil || errors.Is(err, errCaller) {
 		return false
 	}
-	cut := errors.As(err, &be) && be.Sent == backend.MaySent
+	cut := errors.As(err, &be) && be.Delivery == backend.MaybeSent
 	switch {
 	case s.offset > 0 && cut && s.resumes < maxResumes:
 		s.resumes++
 		s.number++
-		s.Counters.Resumed.Add(1)
+		s.Counters.Resumptions.Add(1)
 		a.number = s.number
 		// The end of the last attempt gave the server free for other suspects.
-		a.alone = a.alone && s.Apart.Acquire(a.server.Name, s.req.Fingerprint)
+		a.alone = a.alone && s.Isolator.Acquire(a.server.Name, s.req.Fingerprint)
 		return true
 	case s.offset > 0 && s.req.Sink != nil:
 		// A server that takes no connection has lost the stream with its
@@ -144,7 +144,7 @@
 		return false
 	case s.offset > 0:
 		return s.anew() && s.mayRetry(s.st)
-	case cut && be.Silent:
+	case cut && be.Stalled:
 		if len(s.tried) < s.Options.MaxAttempts && s.mayRetry(s.st) {
 			s.tried = without(s.tried, a.server.State)
 			return true
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -51,10 +51,10 @@
 
 // Options say where the entry host stands and how pickers are made.
 type Options struct {
-	Registry  *server.Registry
-	NewPicker func(pool table.Pool, servers []pick.Server) pick.Picker
-	Now       time.Time
-	Adjust    func(*table.Pool) // called for each pool before its picker is made; nil: none
+	Registry   *server.Registry
+	NewPicker  func(pool table.Pool, servers []pick.Server) pick.Picker
+	Now        time.Time
+	AdjustPool func(*table.Pool) // called for each pool before its picker is made; nil: none
 }
 
 // Build compiles rel. It fails, leaving the earlier snapshot in force, when
@@ -79,8 +79,8 @@
 }
 
 func buildPool(p table.Pool, opts Options) *Pool {
-	if opts.Adjust != nil {
-		opts.Adjust(&p)
+	if opts.AdjustPool != nil {
+		opts.AdjustPool(&p)
 	}
 	servers := make([]pick.Server, len(p.Servers))
 	for i, srv := range p.Servers {
