--- /dev/null
+++ b/process/admission/accounts.go
@@ -0,0 +1,179 @@
+package admission
+
+import (
+	"math"
+	"sync/atomic"
+
+	"github.com/cespare/xxhash/v2"
+
+	"bilberrydale/process/estimate"
+)
+
+// accountTable tracks the recent demand and admitted work of each client
+// account on one pool. It is a set-associative hash table of fixed size, so
+// that callers cannot make it grow. Accounts that find no free entry in their
+// set share the overflow entry.
+type accountTable struct {
+	sets     [accountSets][accountWays]accountEntry
+	overflow accountEntry
+	demands  []accountDemand // scratch buffer of updateFractions
+}
+
+// accountDemand is the recent demand of one account, in slot seconds, and its
+// fair-share weight.
+type accountDemand struct{ demand, weight float64 }
+
+const (
+	accountSets = 4096 // 12,000 accounts fill 3 entries of a set on average
+	accountWays = 8
+)
+
+// accountEntry is the entry of one client account.
+type accountEntry struct {
+	id               atomic.Uint64          // hash of the account's name; 0: free
+	demand           estimate.AtomicFloat64 // slot seconds requested, decaying
+	admitted         estimate.AtomicFloat64 // slot seconds admitted, decaying
+	admittedFraction estimate.AtomicFloat64 // fraction of the demand to admit
+	// correction is added to admittedFraction. It integrates the difference
+	// between the fair share and what was admitted.
+	correction estimate.AtomicFloat64
+	weight     estimate.AtomicFloat64
+}
+
+// accountHash returns the id of an account; it is never 0, the id of a free
+// entry.
+func accountHash(name string) uint64 { return max(1, xxhash.Sum64String(name)) }
+
+func newAccountTable() *accountTable {
+	a := &accountTable{}
+	a.overflow.admittedFraction.Store(1)
+	a.overflow.weight.Store(1)
+	return a
+}
+
+// find returns the entry of an account. For a new account it claims a free
+// entry, or returns the overflow entry if the set is full.
+func (a *accountTable) find(id uint64) *accountEntry {
+	set := &a.sets[id%accountSets]
+	for i := range set {
+		if set[i].id.Load() == id {
+			return &set[i]
+		}
+	}
+	for i := range set {
+		x := &set[i]
+		if x.id.Load() != 0 {
+			continue
+		}
+		x.admittedFraction.Store(1)
+		if x.id.CompareAndSwap(0, id) || x.id.Load() == id {
+			return x
+		}
+	}
+	return &a.overflow
+}
+
+// forEach calls f for every entry in use.
+func (a *accountTable) forEach(f func(*accountEntry)) {
+	for s := range a.sets {
+		for i := range a.sets[s] {
+			if x := &a.sets[s][i]; x.id.Load() != 0 {
+				f(x)
+			}
+		}
+	}
+	if a.overflow.demand.Load() > 0 {
+		f(&a.overflow)
+	}
+}
+
+const (
+	minDemandSeconds = 1e-4 // an entry with less recent demand is freed
+	correctionGain   = .1   // part of the relative error added at each update
+	maxCorrection    = .3
+)
+
+// updateFractions divides the admitted part of the demand among the accounts by
+// weighted max-min fairness: an account that requests less than its share is
+// admitted in full, and the rest of its share goes to the others. dt is the
+// time since the last update in seconds. Fair shares are compared with what
+// was admitted over the time constant of the demand, so that an account whose
+// requests have a low worth is not starved.
+func (a *accountTable) updateFractions(admittedPart, dt float64) {
+	var total float64
+	a.demands = a.demands[:0]
+	a.forEach(func(x *accountEntry) {
+		d := accountDemand{x.demand.Load(), x.weight.Load()}
+		total += d.demand
+		a.demands = append(a.demands, d)
+	})
+	if total <= 0 {
+		return
+	}
+	level := a.fairShareLevel(admittedPart * total)
+	decay := math.Exp(-dt / demandTimeConstant.Seconds())
+	a.forEach(func(x *accountEntry) {
+		x.updateFraction(level)
+		x.demand.Scale(decay)
+		x.admitted.Scale(decay)
+		if x.demand.Load() < minDemandSeconds && x != &a.overflow {
+			x.free()
+		}
+	})
+}
+
+// free resets the entry, so that the next account that claims it starts
+// without the state of this one.
+func (x *accountEntry) free() {
+	x.demand.Store(0)
+	x.admitted.Store(0)
+	x.correction.Store(0)
+	x.id.Store(0)
+}
+
+// updateFraction sets the admitted fraction of an account from its fair share,
+// given the fair-share level.
+func (x *accountEntry) updateFraction(level float64) {
+	demand := x.demand.Load()
+	share := level * x.weight.Load()
+	if demand <= share || demand <= 0 {
+		x.admittedFraction.Store(1)
+		x.correction.Store(0)
+		return
+	}
+	correction := x.correction.Load() + correctionGain*(share-x.admitted.Load())/demand
+	correction = min(maxCorrection, max(-maxCorrection, correction))
+	x.correction.Store(correction)
+	x.admittedFraction.Store(min(1, max(minAdmittedFraction, share/demand+correction)))
+}
+
+// fairShareLevel returns the demand per unit of weight up to which accounts are
+// admitted in full when capacity, in slot seconds, is divided among them.
+func (a *accountTable) fairShareLevel(capacity float64) float64 {
+	level := 0.0
+	for range maxFillRounds {
+		var satisfiedDemand, unsatisfiedWeight float64
+		for _, x := range a.demands {
+			if x.demand <= level*x.weight {
+				satisfiedDemand += x.demand
+			} else {
+				unsatisfiedWeight += x.weight
+			}
+		}
+		if unsatisfiedWeight == 0 {
+			return level
+		}
+		next := (capacity - satisfiedDemand) / unsatisfiedWeight
+		if next <= level*(1+fillPrecision) {
+			return level
+		}
+		level = next
+	}
+	return level
+}
+
+// Limits of the iteration in fairShareLevel.
+const (
+	maxFillRounds = 20
+	fillPrecision = 1e-3 // relative increase below which the level is final
+)
--- a/process/admission/admission.go
+++ b/process/admission/admission.go
@@ -1,6 +1,7 @@
-// Package admission decides at the entry whether a request may start. A
-// request that cannot finish in time is refused at once, before any stage is
-// spent on it. The decision is pure: time and state are given.
+// Package admission decides on the entry host whether a request may start. A
+// request that cannot finish before its deadline is refused at once, before
+// any stage spends capacity on it. Decisions read no clock and no global
+// state: time, loads and randomness are passed in.
 package admission
 
 import (
@@ -9,85 +10,91 @@
 	"bilberrydale/process/kind"
 )
 
-// Profile is what the decision needs to know of a route. It is compiled once
-// for a release and shared by all its requests.
+// Profile describes a route for admission. It is compiled once for each
+// release, shared by all requests of the route and must not change afterwards.
 type Profile struct {
-	Route  string
-	Class  Class
+	Route string
+	Class Class
+	// Worth is the weight of one completed request of the route.
 	Worth  float64
 	Stages []Stage
-	// Shares are the weights of client accounts in fair shares; others weigh 1.
+	// AccountWeights are the fair-share weights by client account; an account
+	// without a positive entry has weight 1.
 	AccountWeights map[string]float64
 }
 
-// share returns the weight of an account.
-func (p *Profile) share(account string) float64 {
+// accountWeight returns the fair-share weight of a client account.
+func (p *Profile) accountWeight(account string) float64 {
 	if w := p.AccountWeights[account]; w > 0 {
 		return w
 	}
 	return 1
 }
 
-// Class orders competing requests; a lower value is more urgent.
+// Class is the priority class of a route; a lower value is more urgent.
 type Class uint8
 
-// Classes.
+// Priority classes, most urgent first.
 const (
 	Interactive Class = iota
 	Standard
-	Background
+	Background // admitted only while the pools of its stages have free capacity
 )
 
-// Stage is one stage of a Profile.
+// Stage describes one stage of a Profile.
 type Stage struct {
 	Pool   string
-	Budget time.Duration
-	Cost   float64
-	Slots  int // requests that the pool runs at once
+	Budget time.Duration // the longest time the stage is expected to take
+	Cost   float64       // of one execution, in the unit of the routes table
+	Slots  int           // requests that the pool runs at once
 }
 
-// Request is one request at the entry.
+// Request is one request on the entry host.
 type Request struct {
 	Profile   *Profile
 	Account   string // client account
 	ArrivedAt time.Time
 	Deadline  time.Time
-	// Identity is the same when the caller sends the request again, on
-	// whichever entry host, such as a hash of its body; 0: unknown.
+	// Fingerprint is equal for every attempt of the same request, on any entry
+	// host, such as a hash of its body; 0 if unknown.
 	Fingerprint uint64
-	// Waited is set before StageDone unless the backend server surely had a free
-	// slot as the stage was sent to it.
+	// MayHaveQueued has to be set before StageDone, unless the backend server
+	// certainly had a free slot when the stage was sent to it.
 	MayHaveQueued bool
-	// Running is set before StageDone of a streamed stage: the time from the
-	// first byte of the answer to its end; 0: unknown.
+	// StreamDuration has to be set before StageDone of a streamed stage: the
+	// time from the first byte of the response to its end; 0 if unknown.
 	StreamDuration time.Duration
 
-	reached int // stages started
+	startedStages int
 }
 
-// Outcome tells how an admitted request ended.
+// Outcome is the result of an admitted request.
 type Outcome uint8
 
 // Outcomes.
 const (
-	Completed Outcome = iota // whole answer within the deadline
-	Late                     // whole answer after the deadline
+	Completed Outcome = iota // complete response within the deadline
+	Late                     // complete response after the deadline
 	Failed
 )
 
-// Admitter is asked once for each request. Implementations are safe for
-// concurrent use and never block.
+// Admitter makes one admission decision for each request and observes the
+// requests that it admitted. Implementations are safe for concurrent use and
+// never block.
 type Admitter interface {
-	// Admit returns nil or the refusal with a truthful RetryAfter. After nil
-	// exactly one Done follows.
+	// Admit returns nil, or a refusal whose RetryAfter is a time at which the
+	// request is expected to be admitted. After nil the caller calls Done
+	// exactly once.
 	Admit(now time.Time, r *Request) *kind.Error
-	// StageStart and StageDone bracket each stage of an admitted request.
+	// StageStart and StageDone are called before and after each stage of an
+	// admitted request; ok is false if the stage failed.
 	StageStart(now time.Time, r *Request, stage int)
 	StageDone(now time.Time, r *Request, stage int, took time.Duration, ok bool)
 	Done(now time.Time, r *Request, o Outcome)
 }
 
-// Always admits every request: the naive variant.
+// AlwaysAdmit admits every request. It is the baseline that replays compare
+// Controller with, and the admitter of tests that do not test admission.
 type AlwaysAdmit struct{}
 
 // Admit implements Admitter.
--- a/process/admission/admission_test.go
+++ b/process/admission/admission_test.go
@@ -14,126 +14,127 @@
 
 var start = time.Unix(1_000_000, 0)
 
-// bench is a controller with one pool of 100 slots.
-type bench struct {
+// fixture is a controller with a pool "p" of 100 slots.
+type fixture struct {
 	*Controller
 	now  time.Time
 	load PoolLoad
 }
 
-func newBench() *bench {
-	return &bench{NewController(DefaultOptions(), clock.NewSeeded(1)), start, PoolLoad{Pool: "p", Slots: 100}}
+func newFixture() *fixture {
+	return &fixture{NewController(DefaultOptions(), clock.NewSeeded(1)), start, PoolLoad{Pool: "p", Slots: 100}}
 }
 
-// pass ticks for d at the present load.
-func (b *bench) pass(d time.Duration) {
+// advance moves the time by d and ticks with f.load every 100 ms.
+func (f *fixture) advance(d time.Duration) {
 	for range d / (100 * time.Millisecond) {
-		b.now = b.now.Add(100 * time.Millisecond)
-		b.Tick(b.now, []PoolLoad{b.load})
+		f.now = f.now.Add(100 * time.Millisecond)
+		f.Tick(f.now, []PoolLoad{f.load})
 	}
 }
 
-func route(name string, class Class, worth float64) *Profile {
+func newProfile(name string, class Class, worth float64) *Profile {
 	return &Profile{Route: name, Class: class, Worth: worth, Stages: []Stage{
 		{Pool: "first", Budget: 300 * time.Millisecond}, {Pool: "p", Budget: 3 * time.Second},
 	}}
 }
 
-func (b *bench) ask(p *Profile, account string, id uint64) *kind.Error {
-	r := &Request{Profile: p, Account: account, ArrivedAt: b.now, Deadline: b.now.Add(5 * time.Second), Fingerprint: id}
-	err := b.Admit(b.now, r)
+func (f *fixture) request(p *Profile, account string, id uint64) *kind.Error {
+	r := &Request{Profile: p, Account: account, ArrivedAt: f.now, Deadline: f.now.Add(5 * time.Second), Fingerprint: id}
+	err := f.Admit(f.now, r)
 	if err == nil {
-		b.Done(b.now, r, Completed)
+		f.Done(f.now, r, Completed)
 	}
 	return err
 }
 
-func id(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
+func fingerprint(i int) uint64 { return uint64(i+1) * 0x9e3779b97f4a7c15 }
 
-// settle brings the pool to a steady overload in which half of the demand is
-// admitted: the band rests where its middle is the target.
-func (b *bench) settle(demand func(i int)) {
-	b.load.InFlight = b.opts.TargetLoad * b.load.Slots
+// overload sends demand under a steady overload in which half of it is
+// admitted: the middle of the band is held at the target load.
+func (f *fixture) overload(demand func(i int)) {
+	f.load.InFlight = f.opts.TargetLoad * f.load.Slots
 	for i := range 4000 {
 		if i%40 == 0 {
-			b.pass(100 * time.Millisecond)
-			b.pool("p").base.Store(b.opts.TargetLoad - bandWidth/2)
+			f.advance(100 * time.Millisecond)
+			f.pool("p").bandStart.Store(f.opts.TargetLoad - bandWidth/2)
 		}
 		demand(i)
 	}
 }
 
-// One account sends ten times as much as each of the others. Without shares
-// the others lose as large a part of their requests as it does.
-func TestBurstOfOneAccountLeavesTheOthersTheirShare(t *testing.T) {
+// One account sends ten times as many requests as each of the others. Without
+// fair shares the others would lose the same fraction of their requests.
+func TestBurstOfOneAccountLeavesOthersTheirShare(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	p := route("r", Standard, 1)
-	asked, got := map[string]int{}, map[string]int{}
-	b.settle(func(i int) {
+	f := newFixture()
+	p := newProfile("r", Standard, 1)
+	requested, admitted := map[string]int{}, map[string]int{}
+	f.overload(func(i int) {
 		a := "burst"
 		if k := i % 13; k < 3 {
 			a = fmt.Sprint("small-", k)
 		}
-		asked[a]++
-		if b.ask(p, a, id(i)) == nil {
-			got[a]++
+		requested[a]++
+		if f.request(p, a, fingerprint(i)) == nil {
+			admitted[a]++
 		}
 	})
 	for k := range 3 {
 		a := fmt.Sprint("small-", k)
-		g.Expect(float64(got[a])/float64(asked[a])).To(BeNumerically(">", .9), a)
+		g.Expect(float64(admitted[a])/float64(requested[a])).To(BeNumerically(">", .9), a)
 	}
-	// Half of all demand is 6.5 parts of 13; the small ones leave 3.5 of them.
-	g.Expect(float64(got["burst"]) / float64(asked["burst"])).To(BeNumerically("~", .35, .12))
+	// Half of the demand is 6.5 parts of 13, of which the small accounts leave
+	// 3.5 for the 10 parts of the burst.
+	g.Expect(float64(admitted["burst"]) / float64(requested["burst"])).To(BeNumerically("~", .35, .12))
 }
 
 func TestSharesFollowWeights(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	p := route("r", Standard, 1)
+	f := newFixture()
+	p := newProfile("r", Standard, 1)
 	p.AccountWeights = map[string]float64{"heavy": 3}
-	got := map[string]int{}
-	b.settle(func(i int) {
+	admitted := map[string]int{}
+	f.overload(func(i int) {
 		a := []string{"heavy", "light"}[i%2]
-		if b.ask(p, a, id(i)) == nil {
-			got[a]++
+		if f.request(p, a, fingerprint(i)) == nil {
+			admitted[a]++
 		}
 	})
-	g.Expect(float64(got["heavy"]) / float64(got["light"])).To(BeNumerically("~", 3, 1))
+	g.Expect(float64(admitted["heavy"]) / float64(admitted["light"])).To(BeNumerically("~", 3, 1))
 }
 
-func TestFullPoolServesWhatIsWorthMost(t *testing.T) {
+func TestFullPoolServesHighestWorth(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	high, low := route("high", Standard, 8), route("low", Standard, 1)
-	got := map[*Profile]int{}
-	b.settle(func(i int) {
+	f := newFixture()
+	high, low := newProfile("high", Standard, 8), newProfile("low", Standard, 1)
+	admitted := map[*Profile]int{}
+	f.overload(func(i int) {
 		p := []*Profile{high, low}[i%2]
-		if b.ask(p, "a", id(i)) == nil {
-			got[p]++
+		if f.request(p, "a", fingerprint(i)) == nil {
+			admitted[p]++
 		}
 	})
-	g.Expect(got[high]).To(BeNumerically(">", 1800))
-	g.Expect(got[low]).To(BeNumerically("<", 400))
+	g.Expect(admitted[high]).To(BeNumerically(">", 1800))
+	g.Expect(admitted[low]).To(BeNumerically("<", 400))
 }
 
-// The caller is refused with a time to come back, does so at another entry
-// host, and is refused again: an untruthful Retry-After. Here both hosts see
-// the same steady overload.
-func TestRefusedRequestIsServedWhenItComesBackAsTold(t *testing.T) {
+// A refused caller retries after the Retry-After at another entry host. If it
+// were refused again, the Retry-After would be wrong. Both hosts are under the
+// same steady overload; retries come up to a tenth of the wait late.
+func TestRefusedRequestIsAdmittedAfterItsRetryAfter(t *testing.T) {
 	g := NewWithT(t)
-	p := route("r", Standard, 1)
-	hosts := []*bench{newBench(), newBench()}
-	for _, b := range hosts {
-		b.settle(func(i int) { _ = b.ask(p, "a", id(i)) })
-		pl := b.pool("p")
-		pl.share.Store(.5)
-		pl.accounts.Load().find(accountHash("a")).threshold.Store(.5)
+	p := newProfile("r", Standard, 1)
+	hosts := []*fixture{newFixture(), newFixture()}
+	for _, f := range hosts {
+		f.overload(func(i int) { _ = f.request(p, "a", fingerprint(i)) })
+		pool := f.pool("p")
+		pool.smoothedFraction.Store(.5)
+		pool.accounts.Load().find(accountHash("a")).admittedFraction.Store(.5)
 	}
-	back, served := 0, 0
+	retried, admitted := 0, 0
 	for i := range 1000 {
-		err := hosts[0].ask(p, "a", id(10_000+i))
+		err := hosts[0].request(p, "a", fingerprint(10_000+i))
 		if err == nil {
 			continue
 		}
@@ -142,122 +143,121 @@
 		if err.RetryDelay() > hosts[0].opts.RotationPeriod {
 			continue
 		}
-		back++
-		late := time.Duration(float64(err.RetryDelay()) * lateness * float64(i%10) / 10)
+		retried++
+		late := time.Duration(float64(err.RetryDelay()) * retryLateness * float64(i%10) / 10)
 		other := hosts[1]
-		was := other.now
+		restore := other.now
 		other.now = hosts[0].now.Add(err.RetryDelay() + late)
-		if other.ask(p, "a", id(10_000+i)) == nil {
-			served++
+		if other.request(p, "a", fingerprint(10_000+i)) == nil {
+			admitted++
 		}
-		other.now = was
+		other.now = restore
 	}
-	g.Expect(back).To(BeNumerically(">", 300))
-	g.Expect(served).To(BeNumerically(">=", back*95/100))
+	g.Expect(retried).To(BeNumerically(">", 300))
+	g.Expect(admitted).To(BeNumerically(">=", retried*95/100))
 }
 
-// Every server of a later stage is gone. Without the safeguard each request
-// still runs the stages before it and then fails. A short gap must not refuse
-// anything: the pool may be back before the request gets there.
-func TestDownPoolRefusesDependentsWithHysteresis(t *testing.T) {
+// All servers of a later stage are gone. Unless requests are refused, each
+// runs the stages before it and then fails. A short outage must not refuse
+// requests: the pool may be back before they reach it.
+func TestDownPoolRefusesDependentRoutesWithHysteresis(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	p := route("r", Standard, 1)
-	b.pass(time.Second)
-	b.load.Slots = 0
-	b.pass(100 * time.Millisecond)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil())
-	b.load.Slots = 100
-	b.pass(time.Second)
-	b.load.Slots = 0
-	b.pass(b.opts.DownDelay + 200*time.Millisecond)
-	err := b.ask(p, "a", 1)
+	f := newFixture()
+	p := newProfile("r", Standard, 1)
+	f.advance(time.Second)
+	f.load.Slots = 0
+	f.advance(100 * time.Millisecond)
+	g.Expect(f.request(p, "a", 1)).To(BeNil())
+	f.load.Slots = 100
+	f.advance(time.Second)
+	f.load.Slots = 0
+	f.advance(f.opts.DownDelay + 200*time.Millisecond)
+	err := f.request(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
 	g.Expect(err.Kind).To(Equal(kind.NoBackend))
 	g.Expect(err.Ran()).To(Equal(kind.RanNo))
-	g.Expect(err.RetryDelay()).To(BeNumerically(">=", leastWait))
+	g.Expect(err.RetryDelay()).To(BeNumerically(">=", minWait))
 	other := &Profile{Route: "other", Worth: 1, Stages: []Stage{{Pool: "first", Budget: time.Second}}}
-	g.Expect(b.ask(other, "a", 1)).To(BeNil(), "a route without the pool goes on")
-	b.load.ProbesDue = 1
-	b.pass(b.opts.ProbeInterval)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil(), "one request tries a server that may be back")
-	g.Expect(b.ask(p, "a", 1)).NotTo(BeNil())
-	b.load.Slots = 10
-	b.pass(b.opts.UpDelay + 200*time.Millisecond)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil())
+	g.Expect(f.request(other, "a", 1)).To(BeNil(), "a route that does not use the pool is not affected")
+	f.load.ProbesDue = 1
+	f.advance(f.opts.ProbeInterval)
+	g.Expect(f.request(p, "a", 1)).To(BeNil(), "one request probes a server that may be back")
+	g.Expect(f.request(p, "a", 1)).NotTo(BeNil())
+	f.load.Slots = 10
+	f.advance(f.opts.UpDelay + 200*time.Millisecond)
+	g.Expect(f.request(p, "a", 1)).To(BeNil())
 }
 
-func TestBackgroundRunsOnlyWhenNobodyWaits(t *testing.T) {
+func TestBackgroundIsAdmittedOnlyBelowItsMaxLoad(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	p := route("score", Background, 1)
-	b.load.InFlight = 90
-	b.pass(time.Second)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil())
-	b.load.InFlight = 105
-	b.pass(time.Second)
-	err := b.ask(p, "a", 1)
+	f := newFixture()
+	p := newProfile("score", Background, 1)
+	f.load.InFlight = 90
+	f.advance(time.Second)
+	g.Expect(f.request(p, "a", 1)).To(BeNil())
+	f.load.InFlight = 105
+	f.advance(time.Second)
+	err := f.request(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
 	g.Expect(err.Kind).To(Equal(kind.Overloaded))
-	g.Expect(b.ask(route("chat", Interactive, 1), "a", 1)).To(BeNil())
+	g.Expect(f.request(newProfile("chat", Interactive, 1), "a", 1)).To(BeNil())
 }
 
-// The stages take longer than the deadline leaves. Without the estimate the
-// request would run most of them and then miss. Once no evidence is recent, a
-// request is let through to bring new evidence; else the refusals would never
-// end.
-func TestRequestThatCannotFinishIsRefusedUntilTheEvidenceIsOld(t *testing.T) {
+// The stages take longer than the time to the deadline, so a request would run
+// most of them and then miss it. Once the samples are too old, a request is
+// admitted to bring new ones; otherwise the refusals would never end.
+func TestRequestThatCannotFinishIsRefusedUntilEstimateExpires(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	b.pass(time.Second)
-	p := route("r", Standard, 1)
+	f := newFixture()
+	f.advance(time.Second)
+	p := newProfile("r", Standard, 1)
 	for range minSamples {
-		r := &Request{Profile: p, Deadline: b.now.Add(5 * time.Second)}
-		g.Expect(b.Admit(b.now, r)).To(BeNil())
-		b.StageStart(b.now, r, 0)
-		b.StageDone(b.now, r, 0, 6*time.Second, true)
-		b.Done(b.now, r, Late)
+		r := &Request{Profile: p, Deadline: f.now.Add(5 * time.Second)}
+		g.Expect(f.Admit(f.now, r)).To(BeNil())
+		f.StageStart(f.now, r, 0)
+		f.StageDone(f.now, r, 0, 6*time.Second, true)
+		f.Done(f.now, r, Late)
 	}
-	g.Expect(b.ask(p, "a", 1)).NotTo(BeNil())
-	b.now = b.now.Add(estimateLife + time.Millisecond)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil())
+	g.Expect(f.request(p, "a", 1)).NotTo(BeNil())
+	f.now = f.now.Add(maxEstimateAge + time.Millisecond)
+	g.Expect(f.request(p, "a", 1)).To(BeNil())
 }
 
-// A request that ends anywhere on its way must not count as heading for later
-// pools for ever: the pool would look full with nobody on it.
-func TestHeadingReturnsToZero(t *testing.T) {
+// A request that ends before its last stage must not stay pending on the later
+// pools: they would appear full without any request.
+func TestPendingReturnsToZero(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench()
-		p := route("r", Standard, 1)
+		f := newFixture()
+		p := newProfile("r", Standard, 1)
 		for range rapid.IntRange(1, 20).Draw(t, "requests") {
-			r := &Request{Profile: p, Deadline: b.now.Add(time.Minute)}
-			if b.Admit(b.now, r) != nil {
+			r := &Request{Profile: p, Deadline: f.now.Add(time.Minute)}
+			if f.Admit(f.now, r) != nil {
 				continue
 			}
 			for i := range rapid.IntRange(0, len(p.Stages)).Draw(t, "stages") {
-				b.StageStart(b.now, r, i)
-				b.StageDone(b.now, r, i, time.Millisecond, i == 0)
+				f.StageStart(f.now, r, i)
+				f.StageDone(f.now, r, i, time.Millisecond, i == 0)
 			}
-			b.Done(b.now, r, Failed)
+			f.Done(f.now, r, Failed)
 		}
-		for _, s := range b.PoolStates() {
+		for _, s := range f.PoolStates() {
 			if s.Pending != 0 {
-				t.Fatalf("pool %s: heading %d", s.Pool, s.Pending)
+				t.Fatalf("pool %s: %d requests pending after all ended", s.Pool, s.Pending)
 			}
 		}
 	})
 }
 
-// Whatever accounts ask for, the shares give out the admitted part of the
-// demand, no account that asks for less than its due is held back, and none
-// gets more for its weight than one that is held back.
+// For any demands and weights, the fair shares add up to the admitted part of
+// the demand: no account that requests less than its share is limited, and
+// none gets more per unit of weight than an account that is limited.
 func TestSharesAreMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := newAccounts()
-		part := rapid.Float64Range(.1, .9).Draw(t, "part")
-		var total, given float64
+		a := newAccountTable()
+		admittedPart := rapid.Float64Range(.1, .9).Draw(t, "part")
+		var total, sum float64
 		n := rapid.IntRange(1, 50).Draw(t, "accounts")
-		var all []*account
+		var all []*accountEntry
 		for i := range n {
 			x := a.find(accountHash(fmt.Sprint(i)))
 			x.demand.Store(rapid.Float64Range(.01, 100).Draw(t, "demand"))
@@ -266,64 +266,64 @@
 			all = append(all, x)
 		}
 		for _, x := range all {
-			a.asked = append(a.asked, claimed{x.demand.Load(), x.weight.Load()})
+			a.demands = append(a.demands, accountDemand{x.demand.Load(), x.weight.Load()})
 		}
-		lv := a.level(part * total)
+		level := a.fairShareLevel(admittedPart * total)
 		for _, x := range all {
-			due := min(x.demand.Load(), lv*x.weight.Load())
-			given += due
+			share := min(x.demand.Load(), level*x.weight.Load())
+			sum += share
 		}
-		if given < .98*part*total || given > 1.02*part*total {
-			t.Fatalf("gave %g of %g", given, part*total)
+		if sum < .98*admittedPart*total || sum > 1.02*admittedPart*total {
+			t.Fatalf("the shares add up to %g, want %g", sum, admittedPart*total)
 		}
 	})
 }
 
-// More callers than there are places must neither grow the table nor be let
-// through unseen.
-func TestAccountsBeyondThePlacesShareOne(t *testing.T) {
+// More accounts than the table has entries must neither grow it nor go
+// untracked.
+func TestAccountsBeyondTableCapacityShareOneEntry(t *testing.T) {
 	g := NewWithT(t)
-	a := newAccounts()
+	a := newAccountTable()
 	shared := 0
 	for i := range 2 * accountSets * accountWays {
-		if a.find(accountHash(fmt.Sprint(i))) == &a.shared {
+		if a.find(accountHash(fmt.Sprint(i))) == &a.overflow {
 			shared++
 		}
 	}
 	g.Expect(shared).To(BeNumerically(">=", accountSets*accountWays))
-	g.Expect(a.find(accountHash("1"))).NotTo(BeIdenticalTo(&a.shared))
+	g.Expect(a.find(accountHash("1"))).NotTo(BeIdenticalTo(&a.overflow))
 }
 
-// Operators rename a pool a thousand times a day. Without an end to what is
-// kept of each, the process grows until it dies.
-func TestPoolsAndPlansOutOfTheTablesAreForgotten(t *testing.T) {
+// Operators may rename a pool a thousand times a day. If the state of unused
+// pools and routes were kept, the process would run out of memory.
+func TestUnusedPoolsAndRoutesExpire(t *testing.T) {
 	g := NewWithT(t)
-	b := newBench()
-	p := route("r", Standard, 1)
-	b.pass(time.Second)
-	g.Expect(b.ask(p, "a", 1)).To(BeNil())
-	b.now = b.now.Add(planLife + time.Second)
-	b.Tick(b.now, []PoolLoad{{Pool: "renamed", Slots: 100}})
-	g.Expect(b.PoolStates()).To(HaveLen(2), "the pool that no tick ever named stays until it is one")
-	_, kept := b.profiles.Load(p)
+	f := newFixture()
+	p := newProfile("r", Standard, 1)
+	f.advance(time.Second)
+	g.Expect(f.request(p, "a", 1)).To(BeNil())
+	f.now = f.now.Add(idleExpiry + time.Second)
+	f.Tick(f.now, []PoolLoad{{Pool: "renamed", Slots: 100}})
+	g.Expect(f.PoolStates()).To(HaveLen(2), "a pool that was never part of a tick does not expire")
+	_, kept := f.routes.Load(p)
 	g.Expect(kept).To(BeFalse())
-	_, kept = b.pools.Load("p")
+	_, kept = f.pools.Load("p")
 	g.Expect(kept).To(BeFalse())
 }
 
-// A place that changes hands must not pass on its past: the next account would
-// begin with another's debt.
-func TestFreedPlaceHasNoPast(t *testing.T) {
+// The account that claims a freed entry must not start with the correction and
+// the admitted fraction of the previous one.
+func TestFreedEntryKeepsNoState(t *testing.T) {
 	g := NewWithT(t)
-	a := newAccounts()
+	a := newAccountTable()
 	x := a.find(7)
-	x.demand.Store(forgotten / 2)
-	x.surplus.Store(-.3)
-	x.threshold.Store(.1)
-	a.divide(.5, 1)
+	x.demand.Store(minDemandSeconds / 2)
+	x.correction.Store(-.3)
+	x.admittedFraction.Store(.1)
+	a.updateFractions(.5, 1)
 	g.Expect(x.id.Load()).To(BeZero())
 	y := a.find(7 + accountSets)
 	g.Expect(y).To(BeIdenticalTo(x))
-	g.Expect(y.threshold.Load()).To(Equal(1.0))
-	g.Expect(y.surplus.Load()).To(BeZero())
+	g.Expect(y.admittedFraction.Load()).To(Equal(1.0))
+	g.Expect(y.correction.Load()).To(BeZero())
 }
--- a/process/admission/controller.go
+++ b/process/admission/controller.go
@@ -10,24 +10,27 @@
 	"bilberrydale/process/kind"
 )
 
-// Options set a Controller.
+// Options configure a Controller. Loads are in requests per slot.
 type Options struct {
-	// Target is the load, in requests for a slot, at which a pool is held: a
-	// little over 1 keeps every slot busy with a short queue.
+	// TargetLoad is the load at which an overloaded pool is held: a little over
+	// 1 keeps every slot busy with a short queue.
 	TargetLoad float64
-	// BackgroundBelow is the load up to which background requests start.
+	// BackgroundMaxLoad is the load from which background requests are refused.
 	BackgroundMaxLoad float64
-	// Margin is how many mean deviations are added to the estimated finish.
+	// DeviationMultiplier is how many mean deviations are added to the mean
+	// latency of each stage to estimate the duration of a request.
 	DeviationMultiplier float64
-	// Rotation is the time in which every request of a class of worth that is
-	// refused in part gets its turn to be admitted.
+	// RotationPeriod is the time in which every request of a worth level that
+	// is admitted in part gets a turn to be admitted.
 	RotationPeriod time.Duration
-	// DownAfter and UpAfter are the hysteresis of a pool without any usable
-	// server: dependents are refused after the first, and come back once a
-	// server has been usable for the second.
+	// DownDelay and UpDelay are the hysteresis of a pool without a usable
+	// server: routes that need the pool are refused once no server has been
+	// usable for DownDelay, and admitted again once a server has been usable
+	// for UpDelay.
 	DownDelay time.Duration
 	UpDelay   time.Duration
-	// Probe is how often a down pool is tried with a real request.
+	// ProbeInterval is the time between the requests that are admitted to probe
+	// a pool that is down.
 	ProbeInterval time.Duration
 }
 
@@ -39,85 +42,90 @@
 	}
 }
 
-// Controller admits by estimate. Every request's place in the order of worth
-// is compared with the part of the demand that each pool on its way can serve,
-// and its estimated finish with its deadline. The request path reads atomics;
-// Tick does the rest.
+// Controller is the Admitter for production. It compares the position of each
+// request in the order of worth with the fraction of the demand that each pool
+// of its route can serve, and its estimated duration with its deadline. The
+// request path reads atomics; Tick does everything else. All methods are safe
+// for concurrent use, except that only one goroutine may call Tick.
 type Controller struct {
 	opts      Options
 	rand      clock.Rand
 	pools     sync.Map // name -> *pool
-	profiles  sync.Map // *Profile -> *plan
-	estimates sync.Map // stageKey -> *times
+	routes    sync.Map // *Profile -> *routeState
+	estimates sync.Map // stageKey -> *stageEstimates
 	refusals  [len(reasons)]atomic.Int64
 
-	mu    sync.Mutex // guards order; not taken for a request once its pools are known
-	order []*pool    // in order of first sight
+	mu       sync.Mutex // guards poolList; not taken by a request whose pools are in pools
+	poolList []*pool    // in the order in which they were added
 }
 
-// NewController returns a controller that admits everything until it has seen
+// NewController returns a controller that admits everything until Tick reports
 // load.
 func NewController(opts Options, r clock.Rand) *Controller {
 	return &Controller{opts: opts, rand: r}
 }
 
-// stageKey names an estimate; it outlives the release that the stage came with.
+// stageKey identifies the estimates of a stage, which outlive the release that
+// the stage came with.
 type stageKey struct {
 	route, pool string
 	index       int
 }
 
-// plan is a Profile joined with the state of its pools.
-type plan struct {
-	stages []step
-	used   atomic.Int64 // unix nanoseconds, so that plans of old releases go
+// routeState joins a Profile with the state of its pools.
+type routeState struct {
+	stages   []stageState
+	lastUsed atomic.Int64 // unix nanoseconds; states of old releases expire by it
 }
 
-type step struct {
+type stageState struct {
 	pool *pool
-	*times
-	prior float64 // seconds, before the first sample
-	level atomic.Int32
+	*stageEstimates
+	priorSeconds float64      // slot time assumed while there are too few samples
+	worthLevel   atomic.Int32 // see worthLevels
 }
 
-// times are the estimates of one stage of one route.
-type times struct {
-	latency estimate.Latency // as it is, waiting included
-	// service is the slot time: of streams from their first byte, of others when
-	// they found a slot free. Waiting must not count: urgent requests wait
-	// less, would look cheaper than they are, and would outweigh others of more
-	// worth.
-	service estimate.Latency
+// stageEstimates are the measured times of one stage of one route.
+type stageEstimates struct {
+	latency estimate.Latency // time in the stage, including queueing
+	// serviceTime is the time that a slot is occupied: from the first byte for
+	// streamed responses, for others the latency when the server had a free
+	// slot. Queueing must not count: urgent requests queue less, would appear
+	// cheaper than they are, and would displace others of higher worth.
+	serviceTime estimate.Latency
 }
 
-// seconds returns the slot time that the stage is expected to take.
-func (s *step) seconds() float64 {
-	if s.service.Samples() < minSamples {
-		return s.prior
+// expectedSlotSeconds returns the expected service time of the stage.
+func (s *stageState) expectedSlotSeconds() float64 {
+	if s.serviceTime.Samples() < minSamples {
+		return s.priorSeconds
 	}
-	return s.service.Mean()
+	return s.serviceTime.Mean()
 }
 
-// priorShare is the part of its budget that a stage takes until it is known.
-const priorShare = 1. / 3
+// priorBudgetFraction is the part of its time budget that a stage is assumed to
+// take until there are enough samples.
+const priorBudgetFraction = 1. / 3
 
-func (c *Controller) plan(p *Profile, now time.Time) *plan {
-	if v, ok := c.profiles.Load(p); ok {
-		return v.(*plan)
+// route returns the state of a profile, creating it on first use.
+func (c *Controller) route(p *Profile, now time.Time) *routeState {
+	if v, ok := c.routes.Load(p); ok {
+		return v.(*routeState)
 	}
-	out := &plan{stages: make([]step, len(p.Stages))}
-	for i, st := range p.Stages {
-		s := &out.stages[i]
-		s.pool, s.prior = c.pool(st.Pool), priorShare*st.Budget.Seconds()
-		l, _ := c.estimates.LoadOrStore(stageKey{p.Route, st.Pool, i}, &times{})
-		s.times = l.(*times)
-		s.level.Store(int32(level(p.Worth, s.seconds())))
+	rs := &routeState{stages: make([]stageState, len(p.Stages))}
+	for i, stage := range p.Stages {
+		s := &rs.stages[i]
+		s.pool, s.priorSeconds = c.pool(stage.Pool), priorBudgetFraction*stage.Budget.Seconds()
+		e, _ := c.estimates.LoadOrStore(stageKey{p.Route, stage.Pool, i}, &stageEstimates{})
+		s.stageEstimates = e.(*stageEstimates)
+		s.worthLevel.Store(int32(worthLevel(p.Worth, s.expectedSlotSeconds())))
 	}
-	out.used.Store(now.UnixNano())
-	v, _ := c.profiles.LoadOrStore(p, out)
-	return v.(*plan)
+	rs.lastUsed.Store(now.UnixNano())
+	v, _ := c.routes.LoadOrStore(p, rs)
+	return v.(*routeState)
 }
 
+// pool returns the pool of that name, creating it on first use.
 func (c *Controller) pool(name string) *pool {
 	if v, ok := c.pools.Load(name); ok {
 		return v.(*pool)
@@ -126,29 +134,29 @@
 	defer c.mu.Unlock()
 	v, loaded := c.pools.LoadOrStore(name, newPool(name))
 	if !loaded {
-		c.order = append(c.order, v.(*pool))
+		c.poolList = append(c.poolList, v.(*pool))
 	}
 	return v.(*pool)
 }
 
 // Admit implements Admitter.
 func (c *Controller) Admit(now time.Time, r *Request) *kind.Error {
-	p := c.plan(r.Profile, now)
-	p.used.Store(now.UnixNano())
-	if v := c.judge(now, r, p, true); v.Reason != Admitted {
-		c.refusals[v.Reason.index()].Add(1)
-		return v.refusal()
+	rs := c.route(r.Profile, now)
+	rs.lastUsed.Store(now.UnixNano())
+	if d := c.decide(now, r, rs, true); d.Reason != Admitted {
+		c.refusals[d.Reason.index()].Add(1)
+		return d.toError()
 	}
-	for i := range p.stages {
-		p.stages[i].pool.heading.Add(1)
+	for i := range rs.stages {
+		rs.stages[i].pool.pending.Add(1)
 	}
 	return nil
 }
 
 // StageStart implements Admitter.
 func (c *Controller) StageStart(now time.Time, r *Request, stage int) {
-	c.plan(r.Profile, now).stages[stage].pool.heading.Add(-1)
-	r.reached = stage + 1
+	c.route(r.Profile, now).stages[stage].pool.pending.Add(-1)
+	r.startedStages = stage + 1
 }
 
 // StageDone implements Admitter.
@@ -156,21 +164,21 @@
 	if !ok {
 		return
 	}
-	s := &c.plan(r.Profile, now).stages[stage]
+	s := &c.route(r.Profile, now).stages[stage]
 	s.latency.Observe(now, took)
 	switch {
 	case r.StreamDuration > 0:
-		s.service.Observe(now, r.StreamDuration)
+		s.serviceTime.Observe(now, r.StreamDuration)
 	case !r.MayHaveQueued:
-		s.service.Observe(now, took)
+		s.serviceTime.Observe(now, took)
 	}
 }
 
 // Done implements Admitter.
 func (c *Controller) Done(now time.Time, r *Request, _ Outcome) {
-	p := c.plan(r.Profile, now)
-	for i := r.reached; i < len(p.stages); i++ {
-		p.stages[i].pool.heading.Add(-1)
+	rs := c.route(r.Profile, now)
+	for i := r.startedStages; i < len(rs.stages); i++ {
+		rs.stages[i].pool.pending.Add(-1)
 	}
 }
 
--- a/process/admission/explain.go
+++ b/process/admission/explain.go
@@ -2,31 +2,33 @@
 
 import "time"
 
-// Explain returns what Admit would decide now, without counting the request.
+// Explain returns the decision that Admit would make at now, without counting
+// the request as demand.
 func (c *Controller) Explain(now time.Time, r *Request) Decision {
-	return c.judge(now, r, c.plan(r.Profile, now), false)
+	return c.decide(now, r, c.route(r.Profile, now), false)
 }
 
-// PoolState is a pool as admission sees it.
+// PoolState is the state of a pool in admission control, for operators.
 type PoolState struct {
 	Pool             string  `json:"pool"`
-	Load             float64 `json:"load"`    // requests for a slot, with those on their way
-	Slots            float64 `json:"slots"`   // usable and within reach
-	AdmittedFraction float64 `json:"part"`    // of the demand that is admitted
-	BandStart        float64 `json:"base"`    // load from which part falls below 1
-	Pending          int64   `json:"heading"` // admitted here and not yet at the pool
+	Load             float64 `json:"load"`    // requests per slot, pending ones included
+	Slots            float64 `json:"slots"`   // of usable servers within reach of this host
+	AdmittedFraction float64 `json:"part"`    // of the demand
+	BandStart        float64 `json:"base"`    // load above which AdmittedFraction falls below 1
+	Pending          int64   `json:"heading"` // requests admitted by this host that have not reached the pool
 	Down             bool    `json:"down"`
 }
 
-// States returns every pool in order of first sight.
+// PoolStates returns the state of every pool, in the order in which they were
+// added.
 func (c *Controller) PoolStates() []PoolState {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	out := make([]PoolState, 0, len(c.order))
-	for _, p := range c.order {
+	out := make([]PoolState, 0, len(c.poolList))
+	for _, p := range c.poolList {
 		out = append(out, PoolState{
-			Pool: p.name, Load: p.now(), Slots: p.slots.Load(), AdmittedFraction: p.part(), BandStart: p.base.Load(),
-			Pending: p.heading.Load(), Down: p.down.Load(),
+			Pool: p.name, Load: p.currentLoad(), Slots: p.slots.Load(), AdmittedFraction: p.admittedFraction(), BandStart: p.bandStart.Load(),
+			Pending: p.pending.Load(), Down: p.down.Load(),
 		})
 	}
 	return out
--- a/process/admission/main_test.go
+++ b/process/admission/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests, so that every run gives the same
-// verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same
+// result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
--- a/process/admission/pool.go
+++ b/process/admission/pool.go
@@ -8,126 +8,137 @@
 	"bilberrydale/process/estimate"
 )
 
-// levels divide requests by worth a second of a pool's time: eight to an octave,
-// level 0 the highest.
+// Requests are grouped into levels by their worth per second of slot time. The
+// scale is logarithmic and level 0 is the highest.
 const (
-	levels     = 128
-	perOctave  = 8
-	zeroOctave = 8 // log2 of the worth a second at level 0
+	worthLevels     = 128
+	levelsPerOctave = 8
+	topOctave       = 8 // log2 of the worth per second at level 0
 )
 
-func level(worth, seconds float64) int {
-	l := perOctave * (zeroOctave - math.Log2(max(worth, 1e-9)/max(seconds, 1e-6)))
-	return int(min(levels-1, max(0, math.Round(l))))
+// worthLevel returns the level of requests with that worth and service time.
+func worthLevel(worth, seconds float64) int {
+	level := levelsPerOctave * (topOctave - math.Log2(max(worth, 1e-9)/max(seconds, 1e-6)))
+	return int(min(worthLevels-1, max(0, math.Round(level))))
 }
 
-// pool is what admission knows of one pool. Requests read and add; Tick writes.
+// pool is the state of one pool. Requests read it and add to its counters; Tick
+// writes the rest.
 type pool struct {
-	name      string
-	details   [len(reasons)]string   // of refusals, made once
-	base      estimate.AtomicFloat64 // load at which the band starts
-	share     estimate.AtomicFloat64 // part of the demand that is admitted, smoothed
-	load      estimate.AtomicFloat64 // requests for a slot at the last tick, less heading
-	slots     estimate.AtomicFloat64 // usable slots within reach
-	warm      atomic.Bool            // loaded enough for accounts to be counted
-	down      atomic.Bool
-	heading   atomic.Int64 // admitted here and not yet at this stage
-	trials    atomic.Int64 // servers that a probe would try
-	probed    atomic.Int64 // unix nanoseconds
-	downSince atomic.Int64 // unix nanoseconds
-	fullSince atomic.Int64 // unix nanoseconds since which background work waits
-	usable    bool         // some server is; used by Tick alone, as all below
-	since     time.Time    // of the last change of usable
-	then      float64      // load by reports, summed over the memory
-	ownThen   float64      // of that, this host's
-	ticked    time.Time
-	shared    time.Time
-	demand    [levels]estimate.AtomicFloat64 // seconds asked for lately
-	above     [levels]estimate.AtomicFloat64 // part of the demand at higher levels
-	mass      [levels]estimate.AtomicFloat64 // part of the demand at this level
-	accounts  atomic.Pointer[accounts]
+	name             string
+	refusalDetails   [len(reasons)]string   // error details by reason, built once
+	bandStart        estimate.AtomicFloat64 // load at which the band starts
+	smoothedFraction estimate.AtomicFloat64 // admitted fraction of the demand, smoothed
+	load             estimate.AtomicFloat64 // requests per slot at the last tick, without pending
+	slots            estimate.AtomicFloat64 // of usable servers within reach
+	demandTracked    atomic.Bool            // the load is high enough to record demand
+	down             atomic.Bool
+	pending          atomic.Int64 // admitted by this host, stage not yet started
+	probesDue        atomic.Int64 // servers that a probe would be sent to
+	lastProbe        atomic.Int64 // unix nanoseconds
+	downSince        atomic.Int64 // unix nanoseconds
+	fullSince        atomic.Int64 // unix nanoseconds since which background work is refused
+
+	// Used by Tick alone up to fractionsUpdatedAt.
+	usable                 bool // there is a usable server
+	usableChangedAt        time.Time
+	reportedInFlightSum    float64 // in flight at the last reports, decaying integral over time
+	ownReportedInFlightSum float64 // of that, from this host
+	lastTick               time.Time
+	fractionsUpdatedAt     time.Time
+
+	demand        [worthLevels]estimate.AtomicFloat64 // recent demand in slot seconds
+	demandAbove   [worthLevels]estimate.AtomicFloat64 // fraction of the demand at higher levels
+	demandAtLevel [worthLevels]estimate.AtomicFloat64 // fraction of the demand at this level
+	accounts      atomic.Pointer[accountTable]
 }
 
 func newPool(name string) *pool {
 	p := &pool{name: name}
 	for i, r := range reasons {
-		p.details[i] = string(r) + ": pool " + name
+		p.refusalDetails[i] = string(r) + ": pool " + name
 	}
-	p.share.Store(1)
-	p.base.Store(bandFirst)
+	p.smoothedFraction.Store(1)
+	p.bandStart.Store(initialBandStart)
 	return p
 }
 
-// now returns the load with what is on its way to the pool from this host.
-func (p *pool) now() float64 {
+// currentLoad returns the load in requests per slot, including the requests
+// that this host has admitted and that have not reached the pool.
+func (p *pool) currentLoad() float64 {
 	slots := p.slots.Load()
 	if slots <= 0 {
 		return p.load.Load()
 	}
-	return p.load.Load() + float64(max(0, p.heading.Load()))/slots
+	return p.load.Load() + float64(max(0, p.pending.Load()))/slots
 }
 
-// part returns the part of the demand that is admitted at this moment.
-func (p *pool) part() float64 {
-	return min(1, max(leastPart, 1-(p.now()-p.base.Load())/bandWidth))
+// admittedFraction returns the fraction of the demand to admit at the current
+// load.
+func (p *pool) admittedFraction() float64 {
+	return min(1, max(minAdmittedFraction, 1-(p.currentLoad()-p.bandStart.Load())/bandWidth))
 }
 
-// probe lets one request through to a down pool for each interval, if a server
-// is due for a trial: only a request that runs can show that the pool is back,
-// and each costs the stages before it.
-func (p *pool) probe(now time.Time, every time.Duration) bool {
-	if p.trials.Load() == 0 {
+// allowProbe reports whether a request may probe the pool that is down: one in
+// each interval, if a server is due for a probe. Only a request that runs can
+// show that the pool is back, and each costs the stages before it.
+func (p *pool) allowProbe(now time.Time, interval time.Duration) bool {
+	if p.probesDue.Load() == 0 {
 		return false
 	}
-	last := p.probed.Load()
-	return now.UnixNano()-last >= int64(every) && p.probed.CompareAndSwap(last, now.UnixNano())
+	last := p.lastProbe.Load()
+	return now.UnixNano()-last >= int64(interval) && p.lastProbe.CompareAndSwap(last, now.UnixNano())
 }
 
-// What has lasted for a while will likely last about as long again.
+// Bounds of expectedWait.
 const (
-	leastWait = 2 * time.Second
-	mostWait  = 30 * time.Second
+	minWait = 2 * time.Second
+	maxWait = 30 * time.Second
 )
 
-func likely(now time.Time, since int64) time.Duration {
-	return min(mostWait, max(leastWait, time.Duration(now.UnixNano()-since))).Round(time.Second)
+// expectedWait returns how much longer a condition is expected to last that
+// began at since, in unix nanoseconds: about as long as it has lasted.
+func expectedWait(now time.Time, since int64) time.Duration {
+	return min(maxWait, max(minWait, time.Duration(now.UnixNano()-since))).Round(time.Second)
 }
 
-// outageWait returns when a down pool may be back.
-func (p *pool) outageWait(now time.Time) time.Duration { return likely(now, p.downSince.Load()) }
+// outageWait returns the expected time until a pool that is down is usable.
+func (p *pool) outageWait(now time.Time) time.Duration { return expectedWait(now, p.downSince.Load()) }
 
-// fullWait returns when a pool may have room for what is worth least.
-func (p *pool) fullWait(now time.Time) time.Duration { return likely(now, p.fullSince.Load()) }
+// fullWait returns the expected time until a full pool has free capacity for
+// requests of the lowest worth.
+func (p *pool) fullWait(now time.Time) time.Duration { return expectedWait(now, p.fullSince.Load()) }
 
-// demand counts what the request asks of each pool, whether or not it is
-// admitted. Background work has no claim on a full pool and is left out.
-func (c *Controller) demand(r *Request, p *plan) {
+// countDemand adds the request to the demand on each pool, whether or not it is
+// admitted. Background requests get no share of a full pool and are left out.
+func (c *Controller) countDemand(r *Request, rs *routeState) {
 	if r.Profile.Class == Background {
 		return
 	}
-	for i := range p.stages {
-		s := &p.stages[i]
-		if !s.pool.warm.Load() {
+	for i := range rs.stages {
+		s := &rs.stages[i]
+		if !s.pool.demandTracked.Load() {
 			continue
 		}
-		sec := s.seconds()
-		s.pool.demand[s.level.Load()].Add(sec)
+		seconds := s.expectedSlotSeconds()
+		s.pool.demand[s.worthLevel.Load()].Add(seconds)
 		if a := s.pool.accounts.Load(); a != nil {
 			x := a.find(accountHash(r.Account))
-			x.demand.Add(sec)
-			x.weight.Store(r.Profile.share(r.Account))
+			x.demand.Add(seconds)
+			x.weight.Store(r.Profile.accountWeight(r.Account))
 		}
 	}
 }
 
-func (c *Controller) admitted(r *Request, p *plan) {
-	for i := range p.stages {
-		s := &p.stages[i]
-		if !s.pool.warm.Load() {
+// countAdmitted adds an admitted request to the totals of its client account.
+func (c *Controller) countAdmitted(r *Request, rs *routeState) {
+	for i := range rs.stages {
+		s := &rs.stages[i]
+		if !s.pool.demandTracked.Load() {
 			continue
 		}
 		if a := s.pool.accounts.Load(); a != nil {
-			a.find(accountHash(r.Account)).admitted.Add(s.seconds())
+			a.find(accountHash(r.Account)).admitted.Add(s.expectedSlotSeconds())
 		}
 	}
 }
--- a/process/admission/tick.go
+++ b/process/admission/tick.go
@@ -6,100 +6,107 @@
 	"time"
 )
 
-// PoolLoad is what an entry host sees of a pool: the servers within its reach.
+// PoolLoad is the load of a pool's servers within reach of an entry host.
 type PoolLoad struct {
 	Pool        string
-	Slots       float64 // of usable servers, with what other regions can spare
-	InFlight    float64 // requests on them, queued ones included
-	OwnInFlight float64 // of those, this host's
-	// Then and OwnThen are Busy and Own as of the servers' last reports.
+	Slots       float64 // of usable servers, and the spare slots of other regions
+	InFlight    float64 // requests running or queued on these servers
+	OwnInFlight float64 // of those, sent by this host
+	// ReportedInFlight and OwnInFlightAtReport are InFlight and OwnInFlight at
+	// the time of the servers' last reports.
 	ReportedInFlight    float64
 	OwnInFlightAtReport float64
-	ProbesDue           int // servers that one request would be let try now
+	ProbesDue           int // servers that a request would probe now
 }
 
-// Control of the admitted part of the demand. Each request compares the load of
-// the moment with a band: below it all are admitted, at its top none. What this
-// host itself has in flight is known exactly, so the comparison is never late
-// by more than the others' part. The band moves slowly until the load is held
-// at the target.
+// Parameters of the control loop. Each request compares the current load with a
+// band: below it all requests are admitted, at its upper end only
+// minAdmittedFraction of the demand. The requests that this host itself has in
+// flight are known exactly, so the load is out of date only by the part of
+// other hosts. The band moves slowly until the load settles at the target.
+// Loads and positions of the band are in requests per slot.
 const (
-	bandWidth   = 1.5 // requests for a slot
-	bandFirst   = 1.1 // where the band starts
-	bandLeast   = .3
-	bandMost    = 1.8
-	bandSpeed   = .15 // a second, for each unit of load off the target
-	partSpeed   = 1.0 // a second; smooths the admitted part for the shares
-	ownMemory   = 5 * time.Second
-	ownLeast    = 1.0 // requests times seconds below which the part is not known
-	ownNoise    = 8.0 // own requests at which the own part and the reports count alike
-	leastPart   = .02
-	warmAt      = .6
-	orderMemory = 10 * time.Second // of the mix of worth, which changes slowly
-	memory      = 3 * time.Second  // of the demand
-	shareEach   = time.Second
-	planLife    = 10 * time.Minute
+	bandWidth             = 1.5
+	initialBandStart      = 1.1
+	minBandStart          = .3
+	maxBandStart          = 1.8
+	bandGain              = .15 // movement per second, for each unit of load off the target
+	fractionSmoothingRate = 1.0 // of smoothedFraction, per second
+	loadTimeConstant      = 5 * time.Second
+	// minOwnInFlightSum, in request seconds, is the least own load from which
+	// this host's part of the pool's load is estimated.
+	minOwnInFlightSum = 1.0
+	// ownEstimateHalfWeight is the number of own requests in flight at which
+	// the estimate from them and the servers' reports have equal weight.
+	ownEstimateHalfWeight = 8.0
+	minAdmittedFraction   = .02
+	demandTrackingLoad    = .6               // load above which demand is recorded
+	worthTimeConstant     = 10 * time.Second // of the demand by worth level, whose mix changes slowly
+	demandTimeConstant    = 3 * time.Second  // of the demand by client account
+	fractionInterval      = time.Second      // between updates of the accounts' fractions
+	idleExpiry            = 10 * time.Minute // of pools without a tick and routes without a request
 )
 
-// Tick takes in the present loads. It is called every 100 ms or so, by one
-// goroutine.
+// Tick updates the state of the pools from their current loads. One goroutine
+// calls it about every 100 ms.
 func (c *Controller) Tick(now time.Time, loads []PoolLoad) {
 	for _, l := range loads {
 		p := c.pool(l.Pool)
-		if p.ticked.IsZero() {
-			p.ticked, p.shared = now, now
+		if p.lastTick.IsZero() {
+			p.lastTick, p.fractionsUpdatedAt = now, now
 		}
-		dt := now.Sub(p.ticked).Seconds()
-		p.ticked = now
+		dt := now.Sub(p.lastTick).Seconds()
+		p.lastTick = now
 		p.slots.Store(l.Slots)
-		p.measure(l, dt)
-		p.trials.Store(int64(l.ProbesDue))
-		c.outage(p, now, l.Slots > 0)
-		c.control(p, dt)
-		if p.now() < c.opts.BackgroundMaxLoad {
+		p.updateLoad(l, dt)
+		p.probesDue.Store(int64(l.ProbesDue))
+		c.updateOutage(p, now, l.Slots > 0)
+		c.updateBand(p, dt)
+		if p.currentLoad() < c.opts.BackgroundMaxLoad {
 			p.fullSince.Store(now.UnixNano())
 		}
-		p.order(dt)
-		if a := p.accounts.Load(); a != nil && now.Sub(p.shared) >= shareEach {
-			a.divide(p.share.Load(), now.Sub(p.shared).Seconds())
-			p.shared = now
+		p.updateDemandDistribution(dt)
+		if a := p.accounts.Load(); a != nil && now.Sub(p.fractionsUpdatedAt) >= fractionInterval {
+			a.updateFractions(p.smoothedFraction.Load(), now.Sub(p.fractionsUpdatedAt).Seconds())
+			p.fractionsUpdatedAt = now
 		}
 	}
-	c.expire(now)
-	c.profiles.Range(func(key, value any) bool {
-		c.refresh(key.(*Profile), value.(*plan), now)
+	c.expirePools(now)
+	c.routes.Range(func(key, value any) bool {
+		c.refreshRoute(key.(*Profile), value.(*routeState), now)
 		return true
 	})
 }
 
-// measure estimates the load of the moment. What others have in flight is known
-// by reports that lag, and to follow a lagging load is to swing around it. The
-// hosts of a region serve the same demand, so this host's part of the load
-// changes slowly, and its own requests in flight, over that part, give the load
-// without the lag.
-func (p *pool) measure(l PoolLoad, dt float64) {
-	keep := math.Exp(-dt / ownMemory.Seconds())
-	p.then = p.then*keep + l.ReportedInFlight*dt
-	p.ownThen = p.ownThen*keep + l.OwnInFlightAtReport*dt
+// updateLoad estimates the current load. The requests of other hosts are known
+// only from reports that lag, and following a lagging load makes the control
+// loop oscillate. The hosts of a region serve the same demand, so this host's
+// part of the load changes slowly; its own requests in flight, divided by that
+// part, give the load without the lag. dt is in seconds.
+func (p *pool) updateLoad(l PoolLoad, dt float64) {
+	decay := math.Exp(-dt / loadTimeConstant.Seconds())
+	p.reportedInFlightSum = p.reportedInFlightSum*decay + l.ReportedInFlight*dt
+	p.ownReportedInFlightSum = p.ownReportedInFlightSum*decay + l.OwnInFlightAtReport*dt
 	if l.Slots <= 0 {
 		return
 	}
-	busy := l.InFlight
-	if p.ownThen > ownLeast {
-		usual := p.ownThen / ownMemory.Seconds()
-		busy += usual / (usual + ownNoise) * (l.OwnInFlight*p.then/p.ownThen - busy)
+	inFlight := l.InFlight
+	if p.ownReportedInFlightSum > minOwnInFlightSum {
+		ownMean := p.ownReportedInFlightSum / loadTimeConstant.Seconds()
+		inFlight += ownMean / (ownMean + ownEstimateHalfWeight) * (l.OwnInFlight*p.reportedInFlightSum/p.ownReportedInFlightSum - inFlight)
 	}
-	p.load.Store(busy / l.Slots)
+	p.load.Store(inFlight / l.Slots)
 }
 
-// outage applies the hysteresis of a pool without usable servers. Running the
-// stages before it would only spend them: dependents wait until a server has
-// been usable again for a while, by a trial or by its own report.
-func (c *Controller) outage(p *pool, now time.Time, usable bool) {
+// updateOutage applies the hysteresis of a pool without a usable server.
+// Running the stages before the pool would waste them, so routes that need it
+// are refused until a server has been usable again for UpDelay, after a probe
+// or by its own report.
+func (c *Controller) updateOutage(p *pool, now time.Time, usable bool) {
 	if usable != p.usable {
-		p.usable, p.since = usable, now
+		p.usable, p.usableChangedAt = usable, now
 	}
-	stable := now.Sub(p.since)
+	stable := now.Sub(p.usableChangedAt)
 	switch {
 	case p.down.Load():
 		if usable && stable >= c.opts.UpDelay {
@@ -107,73 +114,76 @@
 		}
 	case !usable && stable >= c.opts.DownDelay:
 		p.downSince.Store(now.UnixNano())
-		p.probed.Store(now.UnixNano())
+		p.lastProbe.Store(now.UnixNano())
 		p.down.Store(true)
 	}
 }
 
-// control moves the band towards the target load.
-func (c *Controller) control(p *pool, dt float64) {
-	load := p.now()
-	base := p.base.Load()
-	if part := p.part(); part < 1 {
-		base += bandSpeed * dt * (c.opts.TargetLoad - load)
+// updateBand moves the band so that the load approaches the target, and back
+// to its initial position while everything is admitted. dt is in seconds.
+func (c *Controller) updateBand(p *pool, dt float64) {
+	load := p.currentLoad()
+	bandStart := p.bandStart.Load()
+	if fraction := p.admittedFraction(); fraction < 1 {
+		bandStart += bandGain * dt * (c.opts.TargetLoad - load)
 	} else {
-		base += bandSpeed * dt * (bandFirst - base)
+		bandStart += bandGain * dt * (initialBandStart - bandStart)
 	}
-	p.base.Store(min(bandMost, max(bandLeast, base)))
-	p.share.Add(min(1, partSpeed*dt) * (p.part() - p.share.Load()))
-	p.warm.Store(load > warmAt)
-	if p.warm.Load() && p.accounts.Load() == nil {
-		p.accounts.Store(newAccounts())
+	p.bandStart.Store(min(maxBandStart, max(minBandStart, bandStart)))
+	p.smoothedFraction.Add(min(1, fractionSmoothingRate*dt) * (p.admittedFraction() - p.smoothedFraction.Load()))
+	p.demandTracked.Store(load > demandTrackingLoad)
+	if p.demandTracked.Load() && p.accounts.Load() == nil {
+		p.accounts.Store(newAccountTable())
 	}
 }
 
-// order works out which part of the demand is worth more than each level, and
-// lets old demand fade.
-func (p *pool) order(dt float64) {
-	var sum float64
-	keep := math.Exp(-dt / orderMemory.Seconds())
+// updateDemandDistribution computes which fraction of the demand is at each
+// worth level and above it, and decays the demand. dt is in seconds.
+func (p *pool) updateDemandDistribution(dt float64) {
+	var total float64
+	decay := math.Exp(-dt / worthTimeConstant.Seconds())
 	for i := range p.demand {
 		if p.demand[i].Load() > 0 {
-			p.demand[i].Scale(keep)
-			sum += p.demand[i].Load()
+			p.demand[i].Scale(decay)
+			total += p.demand[i].Load()
 		}
 	}
-	if sum <= 0 {
+	if total <= 0 {
 		return
 	}
 	var above float64
 	for i := range p.demand {
-		part := p.demand[i].Load() / sum
-		p.above[i].Store(above)
-		p.mass[i].Store(part)
-		above += part
+		atLevel := p.demand[i].Load() / total
+		p.demandAbove[i].Store(above)
+		p.demandAtLevel[i].Store(atLevel)
+		above += atLevel
 	}
 }
 
-// expire forgets pools that are in the tables no more; each holds a table of
-// accounts, and operators may rename pools many times a day.
-func (c *Controller) expire(now time.Time) {
+// expirePools drops pools that are no longer in the tables: each holds a table
+// of accounts, and operators may rename pools many times a day.
+func (c *Controller) expirePools(now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.order = slices.DeleteFunc(c.order, func(p *pool) bool {
-		old := !p.ticked.IsZero() && now.Sub(p.ticked) > planLife
-		if old {
+	c.poolList = slices.DeleteFunc(c.poolList, func(p *pool) bool {
+		expired := !p.lastTick.IsZero() && now.Sub(p.lastTick) > idleExpiry
+		if expired {
 			c.pools.Delete(p.name)
 		}
-		return old
+		return expired
 	})
 }
 
-// refresh takes in new estimates of a plan, and forgets a plan of an old release.
-func (c *Controller) refresh(r *Profile, p *plan, now time.Time) {
-	if now.UnixNano()-p.used.Load() > int64(planLife) {
-		c.profiles.Delete(r)
+// refreshRoute updates the worth levels of a route's stages from the current
+// estimates, or drops the state of a route that has had no request for
+// idleExpiry, as of an old release.
+func (c *Controller) refreshRoute(p *Profile, rs *routeState, now time.Time) {
+	if now.UnixNano()-rs.lastUsed.Load() > int64(idleExpiry) {
+		c.routes.Delete(p)
 		return
 	}
-	for i := range p.stages {
-		s := &p.stages[i]
-		s.level.Store(int32(level(r.Worth, s.seconds())))
+	for i := range rs.stages {
+		s := &rs.stages[i]
+		s.worthLevel.Store(int32(worthLevel(p.Worth, s.expectedSlotSeconds())))
 	}
 }
