--- a/process/lease/lease.go
+++ b/process/lease/lease.go
@@ -1,13 +1,14 @@
-// Package lease lets one entry host at a time act for a failure domain. The
-// lease is an object on the platform, taken by conditional update, with a
-// fencing number that only rises.
+// Package lease elects at most one entry host of a failure domain at a time as
+// the holder of the domain's lease. The lease is an object on the platform that
+// is written by compare-and-swap on its version. Each holder gets a fencing
+// token, which only increases.
 package lease
 
 import "time"
 
-// Holder tells whether this entry host may act now.
+// Holder reports whether this entry host holds the lease.
 type Holder interface {
-	// Held returns the fencing number while the lease is held with enough
-	// margin at now to finish the longest order.
+	// Held returns the fencing token and true if, at now, this host holds the
+	// lease for at least as long as the longest order takes.
 	Held(now time.Time) (fence uint64, ok bool)
 }
