--- a/process/order/order.go
+++ b/process/order/order.go
@@ -1,6 +1,6 @@
-// Package order brings model engines towards what the pools table wants. The
-// holder of the domain's lease gives absolute, idempotent orders, within the
-// weight store's rate, and reads their results back.
+// Package order reconciles model engines with the pools table. The holder of
+// the failure domain's lease sends absolute, idempotent orders, within the rate
+// that the weight store can serve, and reads the resulting state back.
 package order
 
 import (
@@ -17,66 +17,77 @@
 	"bilberrydale/process/lease"
 )
 
-// ErrOldFence: the engine has seen a higher fencing number.
-var ErrStaleFence = errors.New("order: fencing number is old")
+// ErrStaleFence is returned by Sender.Send when the engine refused the order
+// because it has seen a higher fencing token.
+var ErrStaleFence = errors.New("order: stale fencing token")
 
-// Order states what an engine is to have, whatever it has now.
+// Order is the complete desired state of an engine, independent of its current
+// state.
 type Order struct {
-	Fence  uint64   `json:"fence"`
+	Fence  uint64   `json:"fence"`  // fencing token of the lease
 	Models []string `json:"models"` // model/adapter@version
 	Role   string   `json:"role"`
 }
 
-// Target is an engine and what the tables want of it.
+// Target is an engine and its desired state.
 type Target struct {
 	Name    string
 	Address string
 	Models  []string // sorted
 	Role    string
-	// Fencing says that the engine refuses old fencing numbers.
+	// ChecksFencing is set if the engine refuses stale fencing tokens.
 	ChecksFencing bool
-	// Reported is the state last reported, or nil; an engine that has what it
-	// should costs no call.
+	// LastReported is the state in the engine's last load report, or nil. An
+	// engine that reports its desired state is sent no request.
 	LastReported *State
 }
 
-// State is what an engine has, by its own account.
+// State is the state that an engine reports.
 type State struct {
 	Models []string
 	Role   string
-	Fence  uint64 // highest fencing number seen; 0 on engines that check none
+	Fence  uint64 // highest fencing token seen; 0 if the engine checks none
 }
 
-// Sender speaks to engines.
+// Sender sends requests to engines. Implementations are safe for concurrent
+// use.
 type Sender interface {
-	// Send returns ErrOldFence when the engine refused the number.
+	// Send returns an error that wraps ErrStaleFence if the engine refused the
+	// fencing token.
 	Send(ctx context.Context, address string, o Order) error
+	// ReadState returns the engine's current state.
 	ReadState(ctx context.Context, address string) (State, error)
 }
 
-// Lease is the lease that orders are given under.
+// Lease is the lease under which orders are sent.
 type Lease interface {
 	lease.Holder
-	// Lost ends the lease held under fence: an engine has seen a higher number.
+	// Invalidate drops the lease held under the token fence after an engine has
+	// reported the higher token seen.
 	Invalidate(fence, seen uint64)
+	// Release lets the next holder acquire the lease without waiting. No order
+	// may be in flight.
 	Release(ctx context.Context)
 }
 
-// Options configure a Manager; zero values get the defaults.
+// Options configure a Manager; zero values select the defaults.
 type Options struct {
 	Lease  Lease
 	Clock  clock.Clock
 	Sender Sender
-	// Targets returns the engines of this host's failure domain.
+	// Targets returns the engines of this host's failure domain and their
+	// desired states.
 	Targets func() []Target
 
 	Interval time.Duration // between rounds; default 1 s
-	// Timeout bounds one order and its reading back each; it is below half of
-	// the lease's longest order. Default 1.4 s.
-	Timeout         time.Duration
-	RetryInterval   time.Duration // between orders to one engine, above the longest order; default 5 s
-	OrdersPerSecond float64       // orders a second that make engines load weights; default 1
-	MaxParallel     int           // orders at once; default 4
+	// Timeout bounds each order and each read of an engine's state; it has to be
+	// below half of lease.Options.MaxOrderDuration. Default 1.4 s.
+	Timeout time.Duration
+	// RetryInterval is the least time between two orders to one engine; it has
+	// to exceed lease.Options.MaxOrderDuration. Default 5 s.
+	RetryInterval   time.Duration
+	OrdersPerSecond float64 // limits how fast engines load weights; default 1
+	MaxParallel     int     // orders in flight; default 4
 }
 
 func (o *Options) setDefaults() {
@@ -93,40 +104,42 @@
 	}
 }
 
-// Counters count a Manager's work.
+// Counters are the totals of a Manager since its start. LeaseNotHeld counts
+// orders that were not sent because the lease had expired in the meantime.
 type Counters struct {
 	Sent, Confirmed, Failed, LeaseNotHeld atomic.Int64
 }
 
-// Manager gives orders while the lease is held.
+// Manager sends orders while the lease is held.
 type Manager struct {
 	Counters Counters
 
-	opts    Options
-	limiter *rate.Limiter
-	mu      sync.Mutex
-	next    map[string]time.Time // earliest next order by address
-	sent    map[string]bool      // addresses whose order is not confirmed
-	unsure  time.Time            // until when an order without an answer may still arrive
+	opts                Options
+	limiter             *rate.Limiter
+	mu                  sync.Mutex
+	nextOrderAt         map[string]time.Time // by address
+	unconfirmed         map[string]bool      // addresses of engines that accepted an order and do not show its result yet
+	outcomeUnknownUntil time.Time            // an order without a response may still take effect until then
 }
 
-// New returns a manager.
+// New returns a manager that sends orders once Run or Reconcile is called.
 func New(opts Options) *Manager {
 	opts.setDefaults()
-	return &Manager{opts: opts, limiter: rate.NewLimiter(rate.Limit(opts.OrdersPerSecond), opts.MaxParallel), next: map[string]time.Time{}, sent: map[string]bool{}}
+	return &Manager{opts: opts, limiter: rate.NewLimiter(rate.Limit(opts.OrdersPerSecond), opts.MaxParallel), nextOrderAt: map[string]time.Time{}, unconfirmed: map[string]bool{}}
 }
 
-// releaseTimeout bounds the giving up of the lease at the end.
+// releaseTimeout bounds the release of the lease when Run ends.
 const releaseTimeout = 2 * time.Second
 
-// Run gives orders until ctx ends, and then, with no order left, releases the
-// lease. If the fate of a late order is open, the lease is left to run out: a
-// next holder that began at once could see its own order undone by that one.
+// Run sends orders until ctx ends, and then, with no order in flight, releases
+// the lease. If the outcome of a recent order is unknown, the lease is left to
+// expire instead: that order could undo an order of a holder that starts at
+// once.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
-			m.release(ctx)
+			m.releaseLease(ctx)
 			return nil
 		case <-m.opts.Clock.After(m.opts.Interval):
 			m.Reconcile(ctx)
@@ -134,11 +147,12 @@
 	}
 }
 
-func (m *Manager) release(ctx context.Context) {
+// releaseLease releases the lease unless an order may still take effect.
+func (m *Manager) releaseLease(ctx context.Context) {
 	m.mu.Lock()
-	unsure := m.opts.Clock.Now().Before(m.unsure)
+	outcomeUnknown := m.opts.Clock.Now().Before(m.outcomeUnknownUntil)
 	m.mu.Unlock()
-	if unsure {
+	if outcomeUnknown {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), releaseTimeout)
@@ -146,93 +160,98 @@
 	m.opts.Lease.Release(ctx)
 }
 
-// Round gives the orders that are due and returns when all have ended. Orders
-// under way are not cut when ctx ends: they would be on the wire all the same.
+// Reconcile sends the orders that are due and returns when all have ended.
+// Orders in flight are not canceled when ctx ends: they may already be on the
+// wire.
 func (m *Manager) Reconcile(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	if _, ok := m.opts.Lease.Held(m.opts.Clock.Now()); !ok {
 		return
 	}
-	var running sync.WaitGroup
-	slots := make(chan struct{}, m.opts.MaxParallel)
-	for _, t := range m.due() {
-		slots <- struct{}{}
-		running.Go(func() {
-			defer func() { <-slots }()
-			m.give(ctx, t)
+	var wg sync.WaitGroup
+	sem := make(chan struct{}, m.opts.MaxParallel)
+	for _, t := range m.dueTargets() {
+		sem <- struct{}{}
+		wg.Go(func() {
+			defer func() { <-sem }()
+			m.apply(ctx, t)
 		})
 	}
-	running.Wait()
+	wg.Wait()
 }
 
-// due returns the engines that differ from what is wanted, as far as the
-// weight store's rate allows. The others wait for a later round.
-func (m *Manager) due() []Target {
+// dueTargets returns the engines that differ from their desired state, as many
+// as the rate limit allows. The others are left for a later call.
+func (m *Manager) dueTargets() []Target {
 	now := m.opts.Clock.Now()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []Target
 	for _, t := range m.opts.Targets() {
-		if t.LastReported != nil && t.satisfied(*t.LastReported) {
-			m.confirm(t)
+		if t.LastReported != nil && t.matches(*t.LastReported) {
+			m.markConfirmed(t)
 			continue
 		}
-		if now.Before(m.next[t.Address]) {
+		if now.Before(m.nextOrderAt[t.Address]) {
 			continue
 		}
 		if !m.limiter.AllowN(now, 1) {
 			break
 		}
-		m.next[t.Address] = now.Add(m.opts.RetryInterval)
+		m.nextOrderAt[t.Address] = now.Add(m.opts.RetryInterval)
 		out = append(out, t)
 	}
 	return out
 }
 
-func (t Target) satisfied(s State) bool {
-	have := slices.Sorted(slices.Values(s.Models))
-	return slices.Equal(have, t.Models) && (t.Role == "" || s.Role == t.Role)
+// matches reports whether an engine in state s needs no order. An empty role
+// matches any.
+func (t Target) matches(s State) bool {
+	models := slices.Sorted(slices.Values(s.Models))
+	return slices.Equal(models, t.Models) && (t.Role == "" || s.Role == t.Role)
 }
 
-// give brings one engine to its target: read, order, read back.
-func (m *Manager) give(ctx context.Context, t Target) {
-	if s, err := m.read(ctx, t); err != nil || t.satisfied(s) {
+// apply reads the state of an engine, sends an order if it differs from the
+// desired state, and reads the state again.
+func (m *Manager) apply(ctx context.Context, t Target) {
+	if s, err := m.readState(ctx, t); err != nil || t.matches(s) {
 		return
 	}
-	if !m.send(ctx, t) {
+	if !m.sendOrder(ctx, t) {
 		return
 	}
-	s, err := m.read(ctx, t)
+	s, err := m.readState(ctx, t)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.sent[t.Address] = true
-	if err == nil && t.satisfied(s) {
-		m.confirm(t)
+	m.unconfirmed[t.Address] = true
+	if err == nil && t.matches(s) {
+		m.markConfirmed(t)
 	}
 }
 
-// confirm counts an order whose result was seen; an engine's report lags, so
-// that is often a later one than the first read.
-func (m *Manager) confirm(t Target) {
-	if m.sent[t.Address] {
-		delete(m.sent, t.Address)
+// markConfirmed counts the engine's last order as confirmed. The state that an
+// engine reports lags, so the result of an order often shows only in a later
+// report than the first read. The caller holds m.mu.
+func (m *Manager) markConfirmed(t Target) {
+	if m.unconfirmed[t.Address] {
+		delete(m.unconfirmed, t.Address)
 		m.Counters.Confirmed.Add(1)
 	}
 }
 
-func (m *Manager) read(ctx context.Context, t Target) (State, error) {
+func (m *Manager) readState(ctx context.Context, t Target) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.Timeout)
 	defer cancel()
 	return m.opts.Sender.ReadState(ctx, t.Address)
 }
 
-// send gives one order. The lease is asked right before, with the clock as it
-// is after whatever held this goroutine up: a process that was stopped past
-// its lease finds here that it may not act any more. The order ends within the
-// margin that the lease keeps, so that on an engine that checks nothing it is
-// over before the next holder begins. What is left is a process stopped
-// between this question and the write; see docs/design/leases.md.
-func (m *Manager) send(ctx context.Context, t Target) bool {
+// sendOrder sends one order and reports whether the engine accepted it. It
+// checks the lease right before the write with the current time, so that a
+// process that was suspended past its lease sends nothing. The order ends
+// within the margin of the lease: on an engine that checks no fencing tokens it
+// is over before the next holder starts. The remaining gap is a process
+// suspended between this check and the write; see docs/design/leases.md.
+func (m *Manager) sendOrder(ctx context.Context, t Target) bool {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.Timeout)
 	defer cancel()
 	fence, ok := m.opts.Lease.Held(m.opts.Clock.Now())
@@ -243,13 +262,13 @@
 	m.Counters.Sent.Add(1)
 	err := m.opts.Sender.Send(ctx, t.Address, Order{Fence: fence, Models: t.Models, Role: t.Role})
 	if errors.Is(err, ErrStaleFence) {
-		seen, _ := m.read(ctx, t)
+		seen, _ := m.readState(ctx, t)
 		m.opts.Lease.Invalidate(fence, seen.Fence)
 	}
 	if err != nil {
 		m.Counters.Failed.Add(1)
 		m.mu.Lock()
-		m.unsure = m.opts.Clock.Now().Add(m.opts.RetryInterval)
+		m.outcomeUnknownUntil = m.opts.Clock.Now().Add(m.opts.RetryInterval)
 		m.mu.Unlock()
 		return false
 	}
--- a/process/order/order_test.go
+++ b/process/order/order_test.go
@@ -20,13 +20,14 @@
 )
 
 const (
-	ttl     = 15 * time.Second
-	margin  = 5 * time.Second
-	longest = 3 * time.Second
+	ttl              = 15 * time.Second
+	margin           = 5 * time.Second
+	maxOrderDuration = 3 * time.Second
 )
 
-// domain is engines and hosts that compete for the lease to order them.
-type domain struct {
+// testDomain is a failure domain: its engines and the platform with the lease
+// that its entry hosts compete for.
+type testDomain struct {
 	g       Gomega
 	t       *testing.T
 	store   *objects.Objects
@@ -35,8 +36,8 @@
 	targets []order.Target
 }
 
-func newDomain(t *testing.T, engines int, fencing bool) *domain {
-	d := &domain{g: NewWithT(t), t: t, store: objects.New(), clock: clock.NewManual(time.Unix(1000, 0))}
+func newTestDomain(t *testing.T, engines int, fencing bool) *testDomain {
+	d := &testDomain{g: NewWithT(t), t: t, store: objects.New(), clock: clock.NewManual(time.Unix(1000, 0))}
 	for i := range engines {
 		e := engine.New(engine.Options{Name: fmt.Sprint("e", i), Fencing: fencing, Crash: func() {}})
 		srv := httptest.NewServer(e.Handler())
@@ -49,44 +50,45 @@
 	return d
 }
 
-// orderer is one entry host. Its hooks run in the middle of an order.
-type orderer struct {
+// testHost is one entry host. Its sender can run a hook in the middle of an
+// order.
+type testHost struct {
 	*lease.Elector
 	*order.Manager
-	sender *hooked
+	sender *hookedSender
 }
 
-// hooked runs before, once, between the manager's question whether the lease
-// is held and the write of the order: the place where a stopped process cannot
-// be kept from acting.
-type hooked struct {
+// hookedSender runs beforeSend, once, after the manager has checked the lease
+// and before the order is written: a process that is suspended there cannot be
+// kept from sending the order.
+type hookedSender struct {
 	order.Sender
-	mu     sync.Mutex
-	before func()
-	lose   bool // the answer of every order
+	mu            sync.Mutex
+	beforeSend    func()
+	loseResponses bool // Send fails after the engine accepted the order
 }
 
-func (h *hooked) Send(ctx context.Context, address string, o order.Order) error {
+func (h *hookedSender) Send(ctx context.Context, address string, o order.Order) error {
 	h.mu.Lock()
-	before := h.before
-	h.before = nil
+	before := h.beforeSend
+	h.beforeSend = nil
 	h.mu.Unlock()
 	if before != nil {
 		before()
 	}
 	err := h.Sender.Send(ctx, address, o)
-	if h.lose && err == nil {
-		return errors.New("answer lost")
+	if h.loseResponses && err == nil {
+		return errors.New("response lost")
 	}
 	return err
 }
 
-func (d *domain) host(name string, models ...string) *orderer {
+func (d *testDomain) newHost(name string, models ...string) *testHost {
 	k := lease.NewElector(lease.Options{
 		Store: d.store, Clock: d.clock, Rand: clock.NewSeeded(1), Key: lease.KeyPrefix + "d", Host: name,
-		IsCandidate: func() bool { return true }, TTL: ttl, Margin: margin, MaxOrderDuration: longest,
+		IsCandidate: func() bool { return true }, TTL: ttl, Margin: margin, MaxOrderDuration: maxOrderDuration,
 	})
-	s := &hooked{Sender: engineorder.New()}
+	s := &hookedSender{Sender: engineorder.New()}
 	m := order.New(order.Options{Lease: k, Clock: d.clock, Sender: s, OrdersPerSecond: 100, MaxParallel: 100, Targets: func() []order.Target {
 		out := append([]order.Target(nil), d.targets...)
 		for i := range out {
@@ -94,14 +96,14 @@
 		}
 		return out
 	}})
-	return &orderer{k, m, s}
+	return &testHost{k, m, s}
 }
 
-// acquire waits the earlier holder out and takes the lease.
-func (d *domain) acquire(o *orderer) uint64 {
+// acquire lets the previous holder's lease expire and acquires it.
+func (d *testDomain) acquire(o *testHost) uint64 {
 	for range 3 {
 		o.Step(context.Background())
-		d.clock.Advance(ttl + longest)
+		d.clock.Advance(ttl + maxOrderDuration)
 	}
 	o.Step(context.Background())
 	fence, ok := o.Held(d.clock.Now())
@@ -110,8 +112,8 @@
 }
 
 func TestOrdersAreAbsoluteAndReadBack(t *testing.T) {
-	d := newDomain(t, 3, true)
-	h := d.host("a", "m@1")
+	d := newTestDomain(t, 3, true)
+	h := d.newHost("a", "m@1")
 	ctx := context.Background()
 	h.Reconcile(ctx)
 	d.g.Expect(h.Counters.Sent.Load()).To(BeZero(), "no order without the lease")
@@ -124,14 +126,14 @@
 	}
 	d.clock.Advance(6 * time.Second)
 	h.Reconcile(ctx)
-	d.g.Expect(h.Counters.Sent.Load()).To(BeEquivalentTo(3), "an engine that has what it should gets no order")
+	d.g.Expect(h.Counters.Sent.Load()).To(BeEquivalentTo(3), "an engine in its desired state gets no order")
 }
 
-// A holder wants forty engines to load weights at once. The weight store would
-// be swamped and every load would be late; orders keep to its rate.
-func TestOrdersKeepToTheWeightStoresRate(t *testing.T) {
-	d := newDomain(t, 40, true)
-	k := d.host("a", "m@1")
+// Forty engines have to load weights. If all got their orders at once, the
+// weight store would be overloaded and every load late.
+func TestOrdersAreRateLimited(t *testing.T) {
+	d := newTestDomain(t, 40, true)
+	k := d.newHost("a", "m@1")
 	m := order.New(order.Options{
 		Lease: k.Elector, Clock: d.clock, Sender: engineorder.New(), OrdersPerSecond: 2, MaxParallel: 4, Targets: func() []order.Target { return d.targets },
 	})
@@ -145,15 +147,15 @@
 	d.g.Expect(m.Counters.Sent.Load()).To(BeEquivalentTo(10))
 }
 
-// The holder's process is stopped past its lease before it asks whether it may
-// act. Another host takes over and gives its own orders. The wakened holder
-// finds its time over by its own clock and sends nothing, whether engines
-// check fencing numbers or not.
-func TestWakenedHolderSendsNothing(t *testing.T) {
+// The holder's process is suspended past its lease before it checks the lease.
+// Another host acquires the lease and sends its own orders. The resumed holder
+// finds its lease expired by its own clock and sends nothing, whether or not
+// engines check fencing tokens.
+func TestHolderPastItsLeaseSendsNothing(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing=", fencing), func(t *testing.T) {
-			d := newDomain(t, 2, fencing)
-			old, next := d.host("old", "m@1"), d.host("next", "m@2")
+			d := newTestDomain(t, 2, fencing)
+			old, next := d.newHost("old", "m@1"), d.newHost("next", "m@2")
 			d.acquire(old)
 			second := d.acquire(next)
 			next.Reconcile(context.Background())
@@ -166,21 +168,21 @@
 	}
 }
 
-// The worst moment: the holder is stopped after it asked and before its order
-// is written. When it wakes, the order goes out late, below another's lease.
-// Engines that check refuse it, and the old holder learns that it lost. On
-// engines that do not check it takes effect, which nothing here can exclude;
-// orders are absolute, so the next holder reads the wrong state back and puts
-// it right.
-func TestOrderOfAHolderStoppedBeforeTheWrite(t *testing.T) {
+// The worst case: the holder is suspended after it checked the lease and before
+// its order is written. When it resumes, the order goes out late, under another
+// host's lease. Engines that check fencing tokens refuse it, and the old holder
+// drops its lease. On other engines it takes effect, which the sender cannot
+// prevent; orders are absolute, so the next holder reads the wrong state and
+// corrects it.
+func TestOrderOfHolderSuspendedBeforeTheWrite(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing=", fencing), func(t *testing.T) {
-			d := newDomain(t, 1, fencing)
+			d := newTestDomain(t, 1, fencing)
 			ctx := context.Background()
-			old, next := d.host("old", "m@1"), d.host("next", "m@2")
+			old, next := d.newHost("old", "m@1"), d.newHost("next", "m@2")
 			first := d.acquire(old)
 			var second uint64
-			old.sender.before = func() {
+			old.sender.beforeSend = func() {
 				second = d.acquire(next)
 				next.Reconcile(ctx)
 				d.g.Expect(next.Counters.Confirmed.Load()).To(BeEquivalentTo(1))
@@ -201,15 +203,16 @@
 	}
 }
 
-// The platform was restored to an older state and gives lower versions again,
-// so a holder's number is below what engines have seen. They refuse it; it
-// gives its lease up, takes it anew above their number, and is obeyed.
-func TestHolderBelowTheEnginesNumberRisesAboveIt(t *testing.T) {
-	d := newDomain(t, 1, true)
+// The platform was restored to an older state and assigns lower versions again,
+// so a holder's fencing token is below what engines have seen. They refuse its
+// orders; it drops the lease, acquires it again with a higher token, and its
+// orders are accepted.
+func TestHolderBelowTheEnginesTokenReacquiresAboveIt(t *testing.T) {
+	d := newTestDomain(t, 1, true)
 	ctx := context.Background()
 	const seen = 1 << 40
 	d.g.Expect(engineorder.New().Send(ctx, d.targets[0].Address, order.Order{Fence: seen, Models: []string{"m@0"}})).To(Succeed())
-	h := d.host("a", "m@1")
+	h := d.newHost("a", "m@1")
 	d.acquire(h)
 	h.Reconcile(ctx)
 	_, ok := h.Held(d.clock.Now())
@@ -219,25 +222,25 @@
 	d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}))
 }
 
-// The daemon is told to stop while an order is on its way. Cutting the order
-// would not take it back from the wire; if the lease were released then, the
-// next holder could begin at once and the late order undo what it did. The
-// order ends first; and when its answer was lost, the lease is not released.
-func TestLeaseIsReleasedOnlyWhenNoOrderIsLeft(t *testing.T) {
-	for name, answered := range map[string]bool{"answered": true, "answer lost": false} {
+// The daemon is stopped while an order is in flight. Canceling the order would
+// not take it back from the wire; if the lease were released then, the next
+// holder could start at once and the late order undo its work. The order has to
+// end first; if its response was lost, the lease must not be released.
+func TestLeaseIsReleasedOnlyWhenNoOrderIsInFlight(t *testing.T) {
+	for name, answered := range map[string]bool{"answered": true, "response lost": false} {
 		t.Run(name, func(t *testing.T) {
-			d := newDomain(t, 1, true)
-			old, next := d.host("old", "m@1"), d.host("next", "m@2")
+			d := newTestDomain(t, 1, true)
+			old, next := d.newHost("old", "m@1"), d.newHost("next", "m@2")
 			d.acquire(old)
 			ctx, cancel := context.WithCancel(context.Background())
-			old.sender.before = cancel
-			old.sender.lose = !answered
+			old.sender.beforeSend = cancel
+			old.sender.loseResponses = !answered
 			done := make(chan error, 1)
 			go func() { done <- old.Manager.Run(ctx) }()
 			d.g.Eventually(d.clock.Waiters).Should(Equal(1))
 			d.clock.Advance(time.Second)
 			d.g.Eventually(done, 10*time.Second).Should(Receive(BeNil()))
-			d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}), "the order was not cut")
+			d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}), "the order was not canceled")
 			next.Step(context.Background())
 			_, held := next.Held(d.clock.Now())
 			d.g.Expect(held).To(Equal(answered))
--- a/process/order/stopped_test.go
+++ b/process/order/suspended_test.go
@@ -21,15 +21,16 @@
 	"bilberrydale/process/order"
 )
 
-// Variables that make this test binary run as one holder.
+// Environment variables that make this test binary run as the suspended holder.
 const (
 	holderPlatform = "BILBERRY_TEST_HOLDER_PLATFORM"
 	holderEngine   = "BILBERRY_TEST_HOLDER_ENGINE"
 	holderModel    = "BILBERRY_TEST_HOLDER_MODEL"
 )
 
-// holder runs a keeper and a manager with short times on the real clock.
-func holder(ctx context.Context, name, store, address, model string) (*lease.Elector, *order.Manager) {
+// startHolder runs an elector and a manager with short times on the system
+// clock.
+func startHolder(ctx context.Context, name, store, address, model string) (*lease.Elector, *order.Manager) {
 	const unit = 100 * time.Millisecond
 	k := lease.NewElector(lease.Options{
 		Store: objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(store, "")), objectapi.ClientOptions{}), Clock: clock.System{}, Rand: clock.SystemRand{},
@@ -45,23 +46,23 @@
 	return k, m
 }
 
-// TestHolderProcess is the body of the holder that TestStoppedProcess starts.
+// TestHolderProcess is the process that TestSuspendedHolderProcess starts.
 func TestHolderProcess(t *testing.T) {
 	if os.Getenv(holderPlatform) == "" {
 		return
 	}
-	holder(context.Background(), "stopped", os.Getenv(holderPlatform), os.Getenv(holderEngine), os.Getenv(holderModel))
+	startHolder(context.Background(), "stopped", os.Getenv(holderPlatform), os.Getenv(holderEngine), os.Getenv(holderModel))
 	select {}
 }
 
-// The holder is a real process and is stopped with SIGSTOP past its lease.
-// Another host takes the lease over and gives other orders. Then the first is
-// continued: it wakes with its timers due and wants its own model loaded. An
-// engine that checks takes nothing of it, and one that does not ends with what
-// the present holder wants. The process may have been stopped between asking
-// and writing, so a single late order is allowed on the second kind; the new
-// holder has to put it right.
-func TestStoppedProcess(t *testing.T) {
+// The holder is a real process that is suspended with SIGSTOP past its lease.
+// Another host acquires the lease and sends other orders. Then the first
+// process is continued: its timers are due and it orders its own model. An
+// engine that checks fencing tokens accepts nothing from it; one that does not
+// check them ends in the state that the current holder orders. The process may
+// have been suspended between the check of the lease and the write, so a single
+// late order is allowed on such an engine; the new holder has to correct it.
+func TestSuspendedHolderProcess(t *testing.T) {
 	for name, fencing := range map[string]bool{"fencing": true, "no fencing": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -85,13 +86,13 @@
 
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			k, m := holder(ctx, "next", api.URL, address, "new@2")
+			k, m := startHolder(ctx, "next", api.URL, address, "new@2")
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"new@2"}))
 			second := e.Applied()[len(e.Applied())-1]
 			g.Expect(second).To(BeNumerically(">", first))
 
-			// The platform is down when the process wakes, so that only its own
-			// clock can tell it that its time is over.
+			// The platform is down when the process resumes, so that only its own
+			// clock can show that its lease has expired.
 			store.SetFaults(objects.Faults{Down: true})
 			before := store.Counts().Writes
 			g.Expect(cmd.Process.Signal(syscall.SIGCONT)).To(Succeed())
@@ -112,7 +113,7 @@
 			} else {
 				g.Expect(late).To(BeNumerically("<=", 1))
 			}
-			t.Logf("orders applied, by number: %v; sent by the next holder: %d", e.Applied(), m.Counters.Sent.Load())
+			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.Applied(), m.Counters.Sent.Load())
 		})
 	}
 }
