--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -1,7 +1,7 @@
-// Package clock gives decisions their time and random numbers, so that a run
+// Package clock provides time and random numbers as interfaces, so that a run
 // can be repeated exactly. Code under request/, connection/, version/ and
-// process/ that decides something takes a Clock and a Rand; it never calls
-// time.Now itself.
+// process/ whose decisions depend on time or chance takes a Clock and a Rand and
+// does not call time.Now itself.
 package clock
 
 import (
@@ -10,22 +10,24 @@
 	"time"
 )
 
-// Clock tells the time and wakes waiters.
+// Clock is a source of time. Implementations are safe for concurrent use.
 type Clock interface {
 	Now() time.Time
+	// After returns a channel that receives the time once d has passed.
 	After(d time.Duration) <-chan time.Time
 }
 
-// Rand is a random source that is safe for concurrent use.
+// Rand is a source of pseudo-random numbers that is safe for concurrent use.
 type Rand interface {
 	// IntN returns a number in [0,n); n must be positive.
 	IntN(n int) int
 	// Float64 returns a number in [0,1).
 	Float64() float64
+	// Uint64 returns a uniformly distributed 64-bit number.
 	Uint64() uint64
 }
 
-// System is the real clock.
+// System is the clock of the operating system, as used by package time.
 type System struct{}
 
 // Now implements Clock.
@@ -34,7 +36,8 @@
 // After implements Clock.
 func (System) After(d time.Duration) <-chan time.Time { return time.After(d) }
 
-// SystemRand is the process's random source; it takes no lock.
+// SystemRand is the process-wide random source of math/rand/v2, which takes no
+// lock.
 type SystemRand struct{}
 
 // IntN implements Rand.
@@ -46,13 +49,13 @@
 // Uint64 implements Rand.
 func (SystemRand) Uint64() uint64 { return rand.Uint64() }
 
-// Seeded is a repeatable random source.
+// Seeded is a random source with a reproducible sequence.
 type Seeded struct {
 	mu sync.Mutex
 	r  *rand.Rand
 }
 
-// NewSeeded returns a source whose sequence depends on seed alone.
+// NewSeeded returns a source whose sequence depends only on seed.
 func NewSeeded(seed uint64) *Seeded {
 	return &Seeded{r: rand.New(rand.NewPCG(seed, seed^0x9e3779b97f4a7c15))}
 }
@@ -78,19 +81,20 @@
 	return s.r.Uint64()
 }
 
-// Manual is a clock that moves only when told to.
+// Manual is a clock for tests and simulations whose time changes only by Advance.
 type Manual struct {
 	mu      sync.Mutex
 	now     time.Time
 	waiters []waiter
 }
 
+// waiter is a channel returned by Manual.After and the time at which it is due.
 type waiter struct {
-	at time.Time
-	ch chan time.Time
+	due time.Time
+	ch  chan time.Time
 }
 
-// NewManual returns a manual clock that shows start.
+// NewManual returns a manual clock that is set to start.
 func NewManual(start time.Time) *Manual { return &Manual{now: start} }
 
 // Now implements Clock.
@@ -100,37 +104,39 @@
 	return m.now
 }
 
-// After implements Clock.
+// After implements Clock. The time is delivered by the call of Advance that
+// reaches it, or at once if d is not positive.
 func (m *Manual) After(d time.Duration) <-chan time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	ch := make(chan time.Time, 1)
-	at := m.now.Add(d)
+	due := m.now.Add(d)
 	if d <= 0 {
 		ch <- m.now
 		return ch
 	}
-	m.waiters = append(m.waiters, waiter{at, ch})
+	m.waiters = append(m.waiters, waiter{due, ch})
 	return ch
 }
 
-// Advance moves the clock and wakes every waiter that is due.
+// Advance moves the clock forward by d and delivers the time to every channel of
+// After that is due.
 func (m *Manual) Advance(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.now = m.now.Add(d)
-	kept := m.waiters[:0]
+	pending := m.waiters[:0]
 	for _, w := range m.waiters {
-		if w.at.After(m.now) {
-			kept = append(kept, w)
+		if w.due.After(m.now) {
+			pending = append(pending, w)
 			continue
 		}
 		w.ch <- m.now
 	}
-	m.waiters = kept
+	m.waiters = pending
 }
 
-// Waiters returns how many goroutines wait on the clock.
+// Waiters returns the number of channels of After that are not due yet.
 func (m *Manual) Waiters() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/drain/drain.go
+++ b/process/drain/drain.go
@@ -1,4 +1,5 @@
-// Package drain counts the work in flight so that a shutdown cuts none of it.
+// Package drain counts the work in flight, so that a shutdown can wait for all
+// of it to end.
 package drain
 
 import (
@@ -7,21 +8,22 @@
 	"sync/atomic"
 )
 
-// Gate lets work in until it is closed. The zero value is open.
+// Gate admits work until it is closed. The zero value is open. It is safe for
+// concurrent use.
 type Gate struct {
 	closed atomic.Bool
 	active atomic.Int64
 
-	once sync.Once
-	mu   sync.Mutex
-	idle chan struct{} // closed when the gate is closed and no work is left
+	once    sync.Once
+	mu      sync.Mutex
+	drained chan struct{} // closed once the gate is closed and no work is in flight
 }
 
-// Enter admits one piece of work; false means that the gate is closed. After
-// true, Exit must follow once.
+// Enter admits one unit of work, or returns false if the gate is closed. After
+// true the caller must call Exit exactly once.
 func (g *Gate) Enter() bool {
-	// Counting before looking closes the race in which Close sees no work
-	// while a request is between the two steps.
+	// The count is raised before closed is read: in the opposite order, Close
+	// could find no work in flight while a request is between the two steps.
 	g.active.Add(1)
 	if g.closed.Load() {
 		g.Exit()
@@ -30,51 +32,54 @@
 	return true
 }
 
-// Hold counts a piece of work that goes on after the one that let it in, also
-// while the gate is closed. The caller still holds the gate; Exit must follow.
+// EnterNested admits a unit of work that outlives the one that starts it, even
+// if the gate is closed. The caller must have entered and not yet exited; Exit
+// must be called exactly once for the new unit.
 func (g *Gate) EnterNested() { g.active.Add(1) }
 
-// Exit ends one piece of work.
+// Exit ends one unit of work.
 func (g *Gate) Exit() {
 	if g.active.Add(-1) == 0 && g.closed.Load() {
-		g.signal()
+		g.signalDrained()
 	}
 }
 
-// Close stops new work. It may be called more than once.
+// Close makes Enter refuse new work. It may be called more than once.
 func (g *Gate) Close() {
 	g.closed.Store(true)
 	if g.active.Load() == 0 {
-		g.signal()
+		g.signalDrained()
 	}
 }
 
 // Closed reports whether Close was called.
 func (g *Gate) Closed() bool { return g.closed.Load() }
 
-// Active returns the work in flight.
+// Active returns the number of units of work in flight.
 func (g *Gate) Active() int64 { return g.active.Load() }
 
-// Wait returns when the gate is closed and no work is left, or with ctx's
-// error.
+// Wait returns nil once the gate is closed and no work is in flight, or ctx's
+// error if ctx ends first.
 func (g *Gate) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-g.done():
+	case <-g.drainedChan():
 		return nil
 	}
 }
 
-func (g *Gate) done() chan struct{} {
+// drainedChan returns the channel drained, creating it on first use.
+func (g *Gate) drainedChan() chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.idle == nil {
-		g.idle = make(chan struct{})
+	if g.drained == nil {
+		g.drained = make(chan struct{})
 	}
-	return g.idle
+	return g.drained
 }
 
-func (g *Gate) signal() {
-	g.once.Do(func() { close(g.done()) })
+// signalDrained wakes all callers of Wait.
+func (g *Gate) signalDrained() {
+	g.once.Do(func() { close(g.drainedChan()) })
 }
--- a/process/drain/drain_test.go
+++ b/process/drain/drain_test.go
@@ -10,46 +10,46 @@
 	. "github.com/onsi/gomega"
 )
 
-// Requests come and go while the gate is closed, and some leave work behind
-// that goes on without them. Whoever was let in has ended when Wait returns; a
-// wait that returned earlier would cut them with the process.
-func TestNothingLetInIsCut(t *testing.T) {
+// Requests enter and exit while the gate is being closed, and each starts work
+// that outlives it. When Wait returns, all work that entered must have ended:
+// otherwise the exit of the process would abort it.
+func TestWaitReturnsOnlyAfterAllEnteredWorkExits(t *testing.T) {
 	g := NewWithT(t)
 	for range 2000 {
 		var gate Gate
-		var over, late atomic.Bool
-		var left sync.WaitGroup
-		var inside sync.WaitGroup
-		begin := make(chan struct{})
+		var drained, workAfterDrain atomic.Bool
+		var nested sync.WaitGroup
+		var requests sync.WaitGroup
+		start := make(chan struct{})
 		for range 8 {
-			inside.Go(func() {
-				<-begin
+			requests.Go(func() {
+				<-start
 				if !gate.Enter() {
 					return
 				}
 				gate.EnterNested()
-				left.Go(func() {
+				nested.Go(func() {
 					runtime.Gosched()
-					late.Store(late.Load() || over.Load())
+					workAfterDrain.Store(workAfterDrain.Load() || drained.Load())
 					gate.Exit()
 				})
 				gate.Exit()
 			})
 		}
-		close(begin)
+		close(start)
 		gate.Close()
 		g.Expect(gate.Wait(context.Background())).To(Succeed())
-		over.Store(true)
-		inside.Wait()
-		left.Wait()
-		g.Expect(late.Load()).To(BeFalse(), "work after the wait")
+		drained.Store(true)
+		requests.Wait()
+		nested.Wait()
+		g.Expect(workAfterDrain.Load()).To(BeFalse(), "work ran after Wait returned")
 		g.Expect(gate.Active()).To(BeZero())
 		g.Expect(gate.Enter()).To(BeFalse())
 	}
 }
 
-// A drain that takes too long ends with its context, and says so.
-func TestWaitEndsWithItsContext(t *testing.T) {
+// A drain that takes too long ends with its context and returns its error.
+func TestWaitReturnsContextError(t *testing.T) {
 	g := NewWithT(t)
 	var gate Gate
 	g.Expect(gate.Enter()).To(BeTrue())
--- a/process/keypair/keypair.go
+++ b/process/keypair/keypair.go
@@ -1,5 +1,5 @@
-// Package keypair keeps the certificate of a listening port and replaces it
-// while the process runs, so that a renewed certificate needs no restart.
+// Package keypair loads the TLS certificate of a listener and replaces it while
+// the process runs, so that a renewed certificate needs no restart.
 package keypair
 
 import (
@@ -15,19 +15,21 @@
 	"bilberrydale/process/clock"
 )
 
-// CheckEvery is the pause between two looks at the files.
+// PollInterval is the time between two checks of the files for changes.
 const PollInterval = 10 * time.Second
 
-// Reloader serves the newest sound pair of its two PEM files.
+// Reloader serves the last valid certificate and key read from two PEM files.
+// It is safe for concurrent use.
 type Reloader struct {
 	certFile, keyFile string
 	current           atomic.Pointer[tls.Certificate]
 
-	mu   sync.Mutex
-	read []byte // both files as last loaded
+	mu        sync.Mutex
+	loadedPEM []byte // contents of both files at the last successful load
 }
 
-// New loads the pair; a pair that does not fit is an error.
+// New loads the certificate and key. It fails if a file cannot be read or the
+// key does not match the certificate.
 func New(certFile, keyFile string) (*Reloader, error) {
 	r := &Reloader{certFile: certFile, keyFile: keyFile}
 	if _, err := r.Reload(); err != nil {
@@ -36,22 +38,23 @@
 	return r, nil
 }
 
-// Reload reads the files again and reports whether they had changed. A pair
-// that is half written or does not fit leaves the earlier one in use: callers
-// must not lose a working port to a mistake in a renewal.
+// Reload reads the files again and reports whether a changed pair was loaded. If
+// the files are invalid or do not match, as while a renewal is being written,
+// it returns an error and the previous pair stays in use, so that a mistake in
+// a renewal does not take a working port down.
 func (r *Reloader) Reload() (changed bool, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	certPEM, err := os.ReadFile(r.certFile)
 	if err != nil {
-		return false, fmt.Errorf("certificate: %w", err)
+		return false, fmt.Errorf("read certificate: %w", err)
 	}
 	keyPEM, err := os.ReadFile(r.keyFile)
 	if err != nil {
-		return false, fmt.Errorf("certificate's key: %w", err)
+		return false, fmt.Errorf("read key of the certificate: %w", err)
 	}
-	both := append(append(certPEM, 0), keyPEM...)
-	if bytes.Equal(both, r.read) {
+	contents := append(append(certPEM, 0), keyPEM...)
+	if bytes.Equal(contents, r.loadedPEM) {
 		return false, nil
 	}
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
@@ -59,12 +62,12 @@
 		return false, fmt.Errorf("certificate %s: %w", r.certFile, err)
 	}
 	r.current.Store(&pair)
-	r.read = both
+	r.loadedPEM = contents
 	return true, nil
 }
 
-// Config returns the listener's TLS settings. Each handshake takes the pair
-// then in use; connections that are open keep theirs.
+// TLSConfig returns the TLS configuration of the listener. Each handshake uses
+// the pair that is current at that time; open connections keep theirs.
 func (r *Reloader) TLSConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -74,18 +77,19 @@
 	}
 }
 
-// Watch reloads on each signal from now and whenever the files change, until
-// ctx ends. report hears of each reload and of each failure.
-func (r *Reloader) Watch(ctx context.Context, c clock.Clock, now <-chan os.Signal, report func(file string, err error)) {
+// Watch reloads the files on each value from reload and whenever they change,
+// until ctx ends. It calls onReload after each successful reload, with a nil
+// error, and after each failure.
+func (r *Reloader) Watch(ctx context.Context, c clock.Clock, reload <-chan os.Signal, onReload func(file string, err error)) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-now:
+		case <-reload:
 		case <-c.After(PollInterval):
 		}
 		if changed, err := r.Reload(); changed || err != nil {
-			report(r.certFile, err)
+			onReload(r.certFile, err)
 		}
 	}
 }
--- a/process/keypair/keypair_test.go
+++ b/process/keypair/keypair_test.go
@@ -19,7 +19,7 @@
 	"bilberrydale/process/clock"
 )
 
-// writePair writes a fresh pair whose certificate has the serial number.
+// writePair writes a new key and a certificate with that serial number.
 func writePair(t *testing.T, cert, key string, serial int64) {
 	t.Helper()
 	g := NewWithT(t)
@@ -42,9 +42,9 @@
 }
 
 // A renewal writes the certificate first and the key a moment later. Between
-// the two the pair does not fit: handshakes must go on with the old pair, and
-// take the new one once it is whole.
-func TestRenewalNeverLosesThePort(t *testing.T) {
+// the two writes the files do not match: handshakes have to use the old pair,
+// and the new one once both files are written.
+func TestHalfWrittenRenewalKeepsThePreviousPair(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	cert, key := filepath.Join(dir, "c.pem"), filepath.Join(dir, "k.pem")
@@ -74,7 +74,7 @@
 	<-done
 }
 
-func TestAMissingFileIsAnErrorAtTheStart(t *testing.T) {
+func TestNewReportsMissingFile(t *testing.T) {
 	_, err := New("none.pem", "none.key")
 	NewWithT(t).Expect(err).To(MatchError(os.ErrNotExist))
 }
--- a/process/kind/kind.go
+++ b/process/kind/kind.go
@@ -1,6 +1,6 @@
-// Package kind holds the closed list of error kinds and the one table that
-// maps a kind to the answer a caller gets. Every refusal and failure on the
-// request path is one of these kinds; nothing else reaches a caller.
+// Package kind defines the error kinds of the request path and the table that
+// maps each kind to the response that a caller gets. Every refusal and failure
+// is reported to callers as one of these kinds.
 package kind
 
 import (
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// Kind names one reason why a request did not get its whole answer.
+// Kind is the reason why a request did not get its complete response. Its value
+// is part of the response.
 type Kind string
 
-// The closed list of kinds.
+// All kinds. What each means is the title of its row in the table of policies.
 const (
 	BadRequest         Kind = "bad_request"
 	TooLarge           Kind = "too_large"
@@ -40,34 +41,36 @@
 	StreamCut          Kind = "stream_cut"
 	Cancelled          Kind = "cancelled"
 	Internal           Kind = "internal"
-	statusClientClosed      = 499 // customary status for a caller that went away
+	statusClientClosed      = 499 // common status for a client that closed the connection
 )
 
-// Ran tells whether any backend server may have executed the request.
+// Ran states whether a backend server may have executed the request. Its value
+// is part of the response.
 type Ran string
 
-// Values of Ran. RanNo is a fact, not a guess: no backend server can have
-// received any part of the request.
+// Values of Ran. RanNo is a guarantee: no backend server can have received any
+// part of the request.
 const (
 	RanNo      Ran = "no"
 	RanUnknown Ran = "unknown"
 	RanYes     Ran = "yes"
 )
 
-// Advice is a row of the answer table.
+// ResponsePolicy is what the response to a kind of error says.
 type ResponsePolicy struct {
-	Status int
-	// Ran is the strongest statement this kind allows while nothing has been
-	// dispatched. Once something was dispatched, RanNo becomes RanUnknown.
+	Status int // HTTP status
+	// Ran is the strongest statement that this kind allows while no part of the
+	// request has been sent to a backend server. After that, RanNo becomes
+	// RanUnknown.
 	Ran Ran
-	// Retry says whether sending the request again may help; RetryAfter is
-	// the default wait before that when the error carries none.
+	// Retry is set if sending the request again may succeed. RetryAfter is the
+	// wait before that if the error does not set one.
 	Retry      bool
 	RetryAfter time.Duration
 	Title      string
 }
 
-var advice = map[Kind]ResponsePolicy{
+var policies = map[Kind]ResponsePolicy{
 	BadRequest:       {http.StatusBadRequest, RanNo, false, 0, "The request is malformed"},
 	TooLarge:         {http.StatusRequestEntityTooLarge, RanNo, false, 0, "The request body is too large"},
 	NoRoute:          {http.StatusNotFound, RanNo, false, 0, "No route matches the request"},
@@ -95,42 +98,44 @@
 	Internal:         {http.StatusInternalServerError, RanNo, false, 0, "The entry host failed on this request"},
 }
 
-// All returns every kind, for documentation and for tests of completeness.
+// All returns every kind, in no particular order, for documentation and for
+// tests of completeness.
 func All() []Kind {
-	out := make([]Kind, 0, len(advice))
-	for k := range advice {
+	out := make([]Kind, 0, len(policies))
+	for k := range policies {
 		out = append(out, k)
 	}
 	return out
 }
 
-// Lookup returns the table row of k; an unlisted kind answers as Internal.
+// Lookup returns the policy of k; an unknown kind has that of Internal.
 func Lookup(k Kind) ResponsePolicy {
-	if a, ok := advice[k]; ok {
-		return a
+	if policy, ok := policies[k]; ok {
+		return policy
 	}
-	return advice[Internal]
+	return policies[Internal]
 }
 
-// Error is the typed error of the request path.
+// Error is an error of the request path.
 type Error struct {
 	Kind       Kind
-	Detail     string
-	RetryAfter time.Duration // 0: the table's default
-	// Dispatched is true once any byte of the request may have reached a
-	// backend server. It weakens "ran: no" to "ran: unknown".
+	Detail     string        // part of the response
+	RetryAfter time.Duration // 0: that of the kind's policy
+	// Dispatched is set once any byte of the request may have reached a backend
+	// server. It weakens RanNo to RanUnknown.
 	Dispatched bool
-	// Earlier is true if an earlier send with the same key may have run. It
-	// weakens "ran: no" in the same way: the caller asks about its request,
-	// not about this one send of it.
+	// EarlierAttempt is set if an earlier attempt with the same idempotency key
+	// may have run. It weakens RanNo in the same way: the statement is about
+	// the caller's request and not about this attempt.
 	EarlierAttempt bool
-	// RanYes marks a backend server's own answer as proof of execution.
+	// ExecutionConfirmed is set if a backend server's response proves that it
+	// executed the request.
 	ExecutionConfirmed bool
-	Cause              error
+	Cause              error // returned by Unwrap
 }
 
-// New returns an error of kind k with a formatted detail. A %w verb sets the
-// cause.
+// New returns an error of kind k whose detail is formatted as by fmt.Errorf. An
+// operand of the verb %w is its cause.
 func New(k Kind, format string, args ...any) *Error {
 	err := fmt.Errorf(format, args...)
 	return &Error{Kind: k, Detail: err.Error(), Cause: errors.Unwrap(err)}
@@ -142,31 +147,33 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Ran returns what may truthfully be said about execution.
+// Ran returns the strongest statement about execution that holds.
 func (e *Error) Ran() Ran {
 	if e.ExecutionConfirmed {
 		return RanYes
 	}
-	ran := Lookup(e.Kind).Ran
-	if (e.Dispatched || e.EarlierAttempt) && ran == RanNo {
+	statement := Lookup(e.Kind).Ran
+	if (e.Dispatched || e.EarlierAttempt) && statement == RanNo {
 		return RanUnknown
 	}
-	return ran
+	return statement
 }
 
-// Wait returns when to come back; 0 means that a retry does not help.
+// RetryDelay returns how long the caller should wait before it sends the
+// request again; 0 means that a retry does not help.
 func (e *Error) RetryDelay() time.Duration {
-	a := Lookup(e.Kind)
-	if !a.Retry {
+	policy := Lookup(e.Kind)
+	if !policy.Retry {
 		return 0
 	}
 	if e.RetryAfter > 0 {
 		return e.RetryAfter
 	}
-	return a.RetryAfter
+	return policy.RetryAfter
 }
 
-// From returns err as an *Error; an error of another type becomes Internal.
+// From returns the *Error in err's chain, or an error of kind Internal whose
+// cause is err.
 func From(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
