--- a/process/claim/at_most_once_test.go
+++ b/process/claim/at_most_once_test.go
@@ -17,7 +17,8 @@
 	"bilberrydale/process/peer/peertest"
 )
 
-// cluster is a platform and the claims of a few entry hosts.
+// cluster is an object store and a network for the claim managers of a few entry
+// hosts.
 type cluster struct {
 	objects *standin.Objects
 	net     *peertest.Network
@@ -32,21 +33,21 @@
 }
 
 func (c *cluster) start(name string, incarnation uint64) *Manager {
-	return c.over(c.objects, name, incarnation)
+	return c.startWithStore(c.objects, name, incarnation)
 }
 
-func (c *cluster) over(store objectapi.Store, name string, incarnation uint64) *Manager {
+func (c *cluster) startWithStore(store objectapi.Store, name string, incarnation uint64) *Manager {
 	link := c.net.Join(peer.Identity{Host: name, Incarnation: incarnation})
 	return New(Config{Host: name, Incarnation: incarnation, Store: store, Clock: c.clock, Link: link, Options: c.opts})
 }
 
-func key(text string) Key { return Key{Account: "depot", Key: text, Body: 7} }
+func testKey(text string) Key { return Key{Account: "depot", Key: text, Body: 7} }
 
 var background = context.Background()
 
-// The caller sends one key to two entry hosts at the same moment. Each knows
-// only itself until the platform or the other says more. With claims in memory
-// alone both run it, and the transfer is booked twice.
+// Guards against a doubled booking when a caller sends one key to two entry hosts
+// at the same time. With claims held only in each host's memory, both hosts run
+// it.
 func TestTwoHostsNeverRunOneKey(t *testing.T) {
 	run := func(a, b Claims) (doubled int) {
 		for i := range 200 {
@@ -54,7 +55,7 @@
 			var wg sync.WaitGroup
 			for _, h := range []Claims{a, b} {
 				wg.Go(func() {
-					k := key(fmt.Sprint("k", i))
+					k := testKey(fmt.Sprint("k", i))
 					if h.Begin(background, k).State == Granted {
 						n.Add(1)
 						h.Finish(background, k, Response{Status: 200})
@@ -69,98 +70,98 @@
 		return doubled
 	}
 	g := NewWithT(t)
-	g.Expect(run(NewMemory(), NewMemory())).To(Equal(200), "the naive variant")
+	g.Expect(run(NewMemory(), NewMemory())).To(Equal(200), "hosts with separate in-memory claims")
 	c := newCluster()
-	c.opts.PollInterval = 0 // the manual clock wakes at once
+	c.opts.PollInterval = 0 // the manual clock fires immediately
 	g.Expect(run(c.start("a", 1), c.start("b", 1))).To(Equal(0))
 }
 
-// The platform applies the write of a claim and its answer is lost. Taken for
-// a failure, the key would be blocked by a claim nobody runs; taken for a
-// success, a write that did not happen would let two hosts run the key.
-func TestLostAnswerOfAClaimIsReadNotGuessed(t *testing.T) {
+// The platform applies the write of a claim, but its response is lost. Treating that
+// as a failure would block the key by a claim under which nothing runs; treating
+// it as a success would let two hosts run the key when the write did not happen.
+func TestLostWriteResponseIsResolvedByRead(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
 	c.objects.SetFaults(standin.Faults{LoseWrites: 1})
-	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
+	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
 	g.Expect(a.Counters.LostResponses.Load()).To(BeEquivalentTo(1))
-	a.MarkUnknown(background, key("k"))
-	g.Expect(b.Begin(background, key("k")).State).To(Equal(Unknown))
+	a.MarkUnknown(background, testKey("k"))
+	g.Expect(b.Begin(background, testKey("k")).State).To(Equal(Unknown))
 }
 
-// flaky loses the answer of a write and then is down.
-type flaky struct {
+// flakyStore loses the response of one write and is down from then on.
+type flakyStore struct {
 	*standin.Objects
-	lose atomic.Bool
+	loseNextResponse atomic.Bool
 }
 
-func (f *flaky) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (f *flakyStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	v, err := f.Objects.Put(ctx, key, value, expect)
-	if err == nil && f.lose.Swap(false) {
+	if err == nil && f.loseNextResponse.Swap(false) {
 		f.SetFaults(standin.Faults{Down: true})
 		return 0, objectapi.ErrUnknownOutcome
 	}
 	return v, err
 }
 
-// Two faults together: the claim's answer is lost and the platform goes down
-// before it can be read. The caller is refused; its resend, to the same or to
-// another host, runs once, because nothing was dispatched under the first.
-func TestUndecidedClaimIsTakenUpByTheResend(t *testing.T) {
+// The response of a claim's write is lost and the platform goes down before the
+// claim can be read. The caller is refused. Its resend to the same or another
+// host runs once, because nothing was dispatched under the first claim.
+func TestResendRecoversClaimOfUnknownOutcome(t *testing.T) {
 	for _, other := range []bool{false, true} {
 		g := NewWithT(t)
 		c := newCluster()
-		store := &flaky{Objects: c.objects}
-		a, b := c.over(store, "a", 1), c.start("b", 1)
-		store.lose.Store(true)
-		g.Expect(a.Begin(background, key("k")).State).To(Equal(Unavailable))
+		store := &flakyStore{Objects: c.objects}
+		a, b := c.startWithStore(store, "a", 1), c.start("b", 1)
+		store.loseNextResponse.Store(true)
+		g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Unavailable))
 		c.objects.SetFaults(standin.Faults{})
 		c.clock.Advance(c.opts.StoreBackoff)
 		if !other {
-			g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
+			g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
 			continue
 		}
 		g.Eventually(func() State {
 			ctx, cancel := context.WithTimeout(background, 20*time.Millisecond)
 			defer cancel()
-			return b.Begin(ctx, key("k")).State
+			return b.Begin(ctx, testKey("k")).State
 		}).Should(Equal(Granted))
 		ctx, cancel := context.WithTimeout(background, 20*time.Millisecond)
 		defer cancel()
-		g.Expect(a.Begin(ctx, key("k")).State).To(Equal(Running))
+		g.Expect(a.Begin(ctx, testKey("k")).State).To(Equal(Running))
 	}
 }
 
-// A host claims a key and dies. Nobody can tell whether the request ran, so a
-// resend elsewhere is told so and never runs it. If the host could still write
-// down the outcome, the resend learns that it ran.
-func TestKeyOfADeadHostIsUnknownNotRerun(t *testing.T) {
+// A host claims a key and dies. Whether the request ran cannot be determined, so a
+// resend to another host gets Unknown and does not run it. If the host wrote the
+// outcome before, the resend gets Done.
+func TestKeyOfADeadHostIsNotRunAgain(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
-	g.Expect(a.Begin(background, key("open")).State).To(Equal(Granted))
-	g.Expect(a.Begin(background, key("done")).State).To(Equal(Granted))
-	a.Finish(background, key("done"), Response{Status: 200})
+	g.Expect(a.Begin(background, testKey("open")).State).To(Equal(Granted))
+	g.Expect(a.Begin(background, testKey("done")).State).To(Equal(Granted))
+	a.Finish(background, testKey("done"), Response{Status: 200})
 	g.Expect(a.Flush(background)).To(Succeed())
 	c.net.Leave("a")
-	g.Expect(b.Begin(background, key("open")).State).To(Equal(Unknown))
-	g.Expect(b.Begin(background, key("done"))).To(Equal(Result{State: Done}))
+	g.Expect(b.Begin(background, testKey("open")).State).To(Equal(Unknown))
+	g.Expect(b.Begin(background, testKey("done"))).To(Equal(Result{State: Done}))
 	restarted := c.start("a", 2)
-	g.Expect(restarted.Begin(background, key("open")).State).To(Equal(Unknown))
+	g.Expect(restarted.Begin(background, testKey("open")).State).To(Equal(Unknown))
 }
 
-// A resend to another host while the first still runs waits for its answer; one
-// after the end gets the kept answer; one with another body is an error.
-func TestResendElsewhereGetsTheOwnersAnswer(t *testing.T) {
+// A resend to another host while the first attempt runs waits for its response. A
+// resend with another body is refused on both hosts.
+func TestResendToAnotherHostGetsOwnersResponse(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
-	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
+	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
 	got := make(chan Result)
-	go func() { got <- b.Begin(background, key("k")) }()
+	go func() { got <- b.Begin(background, testKey("k")) }()
 	g.Eventually(c.clock.Waiters).Should(Equal(1))
-	a.Finish(background, key("k"), Response{Status: 200, Body: []byte("booked")})
+	a.Finish(background, testKey("k"), Response{Status: 200, Body: []byte("booked")})
 	c.clock.Advance(c.opts.PollInterval)
 	var res Result
 	g.Eventually(got).Should(Receive(&res))
@@ -171,44 +172,44 @@
 	}
 }
 
-// A claim is given up before anything was dispatched: any host may run the key
-// then, but never two.
-func TestReleasedKeyRunsElsewhere(t *testing.T) {
+// A claim is released before anything was dispatched. After that another host may
+// run the key, but only one.
+func TestReleasedKeyRunsOnAnotherHost(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
-	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
-	a.Release(background, key("k"))
-	g.Eventually(func() bool { _, ok := a.table.peek(key("k").ID()); return ok }).Should(BeFalse())
-	g.Expect(b.Begin(background, key("k")).State).To(Equal(Granted))
-	b.MarkUnknown(background, key("k"))
-	g.Expect(a.Begin(background, key("k")).State).To(Equal(Unknown))
+	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
+	a.Release(background, testKey("k"))
+	g.Eventually(func() bool { _, ok := a.table.get(testKey("k").ID()); return ok }).Should(BeFalse())
+	g.Expect(b.Begin(background, testKey("k")).State).To(Equal(Granted))
+	b.MarkUnknown(background, testKey("k"))
+	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Unknown))
 }
 
-// During an outage a key cannot be claimed and is refused at once; what this
-// host ran itself is still answered, and tickets still run.
-func TestOutageRefusesKeysAndServesTickets(t *testing.T) {
+// During an outage of the platform new keys are refused without a call for each.
+// Keys that this host ran still get their response, and tickets still run.
+func TestStoreOutageRefusesKeysButServesTickets(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a := c.start("a", 1)
-	g.Expect(a.Begin(background, key("old")).State).To(Equal(Granted))
-	a.Finish(background, key("old"), Response{Status: 200})
+	g.Expect(a.Begin(background, testKey("old")).State).To(Equal(Granted))
+	a.Finish(background, testKey("old"), Response{Status: 200})
 	c.objects.SetFaults(standin.Faults{Down: true})
 	for range 100 {
-		g.Expect(a.Begin(background, key("new")).State).To(Equal(Unavailable))
+		g.Expect(a.Begin(background, testKey("new")).State).To(Equal(Unavailable))
 	}
 	g.Expect(c.objects.Counts().Writes+c.objects.Counts().Reads).To(BeNumerically("<", 10), "calls during the outage")
-	g.Expect(a.Begin(background, key("old")).State).To(Equal(Done))
+	g.Expect(a.Begin(background, testKey("old")).State).To(Equal(Done))
 	ticket, err := a.MintTicket(background, "depot")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(a.Begin(background, key(ticket)).State).To(Equal(Granted))
-	g.Expect(a.Begin(background, key(ticket)).State).To(Equal(Running))
+	g.Expect(a.Begin(background, testKey(ticket)).State).To(Equal(Granted))
+	g.Expect(a.Begin(background, testKey(ticket)).State).To(Equal(Running))
 }
 
-// Many claims at once cost few writes, whichever hosts make them: they travel
-// together. The platform takes only several hundred writes a second for
-// everything. Hosts that are cut off from each other claim all the same.
-func TestClaimsAtOnceShareWrites(t *testing.T) {
+// Concurrent claims are written in batches, also when several hosts make them: the
+// platform accepts only several hundred writes per second in total. Hosts that
+// are partitioned from each other still make their claims.
+func TestConcurrentClaimsShareWrites(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.objects.SetFaults(standin.Faults{Delay: 5 * time.Millisecond})
@@ -217,37 +218,37 @@
 		var wg sync.WaitGroup
 		for i := range 1000 {
 			wg.Go(func() {
-				g.Expect(hosts[i%3].Begin(background, key(fmt.Sprint(from+i))).State).To(Equal(Granted))
+				g.Expect(hosts[i%3].Begin(background, testKey(fmt.Sprint(from+i))).State).To(Equal(Granted))
 			})
 		}
 		wg.Wait()
 	}
 	run(0)
 	g.Expect(c.objects.Counts().Writes).To(BeNumerically("<", 100))
-	// The hosts lose each other: each writes for itself, and all are claimed.
+	// After the partition each host writes its own claims.
 	c.net.Partition("a", "b")
 	c.net.Partition("a", "c")
 	c.net.Partition("b", "c")
 	run(1000)
 }
 
-// A shard has to remember far more claims than one update may carry. Older ones
-// are in objects that are not written again; they still stand on a host that
-// has never seen them, can be given up, and are removed when their time is over.
-func TestSealedClaimsStandUntilTheirWindowEnds(t *testing.T) {
+// A shard retains far more claims than one update may contain, so older ones are in
+// sealed parts. They must hold for a host that has not read them before, can be
+// released, and their parts are deleted after the retention time.
+func TestSealedClaimsHoldUntilRetentionEnds(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.opts.Shards, c.opts.SealThreshold = 1, 20
 	a := c.start("a", 1)
 	const n = 500
 	for i := range n {
-		g.Expect(a.Begin(background, key(fmt.Sprint(i))).State).To(Equal(Granted))
+		g.Expect(a.Begin(background, testKey(fmt.Sprint(i))).State).To(Equal(Granted))
 	}
 	head, err := c.objects.Get(background, objectKey(0))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(head.Value)).To(BeNumerically("<", 3000), "bytes of an update")
-	a.Release(background, key("7"))
-	g.Eventually(func() bool { _, ok := a.table.peek(key("7").ID()); return ok }).Should(BeFalse())
+	a.Release(background, testKey("7"))
+	g.Eventually(func() bool { _, ok := a.table.get(testKey("7").ID()); return ok }).Should(BeFalse())
 	c.net.Leave("a")
 	b := c.start("b", 1)
 	for i := range n {
@@ -255,37 +256,37 @@
 		if i == 7 {
 			want = Granted
 		}
-		g.Expect(b.Begin(background, key(fmt.Sprint(i))).State).To(Equal(want), "key %d", i)
+		g.Expect(b.Begin(background, testKey(fmt.Sprint(i))).State).To(Equal(want), "key %d", i)
 	}
 	c.clock.Advance(c.opts.Retention)
-	g.Expect(b.Begin(background, key("0")).State).To(Equal(Granted))
+	g.Expect(b.Begin(background, testKey("0")).State).To(Equal(Granted))
 	g.Eventually(func() int {
 		parts, _ := c.objects.List(background, ObjectPrefix)
 		return len(parts)
 	}).Should(Equal(1), "the shard's object alone")
 }
 
-// A key is given up, sealed, claimed again by another host and sealed again.
-// The younger part says that it is taken, the older that it is free: read in
-// the wrong order a third host would run what the second has run.
-func TestYoungerSealedPartHidesTheOlder(t *testing.T) {
+// A key is released, sealed, claimed again by another host and sealed again. In the
+// older part the key is unclaimed, in the newer one it is claimed: if they were
+// read in the wrong order, a third host would run what the second has run.
+func TestNewerSealedPartOverridesOlder(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.opts.Shards, c.opts.SealThreshold = 1, 2
 	a, b := c.start("a", 1), c.start("b", 1)
 	fill := func(from int) {
 		for i := range 6 {
-			a.Begin(background, key(fmt.Sprint("other", from+i)))
+			a.Begin(background, testKey(fmt.Sprint("other", from+i)))
 		}
 	}
-	g.Expect(a.Begin(background, key("k")).State).To(Equal(Granted))
-	a.ReleasePartial(background, key("k"))
-	g.Eventually(func() bool { _, ok := a.table.peek(key("k").ID()); return ok }).Should(BeFalse())
+	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
+	a.ReleasePartial(background, testKey("k"))
+	g.Eventually(func() bool { _, ok := a.table.get(testKey("k").ID()); return ok }).Should(BeFalse())
 	fill(0)
-	g.Expect(b.Begin(background, key("k"))).To(Equal(Result{State: Granted, PartiallyRan: true}))
-	b.MarkUnknown(background, key("k"))
+	g.Expect(b.Begin(background, testKey("k"))).To(Equal(Result{State: Granted, PartiallyRan: true}))
+	b.MarkUnknown(background, testKey("k"))
 	fill(100)
 	c.net.Leave("a")
 	c.net.Leave("b")
-	g.Expect(c.start("d", 1).Begin(background, key("k")).State).To(Equal(Unknown))
+	g.Expect(c.start("d", 1).Begin(background, testKey("k")).State).To(Equal(Unknown))
 }
--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -1,5 +1,6 @@
-// Package claim decides which entry host may run a request that must not be
-// repeated. A claim is durable before the first byte goes to a backend server.
+// Package claim decides which entry host may run a request that must run at
+// most once. A claim is stored durably on the platform before the first byte of
+// the request goes to a backend server.
 package claim
 
 import (
@@ -11,33 +12,35 @@
 // Key identifies a request that must run at most once.
 type Key struct {
 	Account string // client account
-	Key     string // the caller's Idempotency-Key
+	Key     string // the caller's Idempotency-Key, or a ticket
 	Body    uint64 // hash of method, path and body
 }
 
-// State is what is known about a key.
+// State is the state of a key as reported by Begin.
 type State int
 
 // States of a key.
 const (
-	// Granted: the caller of Begin owns the key and may run it once.
+	// Granted: the caller of Begin owns the key and may run the request once.
 	Granted State = iota
 	// Running: an earlier attempt is still running.
 	Running
-	// Done: it ran; Answer holds the outcome if it was kept.
+	// Done: the request ran; Result.Response holds its response if still cached.
 	Done
-	// Unknown: an earlier attempt may have run and its outcome is lost.
+	// Unknown: an earlier attempt may have run, and its outcome is not known.
 	Unknown
-	// Mismatch: the key was used with another body.
+	// BodyMismatch: the key was used with another method, path or body.
 	BodyMismatch
-	// Unavailable: the claim could be neither made nor read. Nothing was
-	// started by this call.
+	// Unavailable: the claim could be neither written nor read. This call
+	// started nothing.
 	Unavailable
-	// Foreign: the key is a ticket of an incarnation that cannot be reached.
+	// UnknownTicket: the key is a ticket that is malformed, forged or expired,
+	// or whose issuing incarnation has ended or cannot be reached. RetryAfter
+	// is set if a retry may succeed.
 	UnknownTicket
 )
 
-// Answer is a finished answer kept for resends.
+// Response is a completed response cached for resends of the same key.
 type Response struct {
 	Status int
 	Header map[string]string
@@ -48,55 +51,58 @@
 type Result struct {
 	State    State
 	Response *Response
-	// Part, with Granted: an earlier send of the key ran stages that may be
-	// repeated, and no other.
+	// PartiallyRan is set with Granted if an earlier send of the key ran
+	// repeatable stages and no others.
 	PartiallyRan bool
-	// Wait, if not nil and State is Running, is closed when the local attempt
-	// finishes; the caller then calls Begin again.
+	// Wait, if not nil and State is Running, is closed when the state of the
+	// attempt on this host changes; the caller then calls Begin again.
 	Wait <-chan struct{}
-	// RetryAfter tells when a resend may learn more.
+	// RetryAfter is the delay after which a resend may get another result.
 	RetryAfter time.Duration
 }
 
-// Claims is asked once for each request that must not be repeated.
+// Claims grants the right to run requests that must run at most once.
 // Implementations are safe for concurrent use.
 type Claims interface {
-	// Begin tries to own key. After Granted exactly one of Finish, Release
-	// and Lose follows.
+	// Begin tries to claim key. After Granted the caller calls exactly one of
+	// Finish, Release and MarkUnknown (or ReleasePartial, see
+	// PartialReleaser).
 	Begin(ctx context.Context, key Key) Result
-	// Finish records the answer of a request that ran.
-	Finish(ctx context.Context, key Key, answer Response)
-	// Release gives the key up: no backend server can have received it.
+	// Finish records the response of a request that ran.
+	Finish(ctx context.Context, key Key, response Response)
+	// Release releases the key: no backend server can have received the request.
 	Release(ctx context.Context, key Key)
-	// Lose records that the request may have run with its outcome lost.
+	// MarkUnknown records that the request may have run with unknown outcome.
 	MarkUnknown(ctx context.Context, key Key)
-	// Mint returns a ticket: a key that only this incarnation may run.
+	// MintTicket returns a ticket for the client account: a key that is
+	// claimed in the memory of this incarnation of the entry host instead of
+	// on the platform. An empty ticket means that tickets are not supported.
 	MintTicket(ctx context.Context, account string) (string, error)
 }
 
-// Parts is what a Claims may offer beside: to give a key up after stages ran
-// that may be repeated. The next send may run it, but may not be told that it
-// did not run.
+// PartialReleaser is an optional interface of a Claims. ReleasePartial releases
+// a key after only repeatable stages ran: the next send may run the request, but
+// its caller must not be told that the request has not run.
 type PartialReleaser interface {
 	ReleasePartial(ctx context.Context, key Key)
 }
 
-// Memory holds claims in this process only. It is the naive variant that the
-// failure tests compare against: two entry hosts with it both run a key.
+// Memory holds claims in the memory of this process only. It is the naive
+// baseline of the failure tests: two entry hosts that use it both run a key.
 type Memory struct {
 	mu      sync.Mutex
-	entries map[[2]string]*entry
+	entries map[[2]string]*memoryEntry
 }
 
-type entry struct {
-	body   uint64
-	state  State
-	answer *Response
-	done   chan struct{}
+type memoryEntry struct {
+	body     uint64
+	state    State
+	response *Response
+	done     chan struct{}
 }
 
 // NewMemory returns an empty in-process claim table.
-func NewMemory() *Memory { return &Memory{entries: map[[2]string]*entry{}} }
+func NewMemory() *Memory { return &Memory{entries: map[[2]string]*memoryEntry{}} }
 
 // Begin implements Claims.
 func (m *Memory) Begin(_ context.Context, key Key) Result {
@@ -105,22 +111,22 @@
 	id := [2]string{key.Account, key.Key}
 	e, ok := m.entries[id]
 	if !ok {
-		m.entries[id] = &entry{body: key.Body, state: Running, done: make(chan struct{})}
+		m.entries[id] = &memoryEntry{body: key.Body, state: Running, done: make(chan struct{})}
 		return Result{State: Granted}
 	}
 	if e.body != key.Body {
 		return Result{State: BodyMismatch}
 	}
-	return Result{State: e.state, Response: e.answer, Wait: e.done}
+	return Result{State: e.state, Response: e.response, Wait: e.done}
 }
 
 // Finish implements Claims.
-func (m *Memory) Finish(_ context.Context, key Key, answer Response) {
-	m.end(key, Done, &answer)
+func (m *Memory) Finish(_ context.Context, key Key, response Response) {
+	m.finish(key, Done, &response)
 }
 
-// Lose implements Claims.
-func (m *Memory) MarkUnknown(_ context.Context, key Key) { m.end(key, Unknown, nil) }
+// MarkUnknown implements Claims.
+func (m *Memory) MarkUnknown(_ context.Context, key Key) { m.finish(key, Unknown, nil) }
 
 // Release implements Claims.
 func (m *Memory) Release(_ context.Context, key Key) {
@@ -133,14 +139,14 @@
 	}
 }
 
-// Mint implements Claims.
+// MintTicket implements Claims. Memory does not support tickets.
 func (m *Memory) MintTicket(context.Context, string) (string, error) { return "", nil }
 
-func (m *Memory) end(key Key, state State, answer *Response) {
+func (m *Memory) finish(key Key, state State, response *Response) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if e, ok := m.entries[[2]string{key.Account, key.Key}]; ok && e.state == Running {
-		e.state, e.answer = state, answer
+		e.state, e.response = state, response
 		close(e.done)
 	}
 }
--- a/process/claim/commit.go
+++ b/process/claim/commit.go
@@ -16,218 +16,239 @@
 // ObjectPrefix is the prefix of the shard objects' keys.
 const ObjectPrefix = "claims/"
 
-// maxShard leaves room below the platform's limit of a value.
-const maxShard = objectapi.MaxValueBytes - 64<<10
+// maxShardBytes bounds an encoded shard object, 64 KiB below the platform's limit
+// for a value.
+const maxShardBytes = objectapi.MaxValueBytes - 64<<10
 
-// maxMarks bounds the outcomes that wait for a write to travel with.
-const maxMarks = 4096
+// maxQueuedOutcomes bounds the outcomes of one shard that wait to be written
+// with the next batch of claims; further ones are dropped.
+const maxQueuedOutcomes = 4096
 
-// action is what an operation does to its record.
+// action is the change that an operation makes to its record. The values are
+// sent between hosts.
 type action int
 
 const (
-	add    action = iota // make the claim
-	remove               // give it up; nothing ran
-	part                 // give it up; stages that may be repeated ran
-	mark                 // record its outcome; never causes a write by itself
+	actionAdd            action = iota // make the claim
+	actionRemove                       // release the claim; nothing ran
+	actionReleasePartial               // release the claim; only repeatable stages ran
+	actionRecordOutcome                // record the claim's outcome; does not start a write by itself
 )
 
-// verdict is the result of an operation.
+// verdict is the result of an operation. The values are sent between hosts.
 type verdict int
 
 const (
-	granted   verdict = iota // the record is, or for remove was, this owner's
-	taken                    // another claim stands
-	failed                   // nothing was written
-	undecided                // it may have been written
+	verdictGranted verdict = iota // the claim is owned by the requester, or was when it was released
+	verdictTaken                  // another claim of the key is in effect
+	verdictFailed                 // nothing was written
+	verdictUnknown                // the operation may have been written, or may be later
 )
 
+// operation is a change to one claim that waits in a shard's queue.
 type operation struct {
 	action action
 	record Record
-	// first is the lowest Seq whose record an add may replace: this owner
-	// made it for the same key and dispatched nothing under it.
-	first uint64
-	// here: another host asked this one to write it. sent: another host was
-	// asked, and may have written it or may yet.
-	here, sent bool
-	result     chan opResult // buffered: the committer never waits for a reader
+	// minSeq is the lowest Seq of the earlier records that the operation may
+	// supersede: the same owner made them for the same key and dispatched
+	// nothing under them.
+	minSeq uint64
+	// forPeer: this host writes the operation on behalf of another host.
+	// mayBeWritten: the operation was forwarded to another host, which may
+	// have written it or may still do so.
+	forPeer, mayBeWritten bool
+	result                chan opResult // buffered, so that the committer never blocks on it
 }
 
+// opResult is the result of an operation.
 type opResult struct {
 	verdict verdict
-	other   Record // that stands, for taken and granted
+	record  Record // the claim in effect, for verdictTaken and granted actionAdd
 }
 
-// committer writes claims: many operations of one shard travel in one
-// conditional update of the shard's object (group commit). While one update is
-// on its way, the next batch gathers behind it.
+// committer writes claims with group commit: one conditional update of a shard's
+// object carries many operations. While an update is in flight, the next batch
+// collects in the shard's queue.
 type committer struct {
 	store    objectapi.Store
 	clock    clock.Clock
 	opts     Options
 	limiter  *rate.Limiter
 	counters *CommitCounters
-	homes    *homes // nil: this host writes for itself
+	writers  *shardWriters // nil: this host writes all shards itself
 	shards   []*shardQueue
-	// downUntil (unix ns) lets requests be refused at once during an outage
-	// instead of each waiting for its own call to fail.
-	downUntil atomic.Int64
+	// backoffUntil (Unix nanoseconds) is the end of the backoff after a store
+	// failure. Until then requests are refused at once instead of each waiting
+	// for a call of its own to fail.
+	backoffUntil atomic.Int64
 }
 
 func newCommitter(store objectapi.Store, clk clock.Clock, opts Options, counters *CommitCounters) *committer {
 	c := &committer{store: store, clock: clk, opts: opts, counters: counters, limiter: rate.NewLimiter(rate.Limit(opts.WritesPerSecond), opts.WriteBurst)}
 	for range opts.Shards {
-		c.shards = append(c.shards, &shardQueue{loaded: map[string]*sealedPart{}})
+		c.shards = append(c.shards, &shardQueue{sealedParts: map[string]*sealedPart{}})
 	}
 	return c
 }
 
-func (c *committer) index(id ID) int { return int(uint(id[0])|uint(id[1])<<8) % len(c.shards) }
+// shardIndex returns the index of the shard that holds id. All hosts compute the
+// same index.
+func (c *committer) shardIndex(id ID) int { return int(uint(id[0])|uint(id[1])<<8) % len(c.shards) }
 
+// objectKey returns the store key of a shard's object.
 func objectKey(index int) string { return fmt.Sprintf("%s%04d", ObjectPrefix, index) }
 
-func (c *committer) down() (time.Duration, bool) {
-	wait := time.Duration(c.downUntil.Load() - c.clock.Now().UnixNano())
+// storeBackoff returns the remaining backoff and whether the store is in backoff.
+func (c *committer) storeBackoff() (time.Duration, bool) {
+	wait := time.Duration(c.backoffUntil.Load() - c.clock.Now().UnixNano())
 	return wait, wait > 0
 }
 
-// run submits one operation and waits for its result. If ctx ends first the
-// result is undecided: the operation may still be written.
-func (c *committer) run(ctx context.Context, a action, r Record, first uint64) opResult {
-	if _, down := c.down(); down {
-		return opResult{verdict: failed}
+// submitAndWait submits one operation and waits for its result; it fails at once
+// while the store is in backoff. If ctx ends first the result is verdictUnknown:
+// the operation may still be written.
+func (c *committer) submitAndWait(ctx context.Context, a action, r Record, minSeq uint64) opResult {
+	if _, inBackoff := c.storeBackoff(); inBackoff {
+		return opResult{verdict: verdictFailed}
 	}
-	return c.do(ctx, &operation{action: a, record: r, first: first, result: make(chan opResult, 1)})
+	return c.enqueueAndWait(ctx, &operation{action: a, record: r, minSeq: minSeq, result: make(chan opResult, 1)})
 }
 
-func (c *committer) do(ctx context.Context, op *operation) opResult {
-	c.submit(c.index(op.record.ID), op)
+// enqueueAndWait is submitAndWait without the check for backoff.
+func (c *committer) enqueueAndWait(ctx context.Context, op *operation) opResult {
+	c.enqueue(c.shardIndex(op.record.ID), op)
 	select {
 	case res := <-op.result:
 		return res
 	case <-ctx.Done():
-		return opResult{verdict: undecided}
+		return opResult{verdict: verdictUnknown}
 	}
 }
 
-func reply(batch []*operation, results []opResult) {
+// sendResults sends each operation its result.
+func sendResults(batch []*operation, results []opResult) {
 	for i, op := range batch {
 		op.result <- results[i]
 	}
 }
 
-func replyAll(batch []*operation, v verdict) {
+// sendVerdict sends v as the result of every operation.
+func sendVerdict(batch []*operation, v verdict) {
 	for _, op := range batch {
 		op.result <- opResult{verdict: v}
 	}
 }
 
-// maxTries bounds the conditional updates of one batch: conflicts with other
-// hosts and answers that were lost.
-const maxTries = 16
+// maxCommitAttempts bounds the attempts to commit one batch. An attempt is
+// repeated after a conflict with another host and after a lost response.
+const maxCommitAttempts = 16
 
+// commit applies batch to the shard and writes the result, with retries, and
+// sends each operation its result.
 func (c *committer) commit(index int, q *shardQueue, batch []*operation) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.opts.CommitTimeout)
 	defer cancel()
-	sent := false // an update of this batch may have taken effect
+	mayBeWritten := false // an update with this batch may have taken effect
 	for _, op := range batch {
-		sent = sent || op.sent
+		mayBeWritten = mayBeWritten || op.mayBeWritten
 	}
-	for range maxTries {
+	for range maxCommitAttempts {
 		if c.limiter.Wait(ctx) != nil {
 			break
 		}
-		fresh := q.copy == nil
-		if fresh {
-			if err := c.read(ctx, index, q); err != nil {
-				c.unavailable()
+		justRead := q.cached == nil
+		if justRead {
+			if err := c.readShard(ctx, index, q); err != nil {
+				c.startStoreBackoff()
 				break
 			}
 		}
-		next, results, changed, stale := q.copy.apply(batch, c.clock.Now(), c.opts.Retention)
-		if stale && !fresh {
-			// The copy in memory says taken, but the other claim may have
-			// been given up since.
-			q.copy = nil
+		next, results, changed, stale := q.cached.apply(batch, c.clock.Now(), c.opts.Retention)
+		if stale && !justRead {
+			// A claim of another host in the cached shard may have been
+			// released since: read the shard again.
+			q.cached = nil
 			continue
 		}
 		if !changed {
-			reply(batch, results)
+			sendResults(batch, results)
 			return
 		}
-		done, mayHaveWritten := c.write(ctx, index, q, next)
-		if done {
-			reply(batch, results)
+		written, uncertain := c.writeShard(ctx, index, q, next)
+		if written {
+			sendResults(batch, results)
 			return
 		}
-		sent = sent || mayHaveWritten
-		if _, down := c.down(); down {
+		mayBeWritten = mayBeWritten || uncertain
+		if _, inBackoff := c.storeBackoff(); inBackoff {
 			break
 		}
 	}
-	q.copy = nil
-	if sent {
-		replyAll(batch, undecided)
+	q.cached = nil
+	if mayBeWritten {
+		sendVerdict(batch, verdictUnknown)
 		return
 	}
-	replyAll(batch, failed)
+	sendVerdict(batch, verdictFailed)
 }
 
-func (c *committer) unavailable() {
-	c.downUntil.Store(c.clock.Now().Add(c.opts.StoreBackoff).UnixNano())
+// startStoreBackoff refuses claims without a call for StoreBackoff.
+func (c *committer) startStoreBackoff() {
+	c.backoffUntil.Store(c.clock.Now().Add(c.opts.StoreBackoff).UnixNano())
 }
 
-func (c *committer) read(ctx context.Context, index int, q *shardQueue) error {
+// readShard reads the shard's object and its sealed parts into q.cached.
+func (c *committer) readShard(ctx context.Context, index int, q *shardQueue) error {
 	c.counters.Reads.Add(1)
 	obj, err := c.store.Get(ctx, objectKey(index))
 	if errors.Is(err, objectapi.ErrNotFound) {
-		q.copy, q.version = &shardCopy{open: image{}}, 0
+		q.cached, q.version = &shard{open: recordsByID{}}, 0
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	open, sealed, err := decodeImage(obj.Value)
+	open, sealed, err := decodeShard(obj.Value)
 	if err != nil {
 		return err
 	}
-	parts, err := c.parts(ctx, index, q, sealed)
+	parts, err := c.loadSealedParts(ctx, index, q, sealed)
 	if err != nil {
 		return err
 	}
-	q.copy, q.version = &shardCopy{open: open, sealed: parts}, obj.Version
+	q.cached, q.version = &shard{open: open, sealed: parts}, obj.Version
 	return nil
 }
 
-// write puts next if the shard is still the one that next was made from. An
-// answer that was lost is not guessed: the copy is dropped, the next round
-// reads the shard and finds this batch's records there or writes them again
-// under the version that it read, which makes a delayed first update fail.
-func (c *committer) write(ctx context.Context, index int, q *shardQueue, next *shardCopy) (done, mayHaveWritten bool) {
-	next = c.seal(ctx, index, q, next)
+// writeShard writes next if the shard's object still has version q.version. If
+// the store's response is lost, the cached shard is discarded and uncertain is
+// true. The next attempt then reads the shard: it either finds the batch's
+// records there or writes them again under the version it read, which makes a
+// delayed first update fail.
+func (c *committer) writeShard(ctx context.Context, index int, q *shardQueue, next *shard) (written, uncertain bool) {
+	next = c.sealOpenClaims(ctx, index, q, next)
 	data, err := next.open.encode(next.sealed)
-	if err != nil || len(data) > maxShard {
-		c.unavailable()
+	if err != nil || len(data) > maxShardBytes {
+		c.startStoreBackoff()
 		return false, false
 	}
 	c.counters.Writes.Add(1)
 	version, err := c.store.Put(ctx, objectKey(index), data, q.version)
 	switch {
 	case err == nil:
-		c.drop(index, q, next)
-		q.copy, q.version = next, version
+		c.removeUnreferenced(index, q, next)
+		q.cached, q.version = next, version
 		return true, true
 	case errors.Is(err, objectapi.ErrConflict):
 		c.counters.Conflicts.Add(1)
-		q.copy = nil
+		q.cached = nil
 		return false, false
 	case errors.Is(err, objectapi.ErrUnavailable), errors.Is(err, objectapi.ErrRateLimited), errors.Is(err, objectapi.ErrTooLarge):
-		c.unavailable()
+		c.startStoreBackoff()
 		return false, false
 	default:
 		c.counters.LostResponses.Add(1)
-		q.copy = nil
+		q.cached = nil
 		return false, true
 	}
 }
--- a/process/claim/manager.go
+++ b/process/claim/manager.go
@@ -9,24 +9,24 @@
 	"bilberrydale/process/peer"
 )
 
-// Manager is the Claims of an entry host. A key of the caller's own making is
-// claimed on the platform before it runs. A ticket is decided by the memory of
-// the incarnation that minted it. A claim is granted once: it never passes to
-// another host, so a paused owner that wakes finds nobody in its place.
+// Manager is the Claims of an entry host. A key chosen by the caller is claimed on
+// the platform before its request runs. A ticket is claimed in the memory of the
+// incarnation that minted it. A claim is never transferred to another host, so
+// an owner that resumes after a pause cannot find its claim taken over.
 type Manager struct {
-	Counters CommitCounters
-
-	self   Owner
-	clock  clock.Clock
-	opts   Options
-	link   peer.Link // nil: this host knows no other
-	table  *table
-	commit *committer
-	mint   *mint
-	seq    atomic.Uint64
+	Counters CommitCounters // calls to the platform; safe for concurrent use
+
+	self      Owner
+	clock     clock.Clock
+	opts      Options
+	link      peer.Link // nil if there are no other hosts
+	table     *keyTable
+	committer *committer
+	minter    *ticketMinter
+	seq       atomic.Uint64
 }
 
-// Config is what a Manager is made from.
+// Config holds the identity, dependencies and options of a Manager.
 type Config struct {
 	Host        string
 	Incarnation uint64
@@ -36,18 +36,18 @@
 	Options     Options
 }
 
-// New returns a Manager and registers its handlers with the link, which must
-// not have been started.
+// New returns a Manager and registers its handlers with cfg.Link, which must not
+// have been started.
 func New(cfg Config) *Manager {
 	self := Owner{Host: cfg.Host, Incarnation: cfg.Incarnation}
 	m := &Manager{
 		self: self, clock: cfg.Clock, opts: cfg.Options, link: cfg.Link,
-		table: newTable(cfg.Clock, cfg.Options), mint: newMint(self, cfg.Clock, cfg.Options.TicketTTL),
+		table: newKeyTable(cfg.Clock, cfg.Options), minter: newTicketMinter(self, cfg.Clock, cfg.Options.TicketTTL),
 	}
-	m.commit = newCommitter(cfg.Store, cfg.Clock, cfg.Options, &m.Counters)
+	m.committer = newCommitter(cfg.Store, cfg.Clock, cfg.Options, &m.Counters)
 	if m.link != nil {
-		m.commit.homes = newHomes(m.link, cfg.Clock, cfg.Options)
-		m.handle()
+		m.committer.writers = newShardWriters(m.link, cfg.Clock, cfg.Options)
+		m.registerHandlers()
 	}
 	return m
 }
@@ -57,20 +57,20 @@
 	_ PartialReleaser = (*Manager)(nil)
 )
 
-// Mint implements Claims.
+// MintTicket implements Claims.
 func (m *Manager) MintTicket(_ context.Context, account string) (string, error) {
-	return m.mint.issue(account)
+	return m.minter.mint(account)
 }
 
-// Flush writes the outcomes that no claim has carried to the platform yet. It
-// is called at shutdown.
-func (m *Manager) Flush(ctx context.Context) error { return m.commit.flush(ctx) }
+// Flush writes the outcomes that are not on the platform yet. It is called at
+// shutdown and returns the error of ctx if that ends first.
+func (m *Manager) Flush(ctx context.Context) error { return m.committer.flushOutcomes(ctx) }
 
 // Begin implements Claims.
 func (m *Manager) Begin(ctx context.Context, key Key) Result {
 	id := key.ID()
 	var ticket *Ticket
-	if isTicket(key.Key) {
+	if hasTicketPrefix(key.Key) {
 		t, err := parseTicket(key.Key)
 		if err != nil {
 			return Result{State: UnknownTicket}
@@ -78,146 +78,152 @@
 		ticket = t
 	}
 	if ticket != nil && ticket.Minter == m.self {
-		if res, ok := m.admitOwn(id, key, ticket); !ok {
+		if res, ok := m.checkOwnTicket(id, key, ticket); !ok {
 			return res
 		}
 	}
-	h, created, full := m.table.open(id, key.Body, m.seq.Add(1))
+	state, created, full := m.table.getOrCreate(id, key.Body, m.seq.Add(1))
 	switch {
 	case full:
 		return Result{State: Unavailable, RetryAfter: m.opts.StoreBackoff}
 	case !created:
-		return m.known(ctx, id, key, h)
+		return m.resultFromTable(ctx, id, key, state)
 	case ticket == nil:
-		return m.claim(ctx, id, key, h)
+		return m.claimKey(ctx, id, key, state)
 	case ticket.Minter == m.self:
-		m.table.set(id, running, func(h *holding) { h.ticket = ticket })
-		return Result{State: Granted, PartiallyRan: h.part}
+		m.table.setPhase(id, phaseRunning, func(s *keyState) { s.ticket = ticket })
+		return Result{State: Granted, PartiallyRan: state.partiallyRan}
 	default:
-		return m.borrow(ctx, id, key, ticket, h)
+		return m.borrowTicket(ctx, id, key, ticket, state)
 	}
 }
 
-// admitOwn checks a ticket of this incarnation before its first use.
-func (m *Manager) admitOwn(id ID, key Key, t *Ticket) (Result, bool) {
-	if m.mint.check(key.Key, key.Account) != nil {
+// checkOwnTicket verifies a ticket that names this incarnation as its minter, and
+// before the first use its expiry. It returns false with the
+// refusal if the ticket may not run.
+func (m *Manager) checkOwnTicket(id ID, key Key, t *Ticket) (Result, bool) {
+	if m.minter.verify(key.Key, key.Account) != nil {
 		return Result{State: UnknownTicket}, false
 	}
-	if _, used := m.table.peek(id); !used && m.clock.Now().After(t.Expires) {
+	if _, used := m.table.get(id); !used && m.clock.Now().After(t.Expires) {
 		return Result{State: UnknownTicket}, false
 	}
 	return Result{}, true
 }
 
-// known answers from this process's memory.
-func (m *Manager) known(ctx context.Context, id ID, key Key, h holding) Result {
-	if h.body != key.Body {
+// resultFromTable returns the result for a key that is in the table. If the ticket
+// is lent, it queries the borrower.
+func (m *Manager) resultFromTable(ctx context.Context, id ID, key Key, state keyState) Result {
+	if state.body != key.Body {
 		return Result{State: BodyMismatch}
 	}
-	switch h.phase {
-	case ended:
-		return Result{State: Done, Response: h.answer}
-	case lost:
+	switch state.phase {
+	case phaseFinished:
+		return Result{State: Done, Response: state.response}
+	case phaseUnknown:
 		return Result{State: Unknown}
-	case lent:
-		return m.ask(ctx, key, h.lentTo)
+	case phaseLent:
+		return m.queryOwner(ctx, key, state.loan)
 	default:
-		return Result{State: Running, Wait: h.done, RetryAfter: m.opts.PollInterval}
+		return Result{State: Running, Wait: state.changed, RetryAfter: m.opts.PollInterval}
 	}
 }
 
-// claim makes the claim on the platform.
-func (m *Manager) claim(ctx context.Context, id ID, key Key, h holding) Result {
+// claimKey writes the claim to the platform.
+func (m *Manager) claimKey(ctx context.Context, id ID, key Key, state keyState) Result {
 	m.Counters.Claims.Add(1)
-	r := Record{ID: id, Body: key.Body, Owner: m.self, Seq: h.seq, At: m.clock.Now(), PartiallyRan: h.part}
-	res := m.commit.run(ctx, add, r, h.first)
+	r := Record{ID: id, Body: key.Body, Owner: m.self, Seq: state.seq, ClaimedAt: m.clock.Now(), PartiallyRan: state.partiallyRan}
+	res := m.committer.submitAndWait(ctx, actionAdd, r, state.minSeq)
 	switch res.verdict {
-	case granted:
-		m.table.set(id, running, func(h *holding) { h.part = res.other.PartiallyRan })
-		return Result{State: Granted, PartiallyRan: res.other.PartiallyRan}
-	case taken:
-		m.table.drop(id)
-		return m.ask(ctx, key, res.other)
-	case undecided:
-		// The record may stand on the platform. Nothing was dispatched: the
-		// next Begin here takes the same record up again.
-		m.table.set(id, doubtful, nil)
+	case verdictGranted:
+		m.table.setPhase(id, phaseRunning, func(s *keyState) { s.partiallyRan = res.record.PartiallyRan })
+		return Result{State: Granted, PartiallyRan: res.record.PartiallyRan}
+	case verdictTaken:
+		m.table.remove(id)
+		return m.queryOwner(ctx, key, res.record)
+	case verdictUnknown:
+		// The record may be on the platform, but nothing was dispatched: the
+		// next Begin here supersedes the record with a new one.
+		m.table.setPhase(id, phaseUncertain, nil)
 	default:
-		m.table.drop(id)
+		m.table.remove(id)
 	}
-	wait, _ := m.commit.down()
+	wait, _ := m.committer.storeBackoff()
 	return Result{State: Unavailable, RetryAfter: max(wait, m.opts.StoreBackoff)}
 }
 
 // Finish implements Claims.
-func (m *Manager) Finish(_ context.Context, key Key, answer Response) {
+func (m *Manager) Finish(_ context.Context, key Key, response Response) {
 	id := key.ID()
-	m.table.set(id, ended, func(h *holding) {
-		if int64(len(answer.Body)) <= m.opts.MaxResponseBytes {
-			h.answer = &answer
+	m.table.setPhase(id, phaseFinished, func(s *keyState) {
+		if int64(len(response.Body)) <= m.opts.MaxResponseBytes {
+			s.response = &response
 		}
 	})
-	m.note(id, OutcomeDone)
+	m.queueOutcome(id, OutcomeDone)
 }
 
-// Lose implements Claims.
+// MarkUnknown implements Claims.
 func (m *Manager) MarkUnknown(_ context.Context, key Key) {
 	id := key.ID()
-	m.table.set(id, lost, nil)
-	m.note(id, OutcomeUnknown)
+	m.table.setPhase(id, phaseUnknown, nil)
+	m.queueOutcome(id, OutcomeUnknown)
 }
 
-func (m *Manager) note(id ID, o Outcome) {
-	h, ok := m.table.peek(id)
-	if !ok || h.ticket != nil {
+// queueOutcome records the outcome with the next write of the shard. Tickets have
+// no record on the platform.
+func (m *Manager) queueOutcome(id ID, o Outcome) {
+	state, ok := m.table.get(id)
+	if !ok || state.ticket != nil {
 		return
 	}
-	m.commit.note(Record{ID: id, Body: h.body, Owner: m.self, Seq: h.seq, At: h.touched, Outcome: o})
+	m.committer.queueOutcome(Record{ID: id, Body: state.body, Owner: m.self, Seq: state.seq, ClaimedAt: state.updated, Outcome: o})
 }
 
-// Release implements Claims. The claim is given back so that a resend to any
-// host may run the key.
+// Release implements Claims. It returns before the claim is removed from the
+// platform or the ticket is returned; after that a resend to any host may run it.
 func (m *Manager) Release(ctx context.Context, key Key) { m.release(ctx, key.ID(), false) }
 
-// ReleasePart implements Parts.
+// ReleasePartial implements PartialReleaser.
 func (m *Manager) ReleasePartial(ctx context.Context, key Key) { m.release(ctx, key.ID(), true) }
 
-func (m *Manager) release(ctx context.Context, id ID, ranPart bool) {
-	h, ok := m.table.peek(id)
-	if !ok || h.phase != running {
+// release starts releasing the claim of a running request.
+func (m *Manager) release(ctx context.Context, id ID, partiallyRan bool) {
+	state, ok := m.table.get(id)
+	if !ok || state.phase != phaseRunning {
 		return
 	}
-	h.part = h.part || ranPart
+	state.partiallyRan = state.partiallyRan || partiallyRan
 	switch {
-	case h.ticket == nil:
-		m.table.set(id, releasing, func(held *holding) { held.part = h.part })
-		go m.giveBack(id, h)
-	case h.lender == "" && h.part:
-		m.table.set(id, doubtful, func(held *holding) { held.part = true })
-	case h.lender == "":
-		m.table.drop(id)
+	case state.ticket == nil:
+		m.table.setPhase(id, phaseReleasing, func(s *keyState) { s.partiallyRan = state.partiallyRan })
+		go m.releaseClaim(id, state)
+	case state.lender == "" && state.partiallyRan:
+		m.table.setPhase(id, phaseUncertain, func(s *keyState) { s.partiallyRan = true })
+	case state.lender == "":
+		m.table.remove(id)
 	default:
-		// Forgotten before it is given back: this host cannot run the key
-		// while the lender may already have lent it to another.
-		m.table.drop(id)
-		go m.returnTicket(context.WithoutCancel(ctx), id, h)
+		// Removed before the ticket is returned, so that this host cannot run
+		// the key when the lender has already lent it to another host.
+		m.table.remove(id)
+		go m.returnTicket(context.WithoutCancel(ctx), id, state)
 	}
 }
 
-// giveBack gives the claim up on the platform. If that fails the record may
-// stand; the next Begin here replaces it with a new one. The new number keeps
-// a delayed removal from taking away a claim under which something runs.
-func (m *Manager) giveBack(id ID, h holding) {
+// releaseClaim removes the claim from the platform. If that fails the record may
+// remain; the next Begin here supersedes it with a new one. The new number keeps
+// a delayed removal from removing a claim under which a request runs.
+func (m *Manager) releaseClaim(id ID, state keyState) {
 	ctx, cancel := context.WithTimeout(context.Background(), m.opts.CommitTimeout)
 	defer cancel()
-	r := Record{ID: id, Body: h.body, Owner: m.self, Seq: h.seq}
-	act := remove
-	if h.part {
-		act = part
+	r := Record{ID: id, Body: state.body, Owner: m.self, Seq: state.seq}
+	releaseAction := actionRemove
+	if state.partiallyRan {
+		releaseAction = actionReleasePartial
 	}
-	if m.commit.run(ctx, act, r, h.first).verdict == granted {
-		m.table.drop(id)
+	if m.committer.submitAndWait(ctx, releaseAction, r, state.minSeq).verdict == verdictGranted {
+		m.table.remove(id)
 		return
 	}
-	m.table.set(id, doubtful, nil)
+	m.table.setPhase(id, phaseUncertain, nil)
 }
--- a/process/claim/options.go
+++ b/process/claim/options.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Options bound what claims cost.
+// Options bound the platform calls, memory and waiting times of claims.
 type Options struct {
-	Shards           int           // objects on the platform; every host must use the same number
-	Retention        time.Duration // time for which the platform remembers a key
-	WriteInterval    time.Duration // between updates of one shard; 1/Spacing times Shards bounds the writes of all hosts
-	SealThreshold    int           // claims at which a shard's object is emptied into a sealed part
-	WritesPerSecond  float64       // of this host on the platform, when hosts cannot agree on who writes
-	WriteBurst       int
-	CommitTimeout    time.Duration // for one batch, with its repeats
-	StoreBackoff     time.Duration // refusals at once after the platform failed
-	MaxKeys          int           // keys held in memory
-	MaxResponseBytes int64         // bytes of answers kept for resends
-	ResponseTTL      time.Duration // for which an answer is kept
-	TicketTTL        time.Duration // from minting to the last first use
-	CallTimeout      time.Duration // for one question to another host
-	PollInterval     time.Duration // between questions about a running request
-	WriterBackoff    time.Duration // for which a host that did not write for others is passed over
+	Shards           int           // number of shard objects on the platform; must be equal on all hosts
+	Retention        time.Duration // time for which the platform keeps a claim
+	WriteInterval    time.Duration // minimum time between updates of a shard: all hosts together write at most Shards/WriteInterval times a second
+	SealThreshold    int           // number of open claims at which they move from a shard's object to a sealed part
+	WritesPerSecond  float64       // limit of this host's own updates; it applies when hosts disagree about a shard's writer
+	WriteBurst       int           // updates that may be sent at once before WritesPerSecond limits them
+	CommitTimeout    time.Duration // for one batch, with all attempts
+	StoreBackoff     time.Duration // time after a platform failure in which claims are refused without a call
+	MaxKeys          int           // maximum number of keys held in memory
+	MaxResponseBytes int64         // bytes of response bodies cached for resends
+	ResponseTTL      time.Duration // time for which a response is cached
+	TicketTTL        time.Duration // time from minting a ticket to its latest first use
+	CallTimeout      time.Duration // for one call to another host
+	PollInterval     time.Duration // between status requests about a running request
+	WriterBackoff    time.Duration // time for which a host that failed to write for others is not used as a writer
 }
 
-// DefaultOptions returns the defaults.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	return Options{
 		Shards: 4, Retention: 30 * time.Minute, WriteInterval: 25 * time.Millisecond, SealThreshold: 128, WritesPerSecond: 100, WriteBurst: 50,
--- a/process/claim/peers.go
+++ b/process/claim/peers.go
@@ -13,71 +13,78 @@
 
 // Methods between entry hosts.
 const (
-	methodAsk    peer.Method = "claim.ask"    // how a key that you own stands
-	methodBorrow peer.Method = "claim.borrow" // may I run a ticket of yours
-	methodReturn peer.Method = "claim.return" // I did not run it
+	methodStatus peer.Method = "claim.ask"    // status of a key that the receiver owns
+	methodBorrow peer.Method = "claim.borrow" // run a ticket that the receiver minted
+	methodReturn peer.Method = "claim.return" // return a borrowed ticket that did not run
 )
 
-type askRequest struct {
+// statusRequest is the request of claim.ask. Like the other requests it is encoded
+// as an array: the order of the fields is the format.
+type statusRequest struct {
 	ID          []byte
 	Incarnation uint64
 	Seq         uint64
 }
 
+// borrowRequest is the request of claim.borrow.
 type borrowRequest struct {
-	Text    string // the ticket
+	Ticket  string // text of the ticket
 	Account string
 	Body    uint64
-	Seq     uint64 // numbers the borrower's loans; a repeat is the same loan
+	Seq     uint64 // number of the borrower's loan; a retry has the same number
 }
 
+// returnRequest is the request of claim.return.
 type returnRequest struct {
-	ID   []byte
-	Seq  uint64
-	Part bool // stages that may be repeated ran
+	ID           []byte
+	Seq          uint64
+	PartiallyRan bool // repeatable stages ran
 }
 
-// standing is an owner's answer about a key.
-type standing struct {
-	State  State
-	Answer *Response
-	// Known is false if the asked host is another incarnation or has
-	// forgotten the key.
-	Known bool
-	// Free: nothing ran under the claim, and it is being given back.
-	Free bool
-	// Part, with a loan: an earlier send ran stages that may be repeated.
-	Part bool
-	// LentTo and LentSeq name the borrower of a ticket.
-	LentTo  Owner
-	LentSeq uint64
+// keyStatus is the response of claim.ask, claim.borrow and claim.return: the status
+// of a key on its owner or minter. It is encoded with its field names.
+type keyStatus struct {
+	State    State
+	Response *Response `msgpack:"Answer"`
+	// Found is false if the responding host is another incarnation or no
+	// longer has the key.
+	Found bool `msgpack:"Known"`
+	// Releasing: nothing ran under the claim, and it is being released.
+	Releasing bool `msgpack:"Free"`
+	// PartiallyRan, with a loan: an earlier send ran repeatable stages.
+	PartiallyRan bool `msgpack:"Part"`
+	// Borrower and LoanSeq identify the loan of a lent ticket.
+	Borrower Owner  `msgpack:"LentTo"`
+	LoanSeq  uint64 `msgpack:"LentSeq"`
 }
 
-func (m *Manager) handle() {
-	m.link.Handle(methodAsk, m.onAsk)
+// registerHandlers registers the handlers of the methods between hosts.
+func (m *Manager) registerHandlers() {
+	m.link.Handle(methodStatus, m.onStatus)
 	m.link.Handle(methodBorrow, m.onBorrow)
 	m.link.Handle(methodReturn, m.onReturn)
-	m.link.Handle(methodCommit, m.commit.onCommit)
+	m.link.Handle(methodCommit, m.committer.onCommit)
 }
 
-// ask resolves a key that other claimed: its owner alone knows how it stands.
-// A running request is asked about until it ends or ctx does.
-func (m *Manager) ask(ctx context.Context, key Key, other Record) Result {
-	if other.Body != key.Body {
+// queryOwner returns the result for a key that another host claimed, by querying
+// that host. While the request runs there, it polls until the request or ctx
+// ends.
+func (m *Manager) queryOwner(ctx context.Context, key Key, claim Record) Result {
+	if claim.Body != key.Body {
 		return Result{State: BodyMismatch}
 	}
 	id := key.ID()
-	in := askRequest{ID: id[:], Incarnation: other.Owner.Incarnation, Seq: other.Seq}
-	for m.link != nil && other.Owner != m.self {
-		var s standing
-		if err := m.call(ctx, other.Owner.Host, methodAsk, &in, &s); err != nil || !s.Known {
+	in := statusRequest{ID: id[:], Incarnation: claim.Owner.Incarnation, Seq: claim.Seq}
+	for m.link != nil && claim.Owner != m.self {
+		var status keyStatus
+		if err := m.call(ctx, claim.Owner.Host, methodStatus, &in, &status); err != nil || !status.Found {
 			break
 		}
-		if s.Free {
+		if status.Releasing {
 			return Result{State: Running, RetryAfter: m.opts.PollInterval}
 		}
-		if s.State != Running {
-			return Result{State: s.State, Response: s.Answer}
+		if status.State != Running {
+			return Result{State: status.State, Response: status.Response}
 		}
 		select {
 		case <-ctx.Done():
@@ -85,150 +92,158 @@
 		case <-m.clock.After(m.opts.PollInterval):
 		}
 	}
-	// The owner is gone, cut off, or has forgotten the key. It may have run.
-	if other.Outcome == OutcomeDone {
+	// The owner has ended, is unreachable, or no longer has the key. The
+	// request may have run.
+	if claim.Outcome == OutcomeDone {
 		return Result{State: Done}
 	}
 	return Result{State: Unknown}
 }
 
+// call calls another host with CallTimeout.
 func (m *Manager) call(ctx context.Context, host string, method peer.Method, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.CallTimeout)
 	defer cancel()
 	return m.link.Call(ctx, host, method, in, out)
 }
 
-func (m *Manager) onAsk(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
-	var in askRequest
+// onStatus handles claim.ask.
+func (m *Manager) onStatus(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
+	var in statusRequest
 	if err := msgpack.Unmarshal(payload, &in); err != nil || len(in.ID) != len(ID{}) {
-		return nil, fmt.Errorf("claim: malformed question: %w", err)
+		return nil, fmt.Errorf("claim: malformed status request: %w", err)
 	}
 	if in.Incarnation != m.self.Incarnation {
-		return msgpack.Marshal(&standing{})
+		return msgpack.Marshal(&keyStatus{})
 	}
 	id := ID(in.ID)
-	h, ok := m.table.peek(id)
+	state, ok := m.table.get(id)
 	if !ok {
-		return msgpack.Marshal(&standing{})
-	}
-	s := standing{Known: true, State: Running}
-	switch h.phase {
-	case ended:
-		s.State, s.Answer = Done, h.answer
-	case lost:
-		s.State = Unknown
-	case doubtful:
-		// The asker's next attempt may find the key free.
-		s.Free = true
-		if _, created, _ := m.table.open(id, h.body, m.seq.Add(1)); created {
-			m.table.set(id, running, nil)
+		return msgpack.Marshal(&keyStatus{})
+	}
+	status := keyStatus{Found: true, State: Running}
+	switch state.phase {
+	case phaseFinished:
+		status.State, status.Response = Done, state.response
+	case phaseUnknown:
+		status.State = Unknown
+	case phaseUncertain:
+		// Release the claim, so that the sender's next attempt may find the
+		// key unclaimed.
+		status.Releasing = true
+		if _, created, _ := m.table.getOrCreate(id, state.body, m.seq.Add(1)); created {
+			m.table.setPhase(id, phaseRunning, nil)
 			m.release(ctx, id, false)
 		}
-	case releasing:
-		s.Free = true
+	case phaseReleasing:
+		status.Releasing = true
 	}
-	return msgpack.Marshal(&s)
+	return msgpack.Marshal(&status)
 }
 
-// borrow asks the minter of a ticket for the right to run it.
-func (m *Manager) borrow(ctx context.Context, id ID, key Key, t *Ticket, h holding) Result {
+// borrowTicket requests the right to run a ticket from its minter.
+func (m *Manager) borrowTicket(ctx context.Context, id ID, key Key, t *Ticket, state keyState) Result {
 	if m.link == nil {
-		m.table.drop(id)
+		m.table.remove(id)
 		return Result{State: UnknownTicket}
 	}
-	in := borrowRequest{Text: key.Key, Account: key.Account, Body: key.Body, Seq: h.seq}
-	var s standing
-	err := m.call(ctx, t.Minter.Host, methodBorrow, &in, &s)
+	in := borrowRequest{Ticket: key.Key, Account: key.Account, Body: key.Body, Seq: state.seq}
+	var status keyStatus
+	err := m.call(ctx, t.Minter.Host, methodBorrow, &in, &status)
 	switch {
 	case errors.Is(err, peer.ErrUnreachable):
-		m.table.drop(id)
+		m.table.remove(id)
 		return Result{State: UnknownTicket, RetryAfter: time.Second}
 	case err != nil:
-		// The minter may have lent it: ask again under the same number.
-		m.table.set(id, doubtful, func(h *holding) { h.ticket, h.lender = t, t.Minter.Host })
+		// The minter may have lent the ticket: the next Begin requests the loan
+		// again under the same number.
+		m.table.setPhase(id, phaseUncertain, func(k *keyState) { k.ticket, k.lender = t, t.Minter.Host })
 		return Result{State: UnknownTicket, RetryAfter: m.opts.CallTimeout}
-	case !s.Known:
-		m.table.drop(id)
+	case !status.Found:
+		m.table.remove(id)
 		return Result{State: UnknownTicket}
-	case s.State == Granted:
-		m.table.set(id, running, func(h *holding) { h.ticket, h.lender, h.part = t, t.Minter.Host, s.Part })
-		return Result{State: Granted, PartiallyRan: s.Part}
+	case status.State == Granted:
+		m.table.setPhase(id, phaseRunning, func(k *keyState) { k.ticket, k.lender, k.partiallyRan = t, t.Minter.Host, status.PartiallyRan })
+		return Result{State: Granted, PartiallyRan: status.PartiallyRan}
 	}
-	m.table.drop(id)
+	m.table.remove(id)
 	switch {
-	case s.LentTo == m.self && !m.clock.Now().After(t.Expires):
-		// An earlier loan to this host that it is giving back.
+	case status.Borrower == m.self && !m.clock.Now().After(t.Expires):
+		// An earlier loan to this host, which is being returned.
 		return Result{State: Running, RetryAfter: m.opts.PollInterval}
-	case s.LentTo.Host != "":
-		return m.ask(ctx, key, Record{Body: key.Body, Owner: s.LentTo, Seq: s.LentSeq})
-	case s.State == Running:
-		return m.ask(ctx, key, Record{Body: key.Body, Owner: t.Minter})
+	case status.Borrower.Host != "":
+		return m.queryOwner(ctx, key, Record{Body: key.Body, Owner: status.Borrower, Seq: status.LoanSeq})
+	case status.State == Running:
+		return m.queryOwner(ctx, key, Record{Body: key.Body, Owner: t.Minter})
 	}
-	return Result{State: s.State, Response: s.Answer}
+	return Result{State: status.State, Response: status.Response}
 }
 
-// onBorrow lends a ticket once. A repeat of the same loan, whose answer was
-// lost, is granted again: the borrower has dispatched nothing before it.
+// onBorrow handles claim.borrow. It lends a ticket once. A retry of the same loan,
+// whose response was lost, is granted again: the borrower dispatches nothing
+// before it gets the response.
 func (m *Manager) onBorrow(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var in borrowRequest
 	if err := msgpack.Unmarshal(payload, &in); err != nil {
-		return nil, fmt.Errorf("claim: malformed loan: %w", err)
+		return nil, fmt.Errorf("claim: malformed borrow request: %w", err)
 	}
-	key := Key{Account: in.Account, Key: in.Text, Body: in.Body}
-	t, err := parseTicket(in.Text)
+	key := Key{Account: in.Account, Key: in.Ticket, Body: in.Body}
+	t, err := parseTicket(in.Ticket)
 	if err != nil || t.Minter != m.self {
-		return msgpack.Marshal(&standing{})
+		return msgpack.Marshal(&keyStatus{})
 	}
 	id := key.ID()
-	if _, ok := m.admitOwn(id, key, t); !ok {
-		return msgpack.Marshal(&standing{})
+	if _, ok := m.checkOwnTicket(id, key, t); !ok {
+		return msgpack.Marshal(&keyStatus{})
 	}
 	borrower := Record{ID: id, Body: in.Body, Owner: Owner{Host: from.Host, Incarnation: from.Incarnation}, Seq: in.Seq}
-	h, created, full := m.table.open(id, in.Body, in.Seq)
+	state, created, full := m.table.getOrCreate(id, in.Body, in.Seq)
 	if full {
-		return nil, errors.New("claim: too many keys")
+		return nil, errors.New("claim: the key table is full")
 	}
 	if created {
-		m.table.set(id, lent, func(h *holding) { h.ticket, h.lentTo = t, borrower })
-		return msgpack.Marshal(&standing{Known: true, State: Granted, Part: h.part})
+		m.table.setPhase(id, phaseLent, func(k *keyState) { k.ticket, k.loan = t, borrower })
+		return msgpack.Marshal(&keyStatus{Found: true, State: Granted, PartiallyRan: state.partiallyRan})
 	}
-	s := standing{Known: true, State: Running, Part: h.part}
+	status := keyStatus{Found: true, State: Running, PartiallyRan: state.partiallyRan}
 	switch {
-	case h.body != in.Body:
-		s.State = BodyMismatch
-	case h.phase == lent && h.lentTo.same(&borrower):
-		s.State = Granted
-	case h.phase == lent:
-		s.LentTo, s.LentSeq = h.lentTo.Owner, h.lentTo.Seq
-	case h.phase == ended:
-		s.State, s.Answer = Done, h.answer
-	case h.phase == lost:
-		s.State = Unknown
-	}
-	return msgpack.Marshal(&s)
+	case state.body != in.Body:
+		status.State = BodyMismatch
+	case state.phase == phaseLent && state.loan.sameClaim(&borrower):
+		status.State = Granted
+	case state.phase == phaseLent:
+		status.Borrower, status.LoanSeq = state.loan.Owner, state.loan.Seq
+	case state.phase == phaseFinished:
+		status.State, status.Response = Done, state.response
+	case state.phase == phaseUnknown:
+		status.State = Unknown
+	}
+	return msgpack.Marshal(&status)
 }
 
-// returnTicket gives a loan back after nothing was dispatched.
-func (m *Manager) returnTicket(ctx context.Context, id ID, h holding) {
-	in := returnRequest{ID: id[:], Seq: h.seq, Part: h.part}
-	// Without an answer the ticket stays lent, and is never run again.
-	_ = m.call(ctx, h.lender, methodReturn, &in, nil)
+// returnTicket returns a borrowed ticket under which nothing, or only repeatable
+// stages, ran.
+func (m *Manager) returnTicket(ctx context.Context, id ID, state keyState) {
+	in := returnRequest{ID: id[:], Seq: state.seq, PartiallyRan: state.partiallyRan}
+	// If the call fails the ticket stays lent and is never run again.
+	_ = m.call(ctx, state.lender, methodReturn, &in, nil)
 }
 
+// onReturn handles claim.return.
 func (m *Manager) onReturn(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var in returnRequest
 	if err := msgpack.Unmarshal(payload, &in); err != nil || len(in.ID) != len(ID{}) {
-		return nil, fmt.Errorf("claim: malformed return: %w", err)
+		return nil, fmt.Errorf("claim: malformed return request: %w", err)
 	}
 	id := ID(in.ID)
-	h, ok := m.table.peek(id)
+	state, ok := m.table.get(id)
 	borrower := Record{Owner: Owner{Host: from.Host, Incarnation: from.Incarnation}, Seq: in.Seq}
 	switch {
-	case !ok || h.phase != lent || !h.lentTo.same(&borrower):
-	case h.part || in.Part:
-		m.table.set(id, doubtful, func(h *holding) { h.part = true })
+	case !ok || state.phase != phaseLent || !state.loan.sameClaim(&borrower):
+	case state.partiallyRan || in.PartiallyRan:
+		m.table.setPhase(id, phaseUncertain, func(k *keyState) { k.partiallyRan = true })
 	default:
-		m.table.drop(id)
+		m.table.remove(id)
 	}
-	return msgpack.Marshal(&standing{Known: true})
+	return msgpack.Marshal(&keyStatus{Found: true})
 }
--- a/process/claim/queue.go
+++ b/process/claim/queue.go
@@ -6,63 +6,66 @@
 	"time"
 )
 
-// shardQueue gathers operations for one shard object.
+// shardQueue collects operations on one shard until they are written in a batch.
 type shardQueue struct {
-	mu      sync.Mutex
-	waiting []*operation
-	marks   []*operation
-	busy    bool
+	mu         sync.Mutex
+	operations []*operation
+	outcomes   []*operation
+	processing bool
 
-	// copy and version are the last known content, loaded the sealed parts
-	// that were read; only the goroutine that set busy touches them.
-	copy    *shardCopy
-	version uint64
-	loaded  map[string]*sealedPart
-	written time.Time // start of the last update
+	// cached and version are the shard's content as last read or written, nil
+	// if it must be read; sealedParts are its sealed parts by name. Only the
+	// goroutine that set processing accesses these and lastWrite.
+	cached      *shard
+	version     uint64
+	sealedParts map[string]*sealedPart
+	lastWrite   time.Time // start of the last update
 }
 
-func (c *committer) submit(index int, op *operation) {
+// enqueue adds an operation to the queue of a shard.
+func (c *committer) enqueue(index int, op *operation) {
 	q := c.shards[index]
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waiting = append(q.waiting, op)
-	c.start(index, q)
+	q.operations = append(q.operations, op)
+	c.startProcessing(index, q)
 }
 
-// start is called with q.mu held.
-func (c *committer) start(index int, q *shardQueue) {
-	if !q.busy {
-		q.busy = true
-		go c.drain(index, q)
+// startProcessing starts processQueue if it is not running. q.mu must be held.
+func (c *committer) startProcessing(index int, q *shardQueue) {
+	if !q.processing {
+		q.processing = true
+		go c.processQueue(index, q)
 	}
 }
 
-// note queues an outcome to travel with the next write of its shard.
-func (c *committer) note(r Record) {
-	q := c.shards[c.index(r.ID)]
+// queueOutcome queues the outcome of a claim for the next write of its shard.
+func (c *committer) queueOutcome(r Record) {
+	q := c.shards[c.shardIndex(r.ID)]
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if len(q.marks) < maxMarks {
-		q.marks = append(q.marks, &operation{action: mark, record: r, result: make(chan opResult, 1)})
+	if len(q.outcomes) < maxQueuedOutcomes {
+		q.outcomes = append(q.outcomes, &operation{action: actionRecordOutcome, record: r, result: make(chan opResult, 1)})
 	}
 }
 
-// flush writes the outcomes that still wait, one update a shard. It is called
-// at shutdown, so that a resend to another host learns that the key ran.
-func (c *committer) flush(ctx context.Context) error {
-	var waits []*operation
+// flushOutcomes writes the queued outcomes, one update per shard. It is called at
+// shutdown, so that a resend to another host gets the outcome. It returns the
+// error of ctx if that ends first.
+func (c *committer) flushOutcomes(ctx context.Context) error {
+	var flushed []*operation
 	for i, q := range c.shards {
 		q.mu.Lock()
-		if len(q.marks) > 0 {
-			last := q.marks[len(q.marks)-1]
-			q.marks = q.marks[:len(q.marks)-1]
-			q.waiting = append(q.waiting, last)
-			waits = append(waits, last)
-			c.start(i, q)
+		if len(q.outcomes) > 0 {
+			last := q.outcomes[len(q.outcomes)-1]
+			q.outcomes = q.outcomes[:len(q.outcomes)-1]
+			q.operations = append(q.operations, last)
+			flushed = append(flushed, last)
+			c.startProcessing(i, q)
 		}
 		q.mu.Unlock()
 	}
-	for _, op := range waits {
+	for _, op := range flushed {
 		select {
 		case <-op.result:
 		case <-ctx.Done():
@@ -72,53 +75,60 @@
 	return nil
 }
 
-func (c *committer) drain(index int, q *shardQueue) {
+// processQueue commits the queue's operations batch by batch, here or by the
+// shard's writer, and returns when the queue is empty.
+func (c *committer) processQueue(index int, q *shardQueue) {
 	for {
-		home := c.homes.of(index)
-		if home == "" {
-			c.space(q)
+		writer := c.writers.writerOf(index)
+		if writer == "" {
+			c.waitWriteInterval(q)
 		}
-		batch := q.take()
+		batch := q.takeBatch()
 		if len(batch) == 0 {
 			return
 		}
-		if home != "" && !isHere(batch) && c.homes.forward(home, batch) {
+		if writer != "" && !hasPeerOperation(batch) && c.writers.forward(writer, batch) {
 			continue
 		}
 		c.commit(index, q, batch)
 	}
 }
 
-// space keeps updates of one shard apart, so that claims gather: the writes a
-// second on the platform are bounded by the number of shards, whatever the
-// number of requests and hosts. After a pause the next update goes out at once.
-func (c *committer) space(q *shardQueue) {
+// waitWriteInterval flushed until WriteInterval has passed since the shard's last
+// update, so that claims collect into batches: the number of shards then bounds
+// the writes per second on the platform, whatever the number of requests and
+// hosts. After an idle period the next update is sent at once.
+func (c *committer) waitWriteInterval(q *shardQueue) {
 	now := c.clock.Now()
-	if wait := q.written.Add(c.opts.WriteInterval).Sub(now); wait > 0 {
+	if wait := q.lastWrite.Add(c.opts.WriteInterval).Sub(now); wait > 0 {
 		<-c.clock.After(wait)
 		now = now.Add(wait)
 	}
-	q.written = now
+	q.lastWrite = now
 }
 
-// take returns what waits, or ends the queue's turn.
-func (q *shardQueue) take() []*operation {
+// takeBatch removes and returns the queued operations with the queued outcomes. If
+// there are no operations, it marks the queue as not being processed and returns
+// nil; the outcomes stay queued.
+func (q *shardQueue) takeBatch() []*operation {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	batch := q.waiting
-	q.waiting = nil
+	batch := q.operations
+	q.operations = nil
 	if len(batch) == 0 {
-		q.busy = false
+		q.processing = false
 		return nil
 	}
-	batch = append(batch, q.marks...)
-	q.marks = nil
+	batch = append(batch, q.outcomes...)
+	q.outcomes = nil
 	return batch
 }
 
-func isHere(batch []*operation) bool {
+// hasPeerOperation reports whether batch has an operation that another host
+// forwarded to this one. Such a batch is not forwarded again.
+func hasPeerOperation(batch []*operation) bool {
 	for _, op := range batch {
-		if op.here {
+		if op.forPeer {
 			return true
 		}
 	}
--- a/process/claim/record.go
+++ b/process/claim/record.go
@@ -10,11 +10,11 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// ID is the hash of a key's account and text. It is long enough that no
-// caller can find a second key with the same one.
+// ID is the hash of a key's client account and text. It is long enough that no
+// caller can find two keys with the same ID.
 type ID [16]byte
 
-// ID returns the key's identity, without its body.
+// ID returns the ID of the key. It does not depend on the body.
 func (k Key) ID() ID {
 	buf := binary.AppendUvarint(nil, uint64(len(k.Account)))
 	buf = append(buf, k.Account...)
@@ -23,91 +23,99 @@
 	return ID(sum[:len(ID{})])
 }
 
-// Owner names the incarnation of an entry host that holds a claim.
+// Owner identifies the incarnation of an entry host that owns a claim.
 type Owner struct {
 	Host        string
 	Incarnation uint64
 }
 
-// Outcome is what a record says about the run.
+// Outcome is the recorded outcome of a claimed request. The values are stored.
 type Outcome uint8
 
-// Outcomes of a claimed run.
+// Outcomes of a claimed request.
 const (
-	OutcomePending Outcome = iota // not recorded: it may have run
-	OutcomeDone                   // it ran to its end
-	OutcomeUnknown                // it may have run; the owner lost the answer
-	// OutcomePart: stages that may be repeated ran, the others did not. The
-	// key may be claimed again, but nobody may say that it did not run.
+	OutcomePending Outcome = iota // not recorded yet: the request may have run
+	OutcomeDone                   // the request ran to its end
+	OutcomeUnknown                // the request may have run; its owner does not know the outcome
+	// OutcomePartial: only repeatable stages ran. The key may be claimed
+	// again, but no caller may be told that the request has not run.
 	OutcomePartial
-	// OutcomeGone: the claim was given up and nothing ran. It stands only
-	// over an older record of a sealed part.
+	// OutcomeReleased: the claim was released and nothing ran. Such a record
+	// is only stored to override an older record in a sealed part.
 	OutcomeReleased
 )
 
-// Record is one claim as the platform keeps it.
+// Record is one claim. Requests between hosts encode it as an array, responses
+// with its field names.
 type Record struct {
 	ID    ID
 	Body  uint64
 	Owner Owner
-	// Seq numbers the owner's claims, so that a record can be told from an
+	// Seq numbers the owner's claims. It distinguishes a record from an
 	// earlier, released one of the same owner and key.
 	Seq          uint64
-	At           time.Time
+	ClaimedAt    time.Time `msgpack:"At"`
 	Outcome      Outcome
 	PartiallyRan bool `msgpack:"Part"` // an earlier claim of the key ended as OutcomePartial
 }
 
-// reopened reports whether the claim was given up so that o may follow it.
-func (r *Record) reopened(o *Record) bool { return r.Outcome == OutcomePartial && r.Body == o.Body }
+// allowsReclaim reports whether the claim was released so that o may replace it.
+func (r *Record) allowsReclaim(o *Record) bool {
+	return r.Outcome == OutcomePartial && r.Body == o.Body
+}
 
-func (r *Record) same(o *Record) bool { return r.Owner == o.Owner && r.Seq == o.Seq }
+// sameClaim reports whether both records belong to the same claim of an owner.
+func (r *Record) sameClaim(o *Record) bool { return r.Owner == o.Owner && r.Seq == o.Seq }
 
-// storedShard is the encoding of a shard object or of a sealed part: owners
-// stand once.
+// storedShard is the stored form of a shard object or sealed part. Each owner is
+// stored once and referenced by index. These types are encoded as arrays: the
+// order of the fields is the format.
 type storedShard struct {
 	Owners  []Owner
 	Records []storedRecord
 	Sealed  []storedSealed
 }
 
+// storedSealed refers to a sealed part.
 type storedSealed struct {
 	Name   string
-	Newest int64 // unix milliseconds
+	Newest int64 // claim time of its newest record, Unix milliseconds
 }
 
+// storedRecord is the stored form of a Record.
 type storedRecord struct {
-	ID      []byte
-	Body    uint64
-	Owner   int // index into Owners
-	Seq     uint64
-	At      int64 // unix milliseconds
-	Outcome Outcome
-	Part    bool
+	ID           []byte
+	Body         uint64
+	Owner        int // index into Owners
+	Seq          uint64
+	ClaimedAt    int64 // Unix milliseconds
+	Outcome      Outcome
+	PartiallyRan bool
 }
 
-// image is a shard's claims in memory.
-type image map[ID]Record
+// recordsByID holds the records of a shard object or sealed part.
+type recordsByID map[ID]Record
 
-func (im image) encode(sealed []*sealedPart) ([]byte, error) {
+// encode returns the stored form of the records and the references to sealed parts.
+func (m recordsByID) encode(sealed []*sealedPart) ([]byte, error) {
 	var s storedShard
 	for _, p := range sealed {
 		s.Sealed = append(s.Sealed, storedSealed{p.name, p.newest.UnixMilli()})
 	}
 	index := map[Owner]int{}
-	for _, r := range im {
+	for _, r := range m {
 		i, ok := index[r.Owner]
 		if !ok {
 			i = len(s.Owners)
 			index[r.Owner] = i
 			s.Owners = append(s.Owners, r.Owner)
 		}
-		s.Records = append(s.Records, storedRecord{ID: r.ID[:], Body: r.Body, Owner: i, Seq: r.Seq, At: r.At.UnixMilli(), Outcome: r.Outcome, Part: r.PartiallyRan})
+		s.Records = append(s.Records, storedRecord{ID: r.ID[:], Body: r.Body, Owner: i, Seq: r.Seq, ClaimedAt: r.ClaimedAt.UnixMilli(), Outcome: r.Outcome, PartiallyRan: r.PartiallyRan})
 	}
 	return encode(&s)
 }
 
-// encode writes structs as arrays, without field names.
+// encode encodes v as msgpack with structs as arrays, without field names.
 func encode(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -118,29 +126,30 @@
 	return buf.Bytes(), nil
 }
 
-func decodeImage(data []byte) (image, []storedSealed, error) {
+// decodeShard is the inverse of recordsByID.encode.
+func decodeShard(data []byte) (recordsByID, []storedSealed, error) {
 	var s storedShard
 	if err := msgpack.Unmarshal(data, &s); err != nil {
 		return nil, nil, fmt.Errorf("decode claims: %w", err)
 	}
-	im := make(image, len(s.Records))
+	m := make(recordsByID, len(s.Records))
 	for _, r := range s.Records {
 		if len(r.ID) != len(ID{}) || r.Owner < 0 || r.Owner >= len(s.Owners) {
-			return nil, nil, fmt.Errorf("decode claims: malformed record")
+			return nil, nil, fmt.Errorf("decode claims: record with an ID of the wrong length or an unknown owner")
 		}
 		id := ID(r.ID)
-		im[id] = Record{ID: id, Body: r.Body, Owner: s.Owners[r.Owner], Seq: r.Seq, At: time.UnixMilli(r.At), Outcome: r.Outcome, PartiallyRan: r.Part}
+		m[id] = Record{ID: id, Body: r.Body, Owner: s.Owners[r.Owner], Seq: r.Seq, ClaimedAt: time.UnixMilli(r.ClaimedAt), Outcome: r.Outcome, PartiallyRan: r.PartiallyRan}
 	}
-	return im, s.Sealed, nil
+	return m, s.Sealed, nil
 }
 
-// expire returns a copy without the claims older than window. A claim's owner
-// dispatches within the request's deadline, which is far shorter, so nothing
-// that may still start is forgotten.
-func (im image) expire(now time.Time, window time.Duration) image {
-	out := make(image, len(im))
-	for id, r := range im {
-		if now.Sub(r.At) < window {
+// withoutExpired returns a copy without the claims that are at least as old as
+// retention. An owner dispatches within the request's deadline, which is far
+// shorter, so no claim is removed whose request may still start.
+func (m recordsByID) withoutExpired(now time.Time, retention time.Duration) recordsByID {
+	out := make(recordsByID, len(m))
+	for id, r := range m {
+		if now.Sub(r.ClaimedAt) < retention {
 			out[id] = r
 		}
 	}
--- a/process/claim/shard.go
+++ b/process/claim/shard.go
@@ -7,34 +7,35 @@
 	"github.com/google/uuid"
 )
 
-// shardCopy is the content of a shard: the open claims, which the shard's
-// object holds, over sealed parts, which are objects that never change. Only
-// the open claims and the parts' names are written with each update, so that
-// its size does not grow with all that has to be remembered. A claim in the
-// open part hides one of the same key below it, and a younger part an older.
-type shardCopy struct {
-	open   image
+// shard is the content of a shard: the open claims, stored in the shard's object,
+// and sealed parts, which are immutable objects. An update writes only the open
+// claims and the names of the parts, so that its size does not grow with the
+// number of retained claims. An open claim overrides a sealed one of the same
+// key, and a newer sealed part overrides an older one.
+type shard struct {
+	open   recordsByID
 	sealed []*sealedPart // oldest first
 }
 
-// sealedPart is a part that was read or written by this process.
+// sealedPart is an immutable part of a shard that this process read or wrote.
 type sealedPart struct {
 	name    string
-	newest  time.Time // of its records
+	newest  time.Time // claim time of its newest record
 	version uint64
-	records image
+	records recordsByID
 }
 
-// find returns the record that stands for id.
-func (s *shardCopy) find(id ID, now time.Time, window time.Duration) (Record, bool) {
+// lookup returns the record in effect for id, if there is one.
+func (s *shard) lookup(id ID, now time.Time, retention time.Duration) (Record, bool) {
 	r, ok := s.open[id]
 	for i := len(s.sealed) - 1; i >= 0 && !ok; i-- {
 		r, ok = s.sealed[i].records[id]
 	}
-	return r, ok && r.Outcome != OutcomeReleased && now.Sub(r.At) < window
+	return r, ok && r.Outcome != OutcomeReleased && now.Sub(r.ClaimedAt) < retention
 }
 
-func (s *shardCopy) isSealed(id ID) bool {
+// isSealed reports whether a sealed part has a record of id.
+func (s *shard) isSealed(id ID) bool {
 	for _, p := range s.sealed {
 		if _, ok := p.records[id]; ok {
 			return true
@@ -43,43 +44,44 @@
 	return false
 }
 
-// apply returns the shard after batch with the result of each operation.
-// stale is true if a result rests on a record that this host did not write.
-func (s *shardCopy) apply(batch []*operation, now time.Time, window time.Duration) (next *shardCopy, results []opResult, changed, stale bool) {
-	next = &shardCopy{open: s.open.expire(now, window)}
+// apply returns the shard after batch and the result of each operation. changed
+// reports whether the shard has to be written. stale reports whether an operation
+// lost to another claim, which a newer version of the shard may not have.
+func (s *shard) apply(batch []*operation, now time.Time, retention time.Duration) (next *shard, results []opResult, changed, stale bool) {
+	next = &shard{open: s.open.withoutExpired(now, retention)}
 	for _, p := range s.sealed {
-		if now.Sub(p.newest) < window {
+		if now.Sub(p.newest) < retention {
 			next.sealed = append(next.sealed, p)
 		}
 	}
 	results = make([]opResult, len(batch))
 	for i, op := range batch {
-		cur, ok := next.find(op.record.ID, now, window)
-		res, did := next.do(op, cur, ok)
+		cur, ok := next.lookup(op.record.ID, now, retention)
+		res, modified := next.applyOperation(op, cur, ok)
 		results[i] = res
-		changed = changed || did
-		stale = stale || res.verdict == taken
+		changed = changed || modified
+		stale = stale || res.verdict == verdictTaken
 	}
 	return next, results, changed, stale
 }
 
-// do carries out one operation; cur is the record that stands, if ok.
-func (s *shardCopy) do(op *operation, cur Record, ok bool) (res opResult, changed bool) {
+// applyOperation applies op to the open claims; cur is the record in effect, if ok.
+func (s *shard) applyOperation(op *operation, cur Record, ok bool) (res opResult, changed bool) {
 	r := op.record
 	switch {
-	case op.action == add && (!ok || op.replaces(&cur) || cur.reopened(&r)):
+	case op.action == actionAdd && (!ok || op.supersedes(&cur) || cur.allowsReclaim(&r)):
 		r.PartiallyRan = r.PartiallyRan || (ok && (cur.PartiallyRan || cur.Outcome == OutcomePartial))
 		s.open[r.ID] = r
-		return opResult{other: r}, true
-	case op.action == add && !cur.same(&r):
-		return opResult{taken, cur}, false
-	case op.action == add:
-		return opResult{other: cur}, false
-	case op.action == mark && ok && cur.same(&r) && cur.Outcome != r.Outcome:
+		return opResult{record: r}, true
+	case op.action == actionAdd && !cur.sameClaim(&r):
+		return opResult{verdictTaken, cur}, false
+	case op.action == actionAdd:
+		return opResult{record: cur}, false
+	case op.action == actionRecordOutcome && ok && cur.sameClaim(&r) && cur.Outcome != r.Outcome:
 		cur.Outcome = r.Outcome
-	case (op.action == remove || op.action == part) && ok && op.replaces(&cur) && cur.Outcome != OutcomePartial:
+	case (op.action == actionRemove || op.action == actionReleasePartial) && ok && op.supersedes(&cur) && cur.Outcome != OutcomePartial:
 		cur.Outcome = OutcomeReleased
-		if op.action == part || cur.PartiallyRan {
+		if op.action == actionReleasePartial || cur.PartiallyRan {
 			cur.Outcome = OutcomePartial
 		}
 	default:
@@ -92,21 +94,23 @@
 	return opResult{}, true
 }
 
-// replaces reports whether cur is an earlier record of the same owner and key
-// under which nothing was dispatched.
-func (op *operation) replaces(cur *Record) bool {
-	if cur.Owner != op.record.Owner || cur.Seq < op.first {
+// supersedes reports whether cur is a record of the same owner and key under
+// which nothing was dispatched, and which the operation may replace or release.
+func (op *operation) supersedes(cur *Record) bool {
+	if cur.Owner != op.record.Owner || cur.Seq < op.minSeq {
 		return false
 	}
-	return cur.Seq < op.record.Seq || (op.action != add && cur.Seq == op.record.Seq)
+	return cur.Seq < op.record.Seq || (op.action != actionAdd && cur.Seq == op.record.Seq)
 }
 
-func partKey(index int, name string) string { return objectKey(index) + "." + name }
+// sealedPartKey returns the store key of a sealed part.
+func sealedPartKey(index int, name string) string { return objectKey(index) + "." + name }
 
-// seal moves the open claims of next into a new part if they are many. The part
-// has a name that no other write uses, and counts only once the shard's object
-// names it: a part whose update failed holds claims that do not stand.
-func (c *committer) seal(ctx context.Context, index int, q *shardQueue, next *shardCopy) *shardCopy {
+// sealOpenClaims moves the open claims of next into a new sealed part if there are
+// at least SealThreshold. The part has a name that no other write uses, and takes
+// effect when the shard's object refers to it: if that update fails, the claims
+// in the part are not in effect.
+func (c *committer) sealOpenClaims(ctx context.Context, index int, q *shardQueue, next *shard) *shard {
 	if len(next.open) < c.opts.SealThreshold {
 		return next
 	}
@@ -114,65 +118,66 @@
 	if err != nil {
 		return next
 	}
-	p := &sealedPart{name: uuid.NewString()[:partName], records: next.open}
+	p := &sealedPart{name: uuid.NewString()[:sealedPartNameLength], records: next.open}
 	for _, r := range next.open {
-		if r.At.After(p.newest) {
-			p.newest = r.At
+		if r.ClaimedAt.After(p.newest) {
+			p.newest = r.ClaimedAt
 		}
 	}
 	c.counters.Writes.Add(1)
-	p.version, err = c.store.Put(ctx, partKey(index, p.name), data, 0)
+	p.version, err = c.store.Put(ctx, sealedPartKey(index, p.name), data, 0)
 	if err != nil {
-		return next // written whole for now; the next update tries again
+		return next // keep the claims open; the next update tries again
 	}
-	q.loaded[p.name] = p
-	return &shardCopy{open: image{}, sealed: append(next.sealed[:len(next.sealed):len(next.sealed)], p)}
+	q.sealedParts[p.name] = p
+	return &shard{open: recordsByID{}, sealed: append(next.sealed[:len(next.sealed):len(next.sealed)], p)}
 }
 
-const partName = 13 // characters of a random name: 48 bits
+const sealedPartNameLength = 13 // characters of a random UUID, with its first hyphen: 48 random bits
 
-// drop removes the parts that next, which has just become the shard's object,
-// does not name: all in them has expired, or the update that was to name them
-// failed and cannot take effect any more.
-func (c *committer) drop(index int, q *shardQueue, next *shardCopy) {
-	kept := map[string]bool{}
+// removeUnreferenced deletes the sealed parts that next, the shard's content just
+// written, does not refer to: all their claims have expired, or the update that
+// was to refer to them failed and can no longer take effect.
+func (c *committer) removeUnreferenced(index int, q *shardQueue, next *shard) {
+	referenced := map[string]bool{}
 	for _, p := range next.sealed {
-		kept[p.name] = true
+		referenced[p.name] = true
 	}
-	for name, p := range q.loaded {
-		if !kept[name] {
-			delete(q.loaded, name)
-			c.remove(index, p)
+	for name, p := range q.sealedParts {
+		if !referenced[name] {
+			delete(q.sealedParts, name)
+			c.deleteSealedPart(index, p)
 		}
 	}
 }
 
-func (c *committer) remove(index int, p *sealedPart) {
+// deleteSealedPart deletes a sealed part from the store in the background.
+func (c *committer) deleteSealedPart(index int, p *sealedPart) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), c.opts.CommitTimeout)
 		defer cancel()
-		// A part that stays costs room, nothing else.
-		_ = c.store.Delete(ctx, partKey(index, p.name), p.version)
+		// A part that is not deleted only uses storage.
+		_ = c.store.Delete(ctx, sealedPartKey(index, p.name), p.version)
 	}()
 }
 
-// parts returns the sealed parts, reading those that are not known yet.
-func (c *committer) parts(ctx context.Context, index int, q *shardQueue, names []storedSealed) ([]*sealedPart, error) {
+// loadSealedParts returns the sealed parts and reads those not in q.sealedParts.
+func (c *committer) loadSealedParts(ctx context.Context, index int, q *shardQueue, names []storedSealed) ([]*sealedPart, error) {
 	var out []*sealedPart
 	for _, s := range names {
-		p, ok := q.loaded[s.Name]
+		p, ok := q.sealedParts[s.Name]
 		if !ok {
 			c.counters.Reads.Add(1)
-			obj, err := c.store.Get(ctx, partKey(index, s.Name))
+			obj, err := c.store.Get(ctx, sealedPartKey(index, s.Name))
 			if err != nil {
 				return nil, err
 			}
-			records, _, err := decodeImage(obj.Value)
+			records, _, err := decodeShard(obj.Value)
 			if err != nil {
 				return nil, err
 			}
 			p = &sealedPart{name: s.Name, newest: time.UnixMilli(s.Newest), version: obj.Version, records: records}
-			q.loaded[s.Name] = p
+			q.sealedParts[s.Name] = p
 		}
 		out = append(out, p)
 	}
--- a/process/claim/simulation_test.go
+++ b/process/claim/simulation_test.go
@@ -13,104 +13,104 @@
 	standin "bilberrydale/internal/standin/platform"
 )
 
-// world is what a random run of faults is checked against.
-type world struct {
+// simulation is a cluster under random faults, with the dispatches it has made.
+type simulation struct {
 	*cluster
-	hosts []*Manager
-	next  uint64
-	keys  []Key
-	owned map[int][]Key // granted and not ended, by host
-	ran   map[Key]int   // dispatches
+	hosts           []*Manager
+	lastIncarnation uint64
+	keys            []Key
+	owned           map[int][]Key // keys granted and not ended, by host
+	runs            map[Key]int   // dispatches by key
 }
 
-func (w *world) begin(t *rapid.T) {
-	h := rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host")
-	k := rapid.SampledFrom(w.keys).Draw(t, "key")
+func (s *simulation) begin(t *rapid.T) {
+	h := rapid.IntRange(0, len(s.hosts)-1).Draw(t, "host")
+	k := rapid.SampledFrom(s.keys).Draw(t, "key")
 	ctx, cancel := context.WithTimeout(background, time.Millisecond)
 	defer cancel()
-	if w.hosts[h].Begin(ctx, k).State == Granted {
-		w.owned[h] = append(w.owned[h], k)
+	if s.hosts[h].Begin(ctx, k).State == Granted {
+		s.owned[h] = append(s.owned[h], k)
 	}
 }
 
-// end runs, gives up or loses what a host owns, at any later time: a paused
-// owner is one that ends late.
-func (w *world) end(t *rapid.T) {
-	h := rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host")
-	if len(w.owned[h]) == 0 {
+// end ends the oldest claim of a host: finished, released or with unknown outcome.
+// As it is drawn at any later time, it also covers an owner that was paused.
+func (s *simulation) end(t *rapid.T) {
+	h := rapid.IntRange(0, len(s.hosts)-1).Draw(t, "host")
+	if len(s.owned[h]) == 0 {
 		return
 	}
-	k := w.owned[h][0]
-	w.owned[h] = w.owned[h][1:]
+	k := s.owned[h][0]
+	s.owned[h] = s.owned[h][1:]
 	switch rapid.IntRange(0, 4).Draw(t, "end") {
 	case 0:
-		w.hosts[h].Release(background, k)
+		s.hosts[h].Release(background, k)
 		return
 	case 4:
-		w.hosts[h].ReleasePartial(background, k)
+		s.hosts[h].ReleasePartial(background, k)
 		return
 	case 1:
-		w.hosts[h].MarkUnknown(background, k)
+		s.hosts[h].MarkUnknown(background, k)
 	default:
-		w.hosts[h].Finish(background, k, Response{Status: 200})
+		s.hosts[h].Finish(background, k, Response{Status: 200})
 	}
-	w.ran[k]++
-	if w.ran[k] > 1 {
-		t.Fatalf("%v ran %d times", k, w.ran[k])
+	s.runs[k]++
+	if s.runs[k] > 1 {
+		t.Fatalf("%v ran %d times", k, s.runs[k])
 	}
 }
 
-func (w *world) restart(t *rapid.T) {
-	h := rapid.IntRange(0, len(w.hosts)-1).Draw(t, "host")
-	for _, k := range w.owned[h] {
-		w.ran[k]++ // it may have been dispatched before the kill
+func (s *simulation) restart(t *rapid.T) {
+	h := rapid.IntRange(0, len(s.hosts)-1).Draw(t, "host")
+	for _, k := range s.owned[h] {
+		s.runs[k]++ // it may have been dispatched before the host was killed
 	}
-	w.owned[h] = nil
-	w.next++
-	w.hosts[h] = w.start(name(h), w.next)
+	s.owned[h] = nil
+	s.lastIncarnation++
+	s.hosts[h] = s.start(hostName(h), s.lastIncarnation)
 }
 
-func name(h int) string { return fmt.Sprint("h", h) }
+func hostName(h int) string { return fmt.Sprint("h", h) }
 
-func (w *world) fault(t *rapid.T) {
-	a, b := name(rapid.IntRange(0, 2).Draw(t, "a")), name(rapid.IntRange(0, 2).Draw(t, "b"))
+func (s *simulation) fault(t *rapid.T) {
+	a, b := hostName(rapid.IntRange(0, 2).Draw(t, "a")), hostName(rapid.IntRange(0, 2).Draw(t, "b"))
 	switch rapid.IntRange(0, 6).Draw(t, "fault") {
 	case 0:
-		w.objects.SetFaults(standin.Faults{Down: true})
+		s.objects.SetFaults(standin.Faults{Down: true})
 	case 1:
-		w.objects.SetFaults(standin.Faults{LoseWrites: 2})
+		s.objects.SetFaults(standin.Faults{LoseWrites: 2})
 	case 2:
-		w.objects.SetFaults(standin.Faults{StaleReads: true})
+		s.objects.SetFaults(standin.Faults{StaleReads: true})
 	case 3:
-		w.net.Partition(a, b)
+		s.net.Partition(a, b)
 	case 4:
-		w.net.LoseResponses(a, b)
+		s.net.LoseResponses(a, b)
 	default:
-		w.objects.SetFaults(standin.Faults{})
-		w.net.Heal(a, b)
+		s.objects.SetFaults(standin.Faults{})
+		s.net.Heal(a, b)
 	}
-	w.clock.Advance(w.opts.StoreBackoff)
+	s.clock.Advance(s.opts.StoreBackoff)
 }
 
-// Hosts die, pause and lose each other and the platform in any order while
-// callers resend a few keys to all of them. Whatever happens, no key may be
-// dispatched twice: that is a doubled booking.
-func TestNoOrderOfFaultsRunsAKeyTwice(t *testing.T) {
+// Hosts die, pause, and lose the connection to each other and to the platform in
+// random order, while callers resend a few keys to all of them. No key may be
+// dispatched twice, which would be a doubled booking.
+func TestNoSequenceOfFaultsRunsAKeyTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := &world{cluster: newCluster(), owned: map[int][]Key{}, ran: map[Key]int{}}
+		s := &simulation{cluster: newCluster(), owned: map[int][]Key{}, runs: map[Key]int{}}
 		for h := range 3 {
-			w.next++
-			w.hosts = append(w.hosts, w.start(name(h), w.next))
+			s.lastIncarnation++
+			s.hosts = append(s.hosts, s.start(hostName(h), s.lastIncarnation))
 		}
-		for i, h := range w.hosts {
+		for i, h := range s.hosts {
 			ticket, _ := h.MintTicket(background, "depot")
-			w.keys = append(w.keys, key(ticket), key(fmt.Sprint("k", i)))
+			s.keys = append(s.keys, testKey(ticket), testKey(fmt.Sprint("k", i)))
 		}
-		t.Repeat(map[string]func(*rapid.T){"begin": w.begin, "begin2": w.begin, "end": w.end, "fault": w.fault, "restart": w.restart})
+		t.Repeat(map[string]func(*rapid.T){"begin": s.begin, "begin2": s.begin, "end": s.end, "fault": s.fault, "restart": s.restart})
 	})
 }
 
-// TestMain fixes the seed, so that every run draws the same sequences.
+// TestMain sets a fixed seed, so that every run draws the same sequences.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "500", "rapid.steps": "60", "rapid.nofailfile": "true"} {
--- a/process/claim/ticket.go
+++ b/process/claim/ticket.go
@@ -16,106 +16,113 @@
 	"bilberrydale/process/clock"
 )
 
-// TicketPrefix starts every ticket, and no other key is taken for one.
+// TicketPrefix is the prefix of every ticket. A key with it is always treated as a
+// ticket.
 const TicketPrefix = "bt1."
 
 // maxTicket bounds the text of a ticket, in bytes.
-const maxTicket = 256
+const maxTicketBytes = 256
 
-const macBytes = 16
+const macBytes = 16 // length of the truncated HMAC-SHA256
 
-// Errors of a ticket. Use errors.Is.
+// Errors of ticket verification; match them with errors.Is.
 var (
-	errNotTicket = errors.New("claim: malformed ticket")
-	errForged    = errors.New("claim: ticket was not minted here for this account")
+	errMalformedTicket = errors.New("claim: malformed ticket")
+	errTicketNotOwned  = errors.New("claim: ticket was not minted by this incarnation for this client account")
 )
 
-// Ticket is a key that names the one incarnation whose memory decides about
-// it. It needs no write on the platform, so that it is good in an outage.
+// Ticket is a parsed ticket: a key that names the incarnation of the entry host
+// that minted it and holds its claim in memory. It needs no write on the
+// platform, so that it can be used during an outage.
 type Ticket struct {
 	Minter  Owner
 	Seq     uint64
-	Expires time.Time
+	Expires time.Time // latest first use
 	mac     []byte
 }
 
+// storedTicket is the signed content of a ticket. It is encoded as an array: the
+// order of the fields is the format.
 type storedTicket struct {
 	Minter  Owner
 	Seq     uint64
-	Expires int64 // unix seconds
+	Expires int64 // Unix seconds
 }
 
-// mint makes and checks the tickets of this incarnation. Its secret never
-// leaves the process: a ticket of another incarnation cannot be checked here,
-// and none outlives its incarnation.
-type mint struct {
+// ticketMinter mints and verifies the tickets of this incarnation. Its secret never
+// leaves the process: tickets of other incarnations cannot be verified here, and
+// no ticket outlives its incarnation.
+type ticketMinter struct {
 	self   Owner
 	clock  clock.Clock
-	life   time.Duration
+	ttl    time.Duration
 	secret [32]byte
 	seq    atomic.Uint64
 }
 
-func newMint(self Owner, clk clock.Clock, life time.Duration) *mint {
-	m := &mint{self: self, clock: clk, life: life}
-	_, _ = rand.Read(m.secret[:]) // never fails
+func newTicketMinter(self Owner, clk clock.Clock, life time.Duration) *ticketMinter {
+	m := &ticketMinter{self: self, clock: clk, ttl: life}
+	_, _ = rand.Read(m.secret[:]) // does not fail: crypto/rand aborts the process instead
 	return m
 }
 
-func (m *mint) mac(head []byte, account string) []byte {
+// mac returns the MAC of a ticket's content and client account.
+func (m *ticketMinter) mac(content []byte, account string) []byte {
 	h := hmac.New(sha256.New, m.secret[:])
-	_, _ = h.Write(head)
+	_, _ = h.Write(content)
 	_, _ = h.Write([]byte(account))
 	return h.Sum(nil)[:macBytes]
 }
 
-// issue returns a new ticket's text.
-func (m *mint) issue(account string) (string, error) {
-	head, err := encode(&storedTicket{Minter: m.self, Seq: m.seq.Add(1), Expires: m.clock.Now().Add(m.life).Unix()})
+// mint returns the text of a new ticket for the client account.
+func (m *ticketMinter) mint(account string) (string, error) {
+	content, err := encode(&storedTicket{Minter: m.self, Seq: m.seq.Add(1), Expires: m.clock.Now().Add(m.ttl).Unix()})
 	if err != nil {
 		return "", err
 	}
-	return TicketPrefix + base64.RawURLEncoding.EncodeToString(append(head, m.mac(head, account)...)), nil
+	return TicketPrefix + base64.RawURLEncoding.EncodeToString(append(content, m.mac(content, account)...)), nil
 }
 
-// check reports whether t was minted here for account.
-func (m *mint) check(text, account string) error {
-	head, mac, err := split(text)
+// verify returns nil if this incarnation minted the ticket for account, else
+// errMalformedTicket or errTicketNotOwned. It does not check the expiry.
+func (m *ticketMinter) verify(text, account string) error {
+	content, mac, err := splitTicket(text)
 	if err != nil {
 		return err
 	}
-	if !hmac.Equal(mac, m.mac(head, account)) {
-		return errForged
+	if !hmac.Equal(mac, m.mac(content, account)) {
+		return errTicketNotOwned
 	}
 	return nil
 }
 
-func isTicket(text string) bool { return strings.HasPrefix(text, TicketPrefix) }
+func hasTicketPrefix(text string) bool { return strings.HasPrefix(text, TicketPrefix) }
 
-func split(text string) (head, mac []byte, err error) {
+// splitTicket decodes the text of a ticket into its signed content and its MAC.
+func splitTicket(text string) (content, mac []byte, err error) {
 	body, ok := strings.CutPrefix(text, TicketPrefix)
-	if !ok || len(text) > maxTicket {
-		return nil, nil, errNotTicket
+	if !ok || len(text) > maxTicketBytes {
+		return nil, nil, errMalformedTicket
 	}
 	raw, err := base64.RawURLEncoding.DecodeString(body)
 	if err != nil || len(raw) <= macBytes {
-		return nil, nil, errNotTicket
+		return nil, nil, errMalformedTicket
 	}
 	return raw[:len(raw)-macBytes], raw[len(raw)-macBytes:], nil
 }
 
-// parseTicket reads a ticket without checking who minted it.
+// parseTicket parses a ticket without verifying its MAC.
 func parseTicket(text string) (*Ticket, error) {
-	head, mac, err := split(text)
+	content, mac, err := splitTicket(text)
 	if err != nil {
 		return nil, err
 	}
 	var s storedTicket
-	if err := msgpack.Unmarshal(head, &s); err != nil {
-		return nil, fmt.Errorf("%w: %w", errNotTicket, err)
+	if err := msgpack.Unmarshal(content, &s); err != nil {
+		return nil, fmt.Errorf("%w: %w", errMalformedTicket, err)
 	}
 	if s.Minter.Host == "" {
-		return nil, errNotTicket
+		return nil, errMalformedTicket
 	}
 	return &Ticket{Minter: s.Minter, Seq: s.Seq, Expires: time.Unix(s.Expires, 0), mac: mac}, nil
 }
--- a/process/claim/ticket_test.go
+++ b/process/claim/ticket_test.go
@@ -9,21 +9,21 @@
 	standin "bilberrydale/internal/standin/platform"
 )
 
-func mintOn(g *WithT, m *Manager) string {
+func mintTicket(g *WithT, m *Manager) string {
 	text, err := m.MintTicket(background, "depot")
 	g.Expect(err).NotTo(HaveOccurred())
 	return text
 }
 
-// The balancer sends a ticket's request to another host than the minter, and
-// then the resend to a third. The minter lends the ticket once and sends the
-// third host to the borrower; the platform is down all the while.
+// A load balancer sends a request with a ticket to a host other than the minter, and
+// the resend to a third host, while the platform is down. The minter lends the
+// ticket once and refers the third host to the borrower.
 func TestTicketRunsOnceOnAnyHost(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.objects.SetFaults(standin.Faults{Down: true})
 	a, b, d := c.start("a", 1), c.start("b", 1), c.start("d", 1)
-	k := key(mintOn(g, a))
+	k := testKey(mintTicket(g, a))
 	g.Expect(b.Begin(background, k).State).To(Equal(Granted))
 	b.Finish(background, k, Response{Status: 200, Body: []byte("x")})
 	for _, h := range []*Manager{a, b, d} {
@@ -34,14 +34,14 @@
 	}
 }
 
-// The minter lends a ticket and the answer is lost on the way. Another loan
-// would run the request twice; refusing for good would lose it. The borrower
-// asks again under the same number and is granted the same loan.
-func TestLostAnswerOfALoanIsAskedAgain(t *testing.T) {
+// The minter lends a ticket, but its response is lost. A second loan would run the
+// request twice, and a permanent refusal would make the ticket useless. The
+// borrower retries under the same number and is granted the same loan.
+func TestLostLoanResponseIsRetried(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b, d := c.start("a", 1), c.start("b", 1), c.start("d", 1)
-	k := key(mintOn(g, a))
+	k := testKey(mintTicket(g, a))
 	c.net.LoseResponses("b", "a")
 	g.Expect(b.Begin(background, k).State).To(Equal(UnknownTicket))
 	g.Expect(d.Begin(background, k).State).NotTo(Equal(Granted))
@@ -52,16 +52,16 @@
 	g.Expect(b.Begin(background, Key{Account: k.Account, Key: k.Key, Body: 1}).State).To(Equal(BodyMismatch))
 }
 
-// Each of these tickets cannot be decided, and none of them runs: the minter
-// has restarted, is cut off, or never minted it for this account.
-func TestTicketThatCannotBeDecidedIsRefused(t *testing.T) {
+// A ticket does not run if it cannot be verified: its minter has restarted, is
+// unreachable, or did not mint it for this client account.
+func TestUnverifiableTicketIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
-	k := key(mintOn(g, a))
+	k := testKey(mintTicket(g, a))
 	g.Expect(a.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(UnknownTicket))
 	g.Expect(b.Begin(background, Key{Account: "thief", Key: k.Key}).State).To(Equal(UnknownTicket))
-	g.Expect(a.Begin(background, key(TicketPrefix+"!")).State).To(Equal(UnknownTicket))
+	g.Expect(a.Begin(background, testKey(TicketPrefix+"!")).State).To(Equal(UnknownTicket))
 	c.net.Partition("a", "b")
 	g.Expect(b.Begin(background, k).State).To(Equal(UnknownTicket))
 	c.net.Heal("a", "b")
@@ -71,14 +71,14 @@
 	}
 }
 
-// A used ticket comes again after the memory of it is gone. Its own expiry,
-// which is under the minter's seal, keeps it from running a second time.
-func TestForgottenTicketIsExpired(t *testing.T) {
+// A used ticket is sent again after the minter has evicted its key. The expiry, which
+// is signed by the minter, keeps the ticket from running a second time.
+func TestEvictedTicketIsRefusedAsExpired(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.opts.TicketTTL = 2 * c.opts.ResponseTTL
 	a := c.start("a", 1)
-	k := key(mintOn(g, a))
+	k := testKey(mintTicket(g, a))
 	g.Expect(a.Begin(background, k).State).To(Equal(Granted))
 	a.Finish(background, k, Response{Status: 200})
 	for range 30 {
@@ -87,31 +87,33 @@
 		g.Expect(a.Begin(background, k).State).To(BeElementOf(Done, UnknownTicket))
 	}
 	g.Expect(a.Begin(background, k).State).To(Equal(UnknownTicket))
-	g.Expect(a.table.byID).To(BeEmpty())
+	g.Expect(a.table.keys).To(BeEmpty())
 }
 
-// Memory stays bounded: over the bound of bytes the oldest answers go first,
-// and over the bound of keys new ones are refused instead of old ones rerun.
-func TestTableIsBounded(t *testing.T) {
+// Over MaxResponseBytes the oldest responses are evicted first. Over MaxKeys new keys
+// are refused: evicting old ones would let them run again.
+func TestKeyTableIsBounded(t *testing.T) {
 	g := NewWithT(t)
 	c := newCluster()
 	c.opts.MaxResponseBytes, c.opts.MaxKeys = 100, 3
 	a := c.start("a", 1)
 	for _, k := range []string{"1", "2", "3"} {
-		g.Expect(a.Begin(background, key(k)).State).To(Equal(Granted))
-		a.Finish(background, key(k), Response{Status: 200, Body: make([]byte, 50)})
+		g.Expect(a.Begin(background, testKey(k)).State).To(Equal(Granted))
+		a.Finish(background, testKey(k), Response{Status: 200, Body: make([]byte, 50)})
 	}
-	g.Expect(a.Begin(background, key("1"))).To(Equal(Result{State: Done}))
-	g.Expect(a.Begin(background, key("3")).Response).NotTo(BeNil())
-	g.Expect(a.Begin(background, key("4")).State).To(Equal(Unavailable))
+	g.Expect(a.Begin(background, testKey("1"))).To(Equal(Result{State: Done}))
+	g.Expect(a.Begin(background, testKey("3")).Response).NotTo(BeNil())
+	g.Expect(a.Begin(background, testKey("4")).State).To(Equal(Unavailable))
 	c.clock.Advance(c.opts.ResponseTTL + time.Second)
-	g.Expect(a.Begin(background, key("4")).State).To(Equal(Granted))
-	g.Expect(a.Begin(background, key("1")).State).To(Equal(Done), "the platform remembers it")
+	g.Expect(a.Begin(background, testKey("4")).State).To(Equal(Granted))
+	g.Expect(a.Begin(background, testKey("1")).State).To(Equal(Done), "the claim is still on the platform")
 }
 
+// FuzzTicketText checks that only a minted ticket with its own client account is
+// verified.
 func FuzzTicketText(f *testing.F) {
-	m := newMint(Owner{Host: "a", Incarnation: 1}, newCluster().clock, time.Minute)
-	good, _ := m.issue("depot")
+	m := newTicketMinter(Owner{Host: "a", Incarnation: 1}, newCluster().clock, time.Minute)
+	good, _ := m.mint("depot")
 	f.Add(good, "depot")
 	f.Add(TicketPrefix, "")
 	f.Add(TicketPrefix+"kpKhYQEBzwAA", "x")
@@ -120,7 +122,7 @@
 		if text == good && account == "depot" {
 			return
 		}
-		if m.check(text, account) == nil {
+		if m.verify(text, account) == nil {
 			t.Fatalf("forged ticket %q passed (%v, %v)", text, ticket, err)
 		}
 	})
