--- a/process/quarantine/crashing_request_test.go
+++ b/process/quarantine/crashing_request_test.go
@@ -12,111 +12,111 @@
 	"bilberrydale/process/peer/peertest"
 )
 
-// fleet is the guards of a few entry hosts before one pool.
-type fleet struct {
+// cluster is the guards of a few entry hosts that share one pool.
+type cluster struct {
 	net    *peertest.Network
 	clock  *clock.Manual
 	guards []*SharedGuard
 }
 
-func newFleet(hosts int) *fleet {
-	f := &fleet{net: peertest.NewNetwork(), clock: clock.NewManual(time.Unix(1e9, 0))}
+func newCluster(hosts int) *cluster {
+	c := &cluster{net: peertest.NewNetwork(), clock: clock.NewManual(time.Unix(1e9, 0))}
 	for i := range hosts {
-		link := f.net.Join(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: 1})
-		f.guards = append(f.guards, NewSharedGuard(f.clock, clock.NewSeeded(1), link, DefaultOptions()))
+		link := c.net.Join(peer.Identity{Host: fmt.Sprint("h", i), Incarnation: 1})
+		c.guards = append(c.guards, NewSharedGuard(c.clock, clock.NewSeeded(1), link, DefaultOptions()))
 	}
-	return f
+	return c
 }
 
-const poison Fingerprint = 666
+const crashing Fingerprint = 666
 
-// send runs the poisoned request once on the host, beside others, on servers
-// that it has not killed yet. It returns the servers lost to it.
-func send(f *fleet, g Guard, lost int, beside ...Fingerprint) int {
+// sendCrashing sends the crashing request once to a host, together with others, on a
+// server that has not crashed yet. It returns the number of servers lost.
+func sendCrashing(c *cluster, g Guard, lost int, others ...Fingerprint) int {
 	server := fmt.Sprint("s", lost)
-	v, _ := g.Check(poison)
+	v, _ := g.Check(crashing)
 	if v == Refused {
 		return 0
 	}
-	apart, _ := g.(Isolator)
+	isolator, _ := g.(Isolator)
 	if v == Isolated {
-		apart.Acquire(server, poison)
-		defer apart.Release(server)
+		isolator.Acquire(server, crashing)
+		defer isolator.Release(server)
 	}
-	for _, fp := range append(beside, poison) {
+	for _, fp := range append(others, crashing) {
 		g.BeginAttempt(fp, server)
 	}
-	for _, fp := range append(beside, poison) {
+	for _, fp := range append(others, crashing) {
 		g.EndAttempt(fp, server, true)
 	}
-	f.clock.Advance(3 * time.Second)
+	c.clock.Advance(3 * time.Second)
 	return 1
 }
 
-// A request kills each server that runs it. Its caller sends it again and
-// again, each time to another entry host. Unguarded it takes the whole pool;
-// guarded, two servers over all hosts, also with innocent requests beside it
-// both times: these are not refused.
+// A request crashes each server that runs it, and its caller resends it repeatedly,
+// each time to another entry host. Without a guard it takes down the whole pool.
+// With one, it crashes two servers over all hosts. Requests that ran on the same
+// servers both times are not refused.
 func TestCrashingRequestCostsTwoServers(t *testing.T) {
 	for _, hosts := range []int{1, 6} {
 		g := NewWithT(t)
-		f := newFleet(hosts)
-		lost, naive := 0, 0
+		c := newCluster(hosts)
+		lost, unguarded := 0, 0
 		for i := range 30 {
-			lost += send(f, f.guards[i%hosts], lost, 1, 2, 3)
-			naive += send(f, AllowAll{}, naive)
+			lost += sendCrashing(c, c.guards[i%hosts], lost, 1, 2, 3)
+			unguarded += sendCrashing(c, AllowAll{}, unguarded)
 		}
-		g.Expect(naive).To(Equal(30), "the naive variant")
+		g.Expect(unguarded).To(Equal(30), "without a guard")
 		g.Expect(lost).To(Equal(2), "%d hosts", hosts)
-		for _, guard := range f.guards {
+		for _, guard := range c.guards {
 			for fp := Fingerprint(1); fp <= 3; fp++ {
 				v, _ := guard.Check(fp)
 				g.Expect(v).To(BeElementOf(Allowed, Isolated))
 			}
-			g.Expect(guard.List()).To(ContainElement(HaveField("Fingerprint", poison)))
+			g.Expect(guard.List()).To(ContainElement(HaveField("Fingerprint", crashing)))
 		}
-		// A lift by an operator and the end of the term both reach every host.
-		f.clock.Advance(time.Second)
-		g.Expect(f.guards[0].Lift(poison)).To(BeTrue())
-		v, _ := f.guards[hosts-1].Check(poison)
+		// A lift by an operator reaches every host.
+		c.clock.Advance(time.Second)
+		g.Expect(c.guards[0].Lift(crashing)).To(BeTrue())
+		v, _ := c.guards[hosts-1].Check(crashing)
 		g.Expect(v).To(Equal(Allowed))
 	}
 }
 
-// Half of the hosts are cut off from the others. Each half learns by itself,
-// so the bound is two servers a half; after the cut, what one half knows
-// reaches the other without a message being sent again.
-func TestCrashingRequestDuringACut(t *testing.T) {
+// The hosts are partitioned into halves. Each half records crashes on its own, so the
+// bound is two servers per half. After the partition the records of one half
+// reach the other by synchronization, without the pushes being sent again.
+func TestCrashingRequestDuringNetworkPartition(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(2)
-	f.net.Partition("h0", "h1")
+	c := newCluster(2)
+	c.net.Partition("h0", "h1")
 	lost := 0
 	for range 10 {
-		lost += send(f, f.guards[0], lost)
+		lost += sendCrashing(c, c.guards[0], lost)
 	}
 	g.Expect(lost).To(Equal(2))
-	f.net.Heal("h0", "h1")
-	f.guards[1].sync(t.Context())
-	g.Expect(send(f, f.guards[1], lost)).To(Equal(0))
+	c.net.Heal("h0", "h1")
+	c.guards[1].pullFromPeer(t.Context())
+	g.Expect(sendCrashing(c, c.guards[1], lost)).To(Equal(0))
 }
 
-// A rack fails: five servers die within a second, each with other requests on
-// it, and the retries of these meet servers that die in the same second.
-// Nothing ties the deaths to a request, so none is refused; they run apart for
-// a while and are cleared when they end well.
-func TestBurstOfDeathsQuarantinesNobody(t *testing.T) {
+// A rack fails: five servers crash within a second, each with other requests, and
+// retries of these run on servers that crash in the same second. The crashes are
+// not attributable to a request, so none is refused. The requests are suspects
+// and are cleared when they complete.
+func TestUnrelatedCrashesQuarantineNoRequest(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(3)
+	c := newCluster(3)
 	fp := Fingerprint(0)
 	for s := range 5 {
 		for range 10 {
 			fp++
-			f.guards[int(fp)%3].EndAttempt(fp, fmt.Sprint("s", s), true)
+			c.guards[int(fp)%3].EndAttempt(fp, fmt.Sprint("s", s), true)
 		}
 	}
-	f.clock.Advance(500 * time.Millisecond)
+	c.clock.Advance(500 * time.Millisecond)
 	for again := Fingerprint(1); again <= 10; again++ {
-		guard := f.guards[again%3]
+		guard := c.guards[again%3]
 		v, _ := guard.Check(again)
 		g.Expect(v).To(Equal(Isolated))
 		server := fmt.Sprint("t", again)
@@ -126,64 +126,64 @@
 	}
 	refused := 0
 	for i := Fingerprint(1); i <= fp; i++ {
-		if v, _ := f.guards[0].Check(i); v == Refused {
+		if v, _ := c.guards[0].Check(i); v == Refused {
 			refused++
 		}
 	}
 	g.Expect(refused).To(Equal(0))
-	f.clock.Advance(5 * time.Second)
-	f.guards[0].ClearSuspicion(1)
-	for _, guard := range f.guards {
+	c.clock.Advance(5 * time.Second)
+	c.guards[0].ClearSuspicion(1)
+	for _, guard := range c.guards {
 		v, _ := guard.Check(1)
 		g.Expect(v).To(Equal(Allowed))
 	}
 }
 
-// A suspect that is innocent shares no server with another suspect, and what
-// runs beside a suspect is not blamed for its crash.
-func TestInnocentBesideASuspectIsNotBlamed(t *testing.T) {
+// Two suspects do not run on the same server, and a request that runs on the server
+// of a suspect does not become a suspect when that server crashes.
+func TestRequestBesideSuspectIsNotBlamed(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(1)
-	guard := f.guards[0]
-	guard.EndAttempt(poison, "s1", true)
-	f.clock.Advance(3 * time.Second)
-	g.Expect(guard.Acquire("s2", poison)).To(BeTrue())
+	c := newCluster(1)
+	guard := c.guards[0]
+	guard.EndAttempt(crashing, "s1", true)
+	c.clock.Advance(3 * time.Second)
+	g.Expect(guard.Acquire("s2", crashing)).To(BeTrue())
 	g.Expect(guard.Acquire("s2", 9)).To(BeFalse())
 	guard.EndAttempt(1, "s2", true)
-	guard.EndAttempt(poison, "s2", true)
-	freed := guard.Released()
+	guard.EndAttempt(crashing, "s2", true)
+	released := guard.Released()
 	guard.Release("s2")
-	g.Expect(freed).To(BeClosed())
+	g.Expect(released).To(BeClosed())
 	v, _ := guard.Check(1)
 	g.Expect(v).To(Equal(Allowed))
-	v, wait := guard.Check(poison)
+	v, wait := guard.Check(crashing)
 	g.Expect(v).To(Equal(Refused))
 	g.Expect(wait).To(BeNumerically(">", time.Minute))
-	f.clock.Advance(wait)
-	v, _ = guard.Check(poison)
+	c.clock.Advance(wait)
+	v, _ = guard.Check(crashing)
 	g.Expect(v).To(Equal(Allowed))
 }
 
-// A server is dead, and its address still takes connections and drops them.
-// Requests that begin then fail like those that it died under; they are not to
-// blame, here or on a host that was told of the death.
-func TestAttemptOnADeadServerIsNotBlamed(t *testing.T) {
+// A server is dead, but its address still accepts connections and drops them.
+// Requests that begin then fail like those during which it crashed. They do not
+// become suspects, neither on the host that saw the crash nor on its peers.
+func TestAttemptOnDeadServerIsNotBlamed(t *testing.T) {
 	g := NewWithT(t)
-	f := newFleet(2)
-	f.guards[0].EndAttempt(poison, "s1", true)
-	f.guards[0].EndAttempt(poison, "s2", true)
+	c := newCluster(2)
+	c.guards[0].EndAttempt(crashing, "s1", true)
+	c.guards[0].EndAttempt(crashing, "s2", true)
 	for fp := Fingerprint(1); fp < 5; fp++ {
 		for _, server := range []string{"s1", "s2"} {
-			guard := f.guards[fp%2]
+			guard := c.guards[fp%2]
 			guard.BeginAttempt(fp, server)
 			guard.EndAttempt(fp, server, true)
 			v, _ := guard.Check(fp)
 			g.Expect(v).To(Equal(Allowed))
 		}
 	}
-	f.guards[0].MarkAlive("s1")
-	f.guards[0].BeginAttempt(9, "s1")
-	f.guards[0].EndAttempt(9, "s1", true)
-	v, _ := f.guards[0].Check(9)
+	c.guards[0].MarkAlive("s1")
+	c.guards[0].BeginAttempt(9, "s1")
+	c.guards[0].EndAttempt(9, "s1", true)
+	v, _ := c.guards[0].Check(9)
 	g.Expect(v).To(Equal(Isolated))
 }
--- a/process/quarantine/peers.go
+++ b/process/quarantine/peers.go
@@ -14,78 +14,83 @@
 
 // Methods between entry hosts.
 const (
-	methodTell peer.Method = "quarantine.tell" // rows that changed
-	methodList peer.Method = "quarantine.list" // all rows in effect
+	methodPush peer.Method = "quarantine.tell" // records that changed
+	methodList peer.Method = "quarantine.list" // all records in effect
 )
 
-// maxTold bounds the rows of one message.
-const maxTold = 256
+// maxRecordsPerMessage bounds the records of one message.
+const maxRecordsPerMessage = 256
 
-// parallelTells bounds the peers told at once.
-const parallelTells = 32
+// maxParallelPushes bounds the concurrent pushes of one record.
+const maxParallelPushes = 32
 
-func (s *SharedGuard) handle() {
-	s.link.Handle(methodTell, s.onTell)
+// registerHandlers registers the handlers of the methods between hosts.
+func (s *SharedGuard) registerHandlers() {
+	s.link.Handle(methodPush, s.onPush)
 	s.link.Handle(methodList, func(context.Context, peer.Identity, []byte) ([]byte, error) {
-		return msgpack.Marshal(s.inEffect())
+		return msgpack.Marshal(s.activeRecords())
 	})
 }
 
-// share tells every peer, as far as they can be reached in ShareTime.
-func (s *SharedGuard) share(r row) {
+// pushToPeers sends the record to all peers and returns when they have responded or
+// ShareTimeout has passed.
+func (s *SharedGuard) pushToPeers(r record) {
 	if s.link == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), s.opts.ShareTimeout)
 	defer cancel()
 	var g errgroup.Group
-	g.SetLimit(parallelTells)
+	g.SetLimit(maxParallelPushes)
 	for _, p := range s.link.Peers() {
 		g.Go(func() error {
-			// A peer that cannot be reached learns it from Run later.
-			_ = s.link.Call(ctx, p.Host, methodTell, []row{r}, nil)
+			// A peer that cannot be reached gets the record later by Run.
+			_ = s.link.Call(ctx, p.Host, methodPush, []record{r}, nil)
 			return nil
 		})
 	}
 	_ = g.Wait()
 }
 
-func (s *SharedGuard) onTell(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
-	var rows []row
-	if err := msgpack.Unmarshal(payload, &rows); err != nil {
-		return nil, fmt.Errorf("quarantine: malformed rows: %w", err)
+// onPush handles quarantine.tell.
+func (s *SharedGuard) onPush(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
+	var records []record
+	if err := msgpack.Unmarshal(payload, &records); err != nil {
+		return nil, fmt.Errorf("quarantine: malformed records: %w", err)
 	}
-	s.learn(rows)
+	s.mergeFromPeer(records)
 	return msgpack.Marshal(true)
 }
 
-// learn merges a peer's rows.
-func (s *SharedGuard) learn(rows []row) {
+// mergeFromPeer merges the records of a peer, up to maxRecordsPerMessage.
+func (s *SharedGuard) mergeFromPeer(records []record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, r := range rows[:min(len(rows), maxTold)] {
-		for _, d := range r.Deaths {
-			if !s.seen(s.recent, d) {
-				s.remember(d)
+	for _, r := range records[:min(len(records), maxRecordsPerMessage)] {
+		for _, crash := range r.Crashes {
+			if !s.containsCrash(s.recentCrashes, crash) {
+				s.addRecentCrash(crash)
 			}
 		}
 		s.merge(r)
 	}
 }
 
-func (s *SharedGuard) inEffect() []row {
+// activeRecords returns the records in effect, up to maxRecordsPerMessage.
+func (s *SharedGuard) activeRecords() []record {
 	now := s.clock.Now()
-	var out []row
-	for _, r := range *s.verdicts.Load() {
-		if s.expires(&r).After(now) && len(out) < maxTold {
+	var out []record
+	for _, r := range *s.snapshot.Load() {
+		if s.expires(&r).After(now) && len(out) < maxRecordsPerMessage {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// Run compares notes with one random peer at a time until ctx ends, so that a
-// host that was cut off or has just started learns what it missed.
+// Run fetches the records of one random peer at once and then every SyncInterval,
+// until ctx ends, so that a host that has just started or was partitioned gets
+// the records it missed. It returns nil.
 func (s *SharedGuard) Run(ctx context.Context) error {
 	wait := time.Duration(0)
 	for {
@@ -95,11 +100,12 @@
 		case <-s.clock.After(wait):
 		}
 		wait = s.opts.SyncInterval
-		s.sync(ctx)
+		s.pullFromPeer(ctx)
 	}
 }
 
-func (s *SharedGuard) sync(ctx context.Context) {
+// pullFromPeer merges the records of a random peer.
+func (s *SharedGuard) pullFromPeer(ctx context.Context) {
 	if s.link == nil {
 		return
 	}
@@ -109,12 +115,13 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.opts.ShareTimeout)
 	defer cancel()
-	var rows []row
-	if s.link.Call(ctx, peers[s.rand.IntN(len(peers))].Host, methodList, nil, &rows) == nil {
-		s.learn(rows)
+	var records []record
+	if s.link.Call(ctx, peers[s.rand.IntN(len(peers))].Host, methodList, nil, &records) == nil {
+		s.mergeFromPeer(records)
 	}
 }
 
-func sortEntries(list []Entry) {
-	sort.Slice(list, func(i, j int) bool { return list[i].Fingerprint < list[j].Fingerprint })
+// sortEntries sorts entries by fingerprint.
+func sortEntries(entries []Entry) {
+	sort.Slice(entries, func(i, j int) bool { return entries[i].Fingerprint < entries[j].Fingerprint })
 }
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -1,6 +1,6 @@
-// Package quarantine bounds the backend servers lost to a request that crashes
-// whatever runs it. Requests are known by fingerprint, so that a resend to
-// another entry host is recognized.
+// Package quarantine bounds the number of backend servers lost to a request that
+// crashes every server that runs it. Requests are identified by a fingerprint of
+// their content, so that a resend to another entry host is recognized.
 package quarantine
 
 import (
@@ -9,80 +9,89 @@
 	"time"
 )
 
-// Fingerprint identifies the content of a request, whoever sends it.
+// Fingerprint identifies the content of a request, independent of its sender.
 type Fingerprint uint64
 
-// MarshalText implements encoding.TextMarshaler: operators see it as in the
-// refusals, in hexadecimal.
+// MarshalText implements encoding.TextMarshaler. The text is hexadecimal with 16
+// digits, as in the refusals that callers get.
 func (f Fingerprint) MarshalText() ([]byte, error) { return fmt.Appendf(nil, "%016x", uint64(f)), nil }
 
-// UnmarshalText implements encoding.TextUnmarshaler.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts a hexadecimal number.
 func (f *Fingerprint) UnmarshalText(text []byte) error {
 	v, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil {
-		return fmt.Errorf("fingerprint %q is not a hexadecimal number", text)
+		return fmt.Errorf("fingerprint %q is not a 64-bit hexadecimal number", text)
 	}
 	*f = Fingerprint(v)
 	return nil
 }
 
-// Verdict tells how a request may run.
+// Verdict is the decision about how a request may run.
 type Verdict int
 
-// Verdicts.
+// Verdicts of a Guard. The values are part of the operators' list.
 const (
-	Allowed  Verdict = iota // run as any other
-	Isolated                // a suspect: run apart from other requests
-	Refused                 // in quarantine
+	Allowed  Verdict = iota // the request may run like any other
+	Isolated                // the request is a suspect: at most one suspect runs on a server
+	Refused                 // the request is in quarantine
 )
 
-// Entry is one row of the operators' list.
+// Entry is one request in the operators' list of suspects and quarantined requests.
 type Entry struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
 	Crashes     int         `json:"crashes"`
 	Verdict     Verdict     `json:"verdict"`
-	Expires     time.Time   `json:"expires"`
+	Expires     time.Time   `json:"expires"` // end of the suspicion or quarantine
 }
 
-// Guard is asked before each attempt and told of each attempt's end. Check
-// takes no lock that another request holds for long.
+// Guard decides which requests may run, from the crashes reported to it.
+// Implementations are safe for concurrent use.
 type Guard interface {
+	// Check returns the verdict on a request. It is called before each attempt
+	// and does not block on other requests. With Refused, retryAfter is the
+	// remaining time of the quarantine.
 	Check(fp Fingerprint) (v Verdict, retryAfter time.Duration)
+	// BeginAttempt reports the start of an attempt on server. EndAttempt follows
+	// once.
 	BeginAttempt(fp Fingerprint, server string)
-	// End reports an attempt's end; died means that the server was lost while
-	// it ran this request.
-	EndAttempt(fp Fingerprint, server string, died bool)
+	// EndAttempt reports the end of an attempt; crashed means that the server
+	// was lost while it ran the request.
+	EndAttempt(fp Fingerprint, server string, crashed bool)
+	// List returns the suspects and the quarantined requests by fingerprint.
 	List() []Entry
+	// Lift ends the suspicion or quarantine of a request. It returns false if
+	// no crash of the request is on record.
 	Lift(fp Fingerprint) bool
 }
 
-// Apart is what a Guard may offer beside: suspects run one a server, so that a
-// crash tells which of them caused it, and a suspect that ran is cleared.
+// Isolator is an optional interface of a Guard. At most one suspect runs on a server
+// at a time, so that a crash can be attributed to one of them, and a suspect that
+// completes is cleared of suspicion.
 type Isolator interface {
-	// Busy reports whether a suspect runs on server.
+	// HasSuspect reports whether a suspect runs on server.
 	HasSuspect(server string) bool
-	// Enter takes server for the suspect; false: another one has it. Leave
-	// follows once after true.
+	// Acquire reserves server for the suspect fp. It returns false if another
+	// suspect has the server. After true, Release follows once.
 	Acquire(server string, fp Fingerprint) bool
 	Release(server string)
-	// Freed returns a channel that is closed at the next Leave.
+	// Released returns a channel that is closed at the next Release of any server.
 	Released() <-chan struct{}
-	// Alive tells that server answered.
+	// MarkAlive reports that server responded.
 	MarkAlive(server string)
-	// Clear tells that the whole request ran to its end without harm.
+	// ClearSuspicion reports that all stages of a request completed without a crash.
 	ClearSuspicion(fp Fingerprint)
 }
 
-// Open is the Guard that lets everything run: the naive variant.
+// AllowAll is a Guard that lets every request run: the naive baseline of the tests.
 type AllowAll struct{}
 
 // Check implements Guard.
 func (AllowAll) Check(Fingerprint) (Verdict, time.Duration) { return Allowed, 0 }
 
-// Begin implements Guard.
+// BeginAttempt implements Guard.
 func (AllowAll) BeginAttempt(Fingerprint, string) {}
 
-// End implements Guard.
+// EndAttempt implements Guard.
 func (AllowAll) EndAttempt(Fingerprint, string, bool) {}
 
 // List implements Guard.
--- /dev/null
+++ b/process/quarantine/shared_guard.go
@@ -0,0 +1,289 @@
+package quarantine
+
+import (
+	"sort"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"bilberrydale/process/clock"
+	"bilberrydale/process/peer"
+)
+
+// Options configure a SharedGuard: how many servers a request may crash, and the
+// times of suspicion, quarantine and sharing.
+type Options struct {
+	MaxCrashes         int           // crashes after which a request is quarantined
+	SuspectDuration    time.Duration // time from its last crash in which a request is a suspect
+	QuarantineDuration time.Duration // duration of a quarantine
+	// CrashMergeWindow: reports of crashes of one server that are closer together
+	// than this are one crash.
+	CrashMergeWindow time.Duration
+	// MaxDeadDuration: a crashed server is presumed dead until it responds, but
+	// at most for this time. An attempt that begins in that time cannot have
+	// crashed it.
+	MaxDeadDuration time.Duration
+	// BurstWindow: a crash closer than this to the crash of a server on which
+	// the request did not run may have another, common cause.
+	BurstWindow  time.Duration
+	ShareTimeout time.Duration // time for peers to get a record before the caller gets its response
+	SyncInterval time.Duration // time between fetches from a random peer
+	MaxRecords   int           // maximum number of records in memory
+}
+
+// DefaultOptions returns the default options.
+func DefaultOptions() Options {
+	return Options{
+		MaxCrashes: 2, SuspectDuration: 2 * time.Minute, QuarantineDuration: 10 * time.Minute, CrashMergeWindow: 2 * time.Second, MaxDeadDuration: time.Second,
+		BurstWindow: 2 * time.Second, ShareTimeout: 200 * time.Millisecond, SyncInterval: 10 * time.Second, MaxRecords: 10_000,
+	}
+}
+
+// Crash is the loss of one backend server while it ran a request.
+type Crash struct {
+	Server string
+	At     time.Time
+}
+
+// record holds the crashes attributed to one request. Pushes encode it as an array,
+// responses to quarantine.list with its field names.
+type record struct {
+	Fingerprint   Fingerprint
+	Crashes       []Crash   `msgpack:"Deaths"`
+	ClearedAt     time.Time `msgpack:"Since"`     // crashes up to this time are discarded
+	QuarantinedAt time.Time `msgpack:"Convicted"` // zero if the request is not in quarantine
+}
+
+// SharedGuard is a Guard that shares its records with all entry hosts. The first
+// crash of a server makes every request that ran on it a suspect. At most one
+// suspect runs on a server, so that the next crash is attributed to one request.
+// A suspect that completes is cleared. It is safe for concurrent use.
+type SharedGuard struct {
+	clock clock.Clock
+	rand  clock.Rand
+	opts  Options
+	link  peer.Link // nil if there are no other hosts
+
+	// snapshot is an immutable copy of records, replaced on every change. Every
+	// request reads it without a lock.
+	snapshot atomic.Pointer[map[Fingerprint]record]
+
+	mu             sync.Mutex
+	records        map[Fingerprint]record
+	recentCrashes  []Crash                // recent crashes of all servers
+	isolated       map[string]Fingerprint // suspects by the server they run on
+	released       chan struct{}          // closed and replaced at each Release
+	deadServers    map[string]time.Time   // time of crash of the servers presumed dead
+	attemptsOnDead map[attempt]int        // number of running attempts that began on a server presumed dead
+
+	deadCount atomic.Int64 // length of deadServers; avoids the lock while no server is presumed dead
+}
+
+// attempt identifies attempts of a request on a server.
+type attempt struct {
+	fingerprint Fingerprint
+	server      string
+}
+
+// NewSharedGuard returns a SharedGuard and registers its handlers with link. link may
+// be nil; otherwise it must not have been started.
+func NewSharedGuard(clk clock.Clock, rnd clock.Rand, link peer.Link, opts Options) *SharedGuard {
+	s := &SharedGuard{
+		clock: clk, rand: rnd, opts: opts, link: link,
+		records: map[Fingerprint]record{}, isolated: map[string]Fingerprint{}, released: make(chan struct{}),
+		deadServers: map[string]time.Time{}, attemptsOnDead: map[attempt]int{},
+	}
+	s.publishSnapshot()
+	if link != nil {
+		s.registerHandlers()
+	}
+	return s
+}
+
+var (
+	_ Guard    = (*SharedGuard)(nil)
+	_ Isolator = (*SharedGuard)(nil)
+)
+
+// publishSnapshot replaces the snapshot by a copy of records. s.mu must be held,
+// except during construction.
+func (s *SharedGuard) publishSnapshot() {
+	copied := make(map[Fingerprint]record, len(s.records))
+	for fp, r := range s.records {
+		copied[fp] = r
+	}
+	s.snapshot.Store(&copied)
+}
+
+// expires returns the time at which the record ceases to have an effect.
+func (s *SharedGuard) expires(r *record) time.Time {
+	if !r.QuarantinedAt.IsZero() {
+		return r.QuarantinedAt.Add(s.opts.QuarantineDuration)
+	}
+	if len(r.Crashes) == 0 {
+		return r.ClearedAt.Add(s.opts.QuarantineDuration)
+	}
+	return r.Crashes[len(r.Crashes)-1].At.Add(s.opts.SuspectDuration)
+}
+
+// verdict returns the verdict of the record at time now, and with Refused the
+// remaining time of the quarantine.
+func (s *SharedGuard) verdict(r *record, now time.Time) (Verdict, time.Duration) {
+	left := s.expires(r).Sub(now)
+	switch {
+	case left <= 0 || len(r.Crashes) == 0:
+		return Allowed, 0
+	case r.QuarantinedAt.IsZero():
+		return Isolated, 0
+	default:
+		return Refused, left
+	}
+}
+
+// Check implements Guard. It takes no lock.
+func (s *SharedGuard) Check(fp Fingerprint) (Verdict, time.Duration) {
+	r, ok := (*s.snapshot.Load())[fp]
+	if !ok {
+		return Allowed, 0
+	}
+	return s.verdict(&r, s.clock.Now())
+}
+
+// EndAttempt implements Guard. After a crash it returns when the reachable peers have
+// the record or ShareTimeout has passed, so that the caller's resend does not
+// reach a host without it.
+func (s *SharedGuard) EndAttempt(fp Fingerprint, server string, crashed bool) {
+	if s.endAttemptOnDead(fp, server) || !crashed {
+		return
+	}
+	if r, changed := s.recordCrash(fp, Crash{server, s.clock.Now()}); changed {
+		s.pushToPeers(r)
+	}
+}
+
+// recordCrash attributes a crash to fp and returns its new record. It returns false
+// if another suspect ran on the server, which is the likelier cause.
+func (s *SharedGuard) recordCrash(fp Fingerprint, crash Crash) (record, bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	suspect, hasSuspect := s.isolated[crash.Server]
+	s.addRecentCrash(crash)
+	if hasSuspect && suspect != fp {
+		return record{}, false
+	}
+	return s.merge(record{Fingerprint: fp, Crashes: []Crash{crash}}), true
+}
+
+// addRecentCrash adds a crash to recentCrashes and deadServers, and removes outdated
+// ones. s.mu must be held.
+func (s *SharedGuard) addRecentCrash(crash Crash) {
+	kept := s.recentCrashes[:0]
+	for _, old := range s.recentCrashes {
+		if crash.At.Sub(old.At) < s.opts.BurstWindow+s.opts.CrashMergeWindow {
+			kept = append(kept, old)
+		}
+	}
+	s.recentCrashes = append(kept, crash)
+	for name, at := range s.deadServers {
+		if crash.At.Sub(at) >= s.opts.MaxDeadDuration {
+			delete(s.deadServers, name)
+		}
+	}
+	s.deadServers[crash.Server] = crash.At
+	s.deadCount.Store(int64(len(s.deadServers)))
+}
+
+// merge merges in into the record of its request and returns the result. The merge is
+// also how records of peers are combined. s.mu must be held.
+func (s *SharedGuard) merge(in record) record {
+	r, ok := s.records[in.Fingerprint]
+	if !ok {
+		s.evictRecords()
+		r.Fingerprint = in.Fingerprint
+	}
+	if in.ClearedAt.After(r.ClearedAt) {
+		r.ClearedAt = in.ClearedAt
+	}
+	r.Crashes = s.mergeCrashes(append(append([]Crash(nil), r.Crashes...), in.Crashes...), r.ClearedAt)
+	if !in.QuarantinedAt.Before(r.QuarantinedAt) {
+		r.QuarantinedAt = in.QuarantinedAt
+	}
+	if !r.QuarantinedAt.After(r.ClearedAt) {
+		r.QuarantinedAt = time.Time{}
+	}
+	if r.QuarantinedAt.IsZero() && s.shouldQuarantine(&r) {
+		r.QuarantinedAt = s.clock.Now()
+	}
+	s.records[in.Fingerprint] = r
+	s.publishSnapshot()
+	return r
+}
+
+// mergeCrashes sorts crashes by time and drops those up to clearedAt and repeated
+// reports of one crash.
+func (s *SharedGuard) mergeCrashes(crashes []Crash, clearedAt time.Time) []Crash {
+	sort.Slice(crashes, func(i, j int) bool { return crashes[i].At.Before(crashes[j].At) })
+	var out []Crash
+	for _, crash := range crashes {
+		if crash.At.After(clearedAt) && !s.containsCrash(out, crash) {
+			out = append(out, crash)
+		}
+	}
+	return out
+}
+
+// containsCrash reports whether crashes has a crash of the same server within
+// CrashMergeWindow.
+func (s *SharedGuard) containsCrash(crashes []Crash, crash Crash) bool {
+	for _, other := range crashes {
+		if other.Server == crash.Server && crash.At.Sub(other.At).Abs() < s.opts.CrashMergeWindow {
+			return true
+		}
+	}
+	return false
+}
+
+// shouldQuarantine reports whether the request has caused MaxCrashes crashes. While
+// other servers crash too, a crash may be unrelated to the request, so one more
+// is required then.
+func (s *SharedGuard) shouldQuarantine(r *record) bool {
+	n := len(r.Crashes)
+	if n < s.opts.MaxCrashes {
+		return false
+	}
+	return n > s.opts.MaxCrashes || !s.hasUnrelatedCrash(r)
+}
+
+// hasUnrelatedCrash reports whether a server on which the request did not run crashed
+// within BurstWindow of the request's last crash.
+func (s *SharedGuard) hasUnrelatedCrash(r *record) bool {
+	last := r.Crashes[len(r.Crashes)-1]
+	for _, crash := range s.recentCrashes {
+		if last.At.Sub(crash.At).Abs() < s.opts.BurstWindow && !s.containsCrash(r.Crashes, crash) {
+			return true
+		}
+	}
+	return false
+}
+
+// evictRecords removes expired records if there are MaxRecords, and if none has
+// expired the one that expires first. s.mu must be held.
+func (s *SharedGuard) evictRecords() {
+	if len(s.records) < s.opts.MaxRecords {
+		return
+	}
+	now := s.clock.Now()
+	var oldest Fingerprint
+	var at time.Time
+	for fp, r := range s.records {
+		e := s.expires(&r)
+		if !e.After(now) {
+			delete(s.records, fp)
+		} else if at.IsZero() || e.Before(at) {
+			oldest, at = fp, e
+		}
+	}
+	if len(s.records) >= s.opts.MaxRecords {
+		delete(s.records, oldest)
+	}
+}
