--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -81,7 +81,7 @@
 	return s.r.Uint64()
 }
 
-// Manual is a clock for tests and simulations whose time changes only by Advance.
+// Manual is a clock for tests whose time changes only by Advance.
 type Manual struct {
 	mu      sync.Mutex
 	now     time.Time
--- a/process/lease/elector_test.go
+++ b/process/lease/elector_test.go
@@ -52,28 +52,28 @@
 }
 
 func newTestCluster(n int) *testCluster {
-	s := &testCluster{store: objects.New()}
+	c := &testCluster{store: objects.New()}
 	for i := range n {
-		s.start(i)
+		c.start(i)
 	}
-	return s
+	return c
 }
 
-func (s *testCluster) start(i int) {
-	h := &testHost{clock: clock.NewManual(time.Unix(int64(1000*(i+1)), 0)), store: &pausingStore{Store: s.store}, candidate: true}
+func (c *testCluster) start(i int) {
+	h := &testHost{clock: clock.NewManual(time.Unix(int64(1000*(i+1)), 0)), store: &pausingStore{Store: c.store}, candidate: true}
 	h.Elector = NewElector(Options{
 		Store: h.store, Clock: h.clock, Rand: clock.NewSeeded(1), Key: KeyPrefix + "d1", Host: fmt.Sprint("h", i),
 		IsCandidate: func() bool { return h.candidate }, TTL: ttl, Margin: margin, MaxOrderDuration: maxOrderDuration,
 	})
-	if i < len(s.hosts) {
-		s.hosts[i] = h
+	if i < len(c.hosts) {
+		c.hosts[i] = h
 	} else {
-		s.hosts = append(s.hosts, h)
+		c.hosts = append(c.hosts, h)
 	}
 }
 
-func (s *testCluster) advance(d time.Duration) {
-	for _, h := range s.hosts {
+func (c *testCluster) advance(d time.Duration) {
+	for _, h := range c.hosts {
 		h.clock.Advance(d)
 	}
 }
@@ -81,13 +81,13 @@
 func (h *testHost) held() (uint64, bool) { return h.Held(h.clock.Now()) }
 
 // acquire steps host i until it has acquired the lease of an empty platform.
-func (s *testCluster) acquire(g Gomega, i int) uint64 {
+func (c *testCluster) acquire(g Gomega, i int) uint64 {
 	for range 3 {
-		s.hosts[i].Step(context.Background())
-		s.advance(ttl + maxOrderDuration)
+		c.hosts[i].Step(context.Background())
+		c.advance(ttl + maxOrderDuration)
 	}
-	s.hosts[i].Step(context.Background())
-	fence, ok := s.hosts[i].held()
+	c.hosts[i].Step(context.Background())
+	fence, ok := c.hosts[i].held()
 	g.Expect(ok).To(BeTrue())
 	return fence
 }
@@ -97,22 +97,22 @@
 // at once, before any request to the platform.
 func TestHolderSuspendedPastItsLeaseDoesNotHoldItOnResume(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
-	s := newTestCluster(2)
-	first := s.acquire(g, 0)
-	s.hosts[1].Step(ctx)
-	s.advance(ttl - margin)
-	_, ok := s.hosts[0].held()
+	c := newTestCluster(2)
+	first := c.acquire(g, 0)
+	c.hosts[1].Step(ctx)
+	c.advance(ttl - margin)
+	_, ok := c.hosts[0].held()
 	g.Expect(ok).To(BeFalse(), "the holder stops acting a margin before its lease ends")
-	s.hosts[1].Step(ctx)
-	_, ok = s.hosts[1].held()
+	c.hosts[1].Step(ctx)
+	_, ok = c.hosts[1].held()
 	g.Expect(ok).To(BeFalse(), "too early for the next holder")
-	s.advance(margin + maxOrderDuration)
-	s.hosts[1].Step(ctx)
-	second, ok := s.hosts[1].held()
+	c.advance(margin + maxOrderDuration)
+	c.hosts[1].Step(ctx)
+	second, ok := c.hosts[1].held()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(second).To(BeNumerically(">", first))
-	s.hosts[0].Step(ctx)
-	_, ok = s.hosts[0].held()
+	c.hosts[0].Step(ctx)
+	_, ok = c.hosts[0].held()
 	g.Expect(ok).To(BeFalse())
 }
 
@@ -121,12 +121,12 @@
 // its own write.
 func TestLostResponsesAreResolvedByReading(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
-	s := newTestCluster(1)
-	h := s.hosts[0]
+	c := newTestCluster(1)
+	h := c.hosts[0]
 	h.Step(ctx)
 	h.Step(ctx)
-	s.advance(ttl + maxOrderDuration)
-	s.store.SetFaults(objects.Faults{LoseWrites: 1})
+	c.advance(ttl + maxOrderDuration)
+	c.store.SetFaults(objects.Faults{LoseWrites: 1})
 	h.Step(ctx)
 	_, ok := h.held()
 	g.Expect(ok).To(BeFalse(), "the outcome of the write is not known yet")
@@ -134,8 +134,8 @@
 	fence, ok := h.held()
 	g.Expect(ok).To(BeTrue())
 	for range 5 {
-		s.store.SetFaults(objects.Faults{LoseWrites: 1})
-		s.advance(ttl / 3)
+		c.store.SetFaults(objects.Faults{LoseWrites: 1})
+		c.advance(ttl / 3)
 		h.Step(ctx)
 		again, ok := h.held()
 		g.Expect(ok).To(BeTrue())
@@ -148,22 +148,22 @@
 // the same fencing token if no other host has acquired the lease.
 func TestPlatformDownMeansNoNewHolder(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
-	s := newTestCluster(2)
-	fence := s.acquire(g, 0)
-	s.hosts[1].Step(ctx)
-	s.store.SetFaults(objects.Faults{Down: true})
+	c := newTestCluster(2)
+	fence := c.acquire(g, 0)
+	c.hosts[1].Step(ctx)
+	c.store.SetFaults(objects.Faults{Down: true})
 	for range 20 {
-		s.advance(ttl / 3)
-		s.hosts[0].Step(ctx)
-		s.hosts[1].Step(ctx)
-		_, ok := s.hosts[1].held()
+		c.advance(ttl / 3)
+		c.hosts[0].Step(ctx)
+		c.hosts[1].Step(ctx)
+		_, ok := c.hosts[1].held()
 		g.Expect(ok).To(BeFalse())
 	}
-	_, ok := s.hosts[0].held()
+	_, ok := c.hosts[0].held()
 	g.Expect(ok).To(BeFalse())
-	s.store.SetFaults(objects.Faults{})
-	s.hosts[0].Step(ctx)
-	again, ok := s.hosts[0].held()
+	c.store.SetFaults(objects.Faults{})
+	c.hosts[0].Step(ctx)
+	again, ok := c.hosts[0].held()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(again).To(Equal(fence))
 }
@@ -173,34 +173,34 @@
 // new holder, or accept orders of both.
 func TestFencingTokenRisesAcrossDeletionAndRestore(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
-	s := newTestCluster(2)
-	first := s.acquire(g, 0)
-	old, err := s.store.Get(ctx, KeyPrefix+"d1")
+	c := newTestCluster(2)
+	first := c.acquire(g, 0)
+	old, err := c.store.Get(ctx, KeyPrefix+"d1")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.store.Delete(ctx, KeyPrefix+"d1", old.Version)).To(Succeed())
-	s.hosts[1].Step(ctx)
-	s.hosts[1].Step(ctx)
-	_, ok := s.hosts[1].held()
+	g.Expect(c.store.Delete(ctx, KeyPrefix+"d1", old.Version)).To(Succeed())
+	c.hosts[1].Step(ctx)
+	c.hosts[1].Step(ctx)
+	_, ok := c.hosts[1].held()
 	g.Expect(ok).To(BeFalse(), "the old holder may still act")
-	second := s.acquire(g, 1)
+	second := c.acquire(g, 1)
 	g.Expect(second).To(BeNumerically(">", first))
-	cur, _ := s.store.Get(ctx, KeyPrefix+"d1")
-	_, err = s.store.Put(ctx, KeyPrefix+"d1", old.Value, cur.Version)
+	cur, _ := c.store.Get(ctx, KeyPrefix+"d1")
+	_, err = c.store.Put(ctx, KeyPrefix+"d1", old.Value, cur.Version)
 	g.Expect(err).NotTo(HaveOccurred())
-	s.hosts[0].clearHeld()
-	third := s.acquire(g, 0)
+	c.hosts[0].clearHeld()
+	third := c.acquire(g, 0)
 	g.Expect(third).To(BeNumerically(">", second))
 }
 
 func TestReleasedLeaseIsAcquiredWithoutWaiting(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
-	s := newTestCluster(2)
-	first := s.acquire(g, 0)
-	s.hosts[0].Release(ctx)
-	_, ok := s.hosts[0].held()
+	c := newTestCluster(2)
+	first := c.acquire(g, 0)
+	c.hosts[0].Release(ctx)
+	_, ok := c.hosts[0].held()
 	g.Expect(ok).To(BeFalse())
-	s.hosts[1].Step(ctx)
-	second, ok := s.hosts[1].held()
+	c.hosts[1].Step(ctx)
+	second, ok := c.hosts[1].held()
 	g.Expect(ok).To(BeTrue())
 	g.Expect(second).To(BeNumerically(">", first))
 }
@@ -208,10 +208,10 @@
 // Hosts that are not candidates must not send requests to the platform.
 func TestOnlyCandidatesCallThePlatform(t *testing.T) {
 	g := NewWithT(t)
-	s := newTestCluster(1)
-	s.hosts[0].candidate = false
-	s.hosts[0].Step(context.Background())
-	g.Expect(s.store.Counts()).To(Equal(objects.Counts{}))
+	c := newTestCluster(1)
+	c.hosts[0].candidate = false
+	c.hosts[0].Step(context.Background())
+	g.Expect(c.store.Counts()).To(Equal(objects.Counts{}))
 }
 
 // Random interleavings of steps, time, suspensions of one process between and
@@ -226,44 +226,44 @@
 	holders := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		g, ctx := NewWithT(rt), context.Background()
-		s := newTestCluster(rapid.IntRange(2, 4).Draw(rt, "hosts"))
+		c := newTestCluster(rapid.IntRange(2, 4).Draw(rt, "hosts"))
 		owners, last := map[uint64]*testHost{}, uint64(0)
 		steps := rapid.IntRange(20, 120).Draw(rt, "steps")
 		for range steps {
-			i := rapid.IntRange(0, len(s.hosts)-1).Draw(rt, "host")
-			h := s.hosts[i]
+			i := rapid.IntRange(0, len(c.hosts)-1).Draw(rt, "host")
+			h := c.hosts[i]
 			switch rapid.SampledFrom([]string{"step", "step", "step", "step", "pass", "pass", "pass", "lose", "down", "up", "delete", "restart", "release", "pause"}).Draw(rt, "what") {
 			case "step":
 				h.Step(ctx)
 			case "pass":
-				s.advance(time.Duration(rapid.IntRange(1, 20).Draw(rt, "seconds")) * time.Second)
+				c.advance(time.Duration(rapid.IntRange(1, 20).Draw(rt, "seconds")) * time.Second)
 			case "lose":
-				s.store.SetFaults(objects.Faults{LoseWrites: rapid.IntRange(1, 3).Draw(rt, "writes")})
+				c.store.SetFaults(objects.Faults{LoseWrites: rapid.IntRange(1, 3).Draw(rt, "writes")})
 			case "down":
-				s.store.SetFaults(objects.Faults{Down: true})
+				c.store.SetFaults(objects.Faults{Down: true})
 			case "up":
-				s.store.SetFaults(objects.Faults{})
+				c.store.SetFaults(objects.Faults{})
 			case "delete":
-				if o, err := s.store.Get(ctx, KeyPrefix+"d1"); err == nil {
-					_ = s.store.Delete(ctx, KeyPrefix+"d1", o.Version)
+				if o, err := c.store.Get(ctx, KeyPrefix+"d1"); err == nil {
+					_ = c.store.Delete(ctx, KeyPrefix+"d1", o.Version)
 				}
 			case "restart":
-				s.start(i)
+				c.start(i)
 			case "release":
 				h.Release(ctx)
 			case "pause":
 				d := time.Duration(rapid.IntRange(1, 60).Draw(rt, "pause")) * time.Second
-				other := s.hosts[(i+1)%len(s.hosts)]
+				other := c.hosts[(i+1)%len(c.hosts)]
 				h.store.onPut = func() {
 					other.store.onPut = nil // one process is suspended at a time
-					s.advance(d / 2)
+					c.advance(d / 2)
 					other.Step(ctx)
-					s.advance(d / 2)
+					c.advance(d / 2)
 					other.Step(ctx)
 				}
 			}
 			acting := 0
-			for _, h := range s.hosts {
+			for _, h := range c.hosts {
 				fence, ok := h.held()
 				if !ok {
 					continue
--- a/process/order/order_test.go
+++ b/process/order/order_test.go
@@ -84,19 +84,19 @@
 }
 
 func (d *testDomain) newHost(name string, models ...string) *testHost {
-	k := lease.NewElector(lease.Options{
+	elector := lease.NewElector(lease.Options{
 		Store: d.store, Clock: d.clock, Rand: clock.NewSeeded(1), Key: lease.KeyPrefix + "d", Host: name,
 		IsCandidate: func() bool { return true }, TTL: ttl, Margin: margin, MaxOrderDuration: maxOrderDuration,
 	})
-	s := &hookedSender{Sender: engineorder.New()}
-	m := order.New(order.Options{Lease: k, Clock: d.clock, Sender: s, OrdersPerSecond: 100, MaxParallel: 100, Targets: func() []order.Target {
+	sender := &hookedSender{Sender: engineorder.New()}
+	manager := order.New(order.Options{Lease: elector, Clock: d.clock, Sender: sender, OrdersPerSecond: 100, MaxParallel: 100, Targets: func() []order.Target {
 		out := append([]order.Target(nil), d.targets...)
 		for i := range out {
 			out[i].Models = models
 		}
 		return out
 	}})
-	return &testHost{k, m, s}
+	return &testHost{elector, manager, sender}
 }
 
 // acquire lets the previous holder's lease expire and acquires it.
@@ -133,11 +133,11 @@
 // weight store would be overloaded and every load late.
 func TestOrdersAreRateLimited(t *testing.T) {
 	d := newTestDomain(t, 40, true)
-	k := d.newHost("a", "m@1")
+	h := d.newHost("a", "m@1")
 	m := order.New(order.Options{
-		Lease: k.Elector, Clock: d.clock, Sender: engineorder.New(), OrdersPerSecond: 2, MaxParallel: 4, Targets: func() []order.Target { return d.targets },
+		Lease: h.Elector, Clock: d.clock, Sender: engineorder.New(), OrdersPerSecond: 2, MaxParallel: 4, Targets: func() []order.Target { return d.targets },
 	})
-	d.acquire(k)
+	d.acquire(h)
 	m.Reconcile(context.Background())
 	d.g.Expect(m.Counters.Sent.Load()).To(BeEquivalentTo(4), "the burst")
 	for range 3 {
--- a/process/order/suspended_test.go
+++ b/process/order/suspended_test.go
@@ -32,18 +32,18 @@
 // clock.
 func startHolder(ctx context.Context, name, store, address, model string) (*lease.Elector, *order.Manager) {
 	const unit = 100 * time.Millisecond
-	k := lease.NewElector(lease.Options{
+	elector := lease.NewElector(lease.Options{
 		Store: objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(store, "")), objectapi.ClientOptions{}), Clock: clock.System{}, Rand: clock.SystemRand{},
 		Key: lease.KeyPrefix + "d", Host: name, IsCandidate: func() bool { return true },
 		TTL: 15 * unit, Margin: 5 * unit, MaxOrderDuration: 3 * unit,
 	})
-	m := order.New(order.Options{
-		Lease: k, Clock: clock.System{}, Sender: engineorder.New(), Interval: unit / 5, Timeout: unit, RetryInterval: unit / 2, OrdersPerSecond: 1000,
+	manager := order.New(order.Options{
+		Lease: elector, Clock: clock.System{}, Sender: engineorder.New(), Interval: unit / 5, Timeout: unit, RetryInterval: unit / 2, OrdersPerSecond: 1000,
 		Targets: func() []order.Target { return []order.Target{{Address: address, Models: []string{model}}} },
 	})
-	go func() { _ = k.Run(ctx) }()
-	go func() { _ = m.Run(ctx) }()
-	return k, m
+	go func() { _ = elector.Run(ctx) }()
+	go func() { _ = manager.Run(ctx) }()
+	return elector, manager
 }
 
 // TestHolderProcess is the process that TestSuspendedHolderProcess starts.
@@ -86,7 +86,7 @@
 
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			k, m := startHolder(ctx, "next", api.URL, address, "new@2")
+			elector, manager := startHolder(ctx, "next", api.URL, address, "new@2")
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"new@2"}))
 			second := e.Applied()[len(e.Applied())-1]
 			g.Expect(second).To(BeNumerically(">", first))
@@ -101,7 +101,7 @@
 			reads := store.Counts().Reads
 			g.Eventually(func() int64 { return store.Counts().Reads }, 20*time.Second).Should(BeNumerically(">", reads))
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"new@2"}))
-			g.Eventually(func() bool { _, held := k.Held(time.Now()); return held }, 20*time.Second).Should(BeTrue())
+			g.Eventually(func() bool { _, held := elector.Held(time.Now()); return held }, 20*time.Second).Should(BeTrue())
 			late := 0
 			for i, fence := range e.Applied() {
 				if i > 0 && fence < e.Applied()[i-1] {
@@ -113,7 +113,7 @@
 			} else {
 				g.Expect(late).To(BeNumerically("<=", 1))
 			}
-			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.Applied(), m.Counters.Sent.Load())
+			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.Applied(), manager.Counters.Sent.Load())
 		})
 	}
 }
