--- a/process/admission/admission.go
+++ b/process/admission/admission.go
@@ -82,7 +82,7 @@
 // requests that it admitted. Implementations are safe for concurrent use and
 // never block.
 type Admitter interface {
-	// Admit returns nil, or a refusal whose RetryAfter is a time at which the
+	// Admit returns nil, or a refusal whose RetryAfter is a wait after which the
 	// request is expected to be admitted. After nil the caller calls Done
 	// exactly once.
 	Admit(now time.Time, r *Request) *kind.Error
