--- a/process/release/commit.go
+++ b/process/release/commit.go
@@ -13,13 +13,13 @@
 )
 
 // newObjectTries bounds the tries to write one new object.
-const newObjectTries = 8
+const maxPutAttempts = 8
 
 // namedAuthors is how many authors of a group its release names.
-const namedAuthors = 5
+const maxListedAuthors = 5
 
 // group is what a commit makes of several change sets.
-type group struct {
+type commitGroup struct {
 	draft    *draft
 	accepted []ChangeSet
 	refused  map[string]error // by change set id
@@ -28,55 +28,55 @@
 // merge takes as many of sets as hold together on top of base, in order.
 // Validation is of the merged tables: two edits that are each valid alone and
 // dangle together are not both taken.
-func (p *Publisher) merge(base Release, sets []ChangeSet) group {
-	g := group{draft: newDraft(base), refused: map[string]error{}}
+func (p *Publisher) mergeSets(base Release, sets []ChangeSet) commitGroup {
+	group := commitGroup{draft: newDraft(base), refused: map[string]error{}}
 	var mergeable []ChangeSet
-	for _, s := range sets {
-		if err := g.draft.apply(s); err != nil {
-			g.refused[s.ID] = err
+	for _, set := range sets {
+		if err := group.draft.apply(set); err != nil {
+			group.refused[set.ID] = err
 			continue
 		}
-		mergeable = append(mergeable, s)
+		mergeable = append(mergeable, set)
 	}
-	err := p.valid(g.draft)
+	err := p.validateDraft(group.draft)
 	if err == nil || len(mergeable) == 1 {
 		if err != nil {
-			g.refused[mergeable[0].ID] = err
-			return g
+			group.refused[mergeable[0].ID] = err
+			return group
 		}
-		g.accepted = mergeable
-		return g
+		group.accepted = mergeable
+		return group
 	}
-	return p.mergeEach(base, mergeable, g.refused)
+	return p.mergeOneByOne(base, mergeable, group.refused)
 }
 
 // mergeEach validates after every set. Sets that were refused get a second
 // chance on top of the others, which may hold the row they refer to.
-func (p *Publisher) mergeEach(base Release, sets []ChangeSet, refused map[string]error) group {
-	g := group{draft: newDraft(base), refused: refused}
+func (p *Publisher) mergeOneByOne(base Release, sets []ChangeSet, refused map[string]error) commitGroup {
+	group := commitGroup{draft: newDraft(base), refused: refused}
 	for range 2 {
-		var left []ChangeSet
-		for _, s := range sets {
-			next := g.draft.clone()
-			err := next.apply(s)
+		var rejected []ChangeSet
+		for _, set := range sets {
+			candidate := group.draft.clone()
+			err := candidate.apply(set)
 			if err == nil {
-				err = p.valid(next)
+				err = p.validateDraft(candidate)
 			}
 			if err != nil {
-				g.refused[s.ID] = err
-				left = append(left, s)
+				group.refused[set.ID] = err
+				rejected = append(rejected, set)
 				continue
 			}
-			delete(g.refused, s.ID)
-			g.draft, g.accepted = next, append(g.accepted, s)
+			delete(group.refused, set.ID)
+			group.draft, group.accepted = candidate, append(group.accepted, set)
 		}
-		sets = left
+		sets = rejected
 	}
-	return g
+	return group
 }
 
-func (p *Publisher) valid(d *draft) error {
-	if err := p.Validate(d.sorted()); err != nil {
+func (p *Publisher) validateDraft(d *draft) error {
+	if err := p.Validate(d.sortedRows()); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	return nil
@@ -86,59 +86,59 @@
 // rows and the record are written before under keys that nobody else uses: a
 // writer that dies in between leaves objects that no head names, which collect
 // removes with their number. A group that changes nothing is b itself.
-func (p *Publisher) commit(ctx context.Context, b base, g group) (Release, error) {
-	if b.unchanged(g) {
-		return b.rel, nil
+func (p *Publisher) commit(ctx context.Context, base commitBase, group commitGroup) (Release, error) {
+	if base.unchanged(group) {
+		return base.rel, nil
 	}
-	rows := g.draft.sorted()
+	rows := group.draft.sortedRows()
 	rel := Release{
-		Number: g.draft.number, ID: uuid.NewString(), Hash: HashRows(rows), PreviousHash: b.rel.Hash,
-		Author: authors(g.accepted), Note: notes(g.accepted), Time: p.Clock.Now(),
-		Rows: rows, RecentDeletions: g.draft.newestRemoved(),
+		Number: group.draft.number, ID: uuid.NewString(), Hash: HashRows(rows), PreviousHash: base.rel.Hash,
+		Author: joinAuthors(group.accepted), Note: joinNotes(group.accepted), Time: p.Clock.Now(),
+		Rows: rows, RecentDeletions: group.draft.recentDeletions(),
 	}
-	head := Head{Release: rel, Recent: recent(b.head), FirstUncollected: max(b.head.FirstUncollected, 1)}
+	head := Head{Release: rel, Recent: recentRefs(base.head), FirstUncollected: max(base.head.FirstUncollected, 1)}
 	head.Rows = nil
-	if d := diffRows(b.rel.Rows, rows); d.size() <= maxHeadDelta {
-		head.Delta = &d
+	if delta := diffRows(base.rel.Rows, rows); delta.sizeBytes() <= maxHeadDeltaBytes {
+		head.Delta = &delta
 	}
-	for _, s := range g.accepted {
-		head.ChangeSetIDs = append(head.ChangeSetIDs, s.ID)
+	for _, set := range group.accepted {
+		head.ChangeSetIDs = append(head.ChangeSetIDs, set.ID)
 	}
-	return rel, p.write(ctx, b, rel, head)
+	return rel, p.writeRelease(ctx, base, rel, head)
 }
 
-func (p *Publisher) write(ctx context.Context, b base, rel Release, head Head) error {
-	for i, part := range split(rel.Rows) {
+func (p *Publisher) writeRelease(ctx context.Context, base commitBase, rel Release, head Head) error {
+	for i, part := range splitRows(rel.Rows) {
 		key := objectKey(rel.Ref(), fmt.Sprintf("%03d", i))
-		if err := p.putNew(ctx, key, part); err != nil {
+		if err := p.putImmutable(ctx, key, part); err != nil {
 			return err
 		}
 		head.PartKeys = append(head.PartKeys, key)
 	}
-	head.FirstUncollected = p.collect(ctx, head.FirstUncollected, rel.Number)
-	if err := p.putNew(ctx, recordKey(rel.Ref()), head); err != nil {
+	head.FirstUncollected = p.collectGarbage(ctx, head.FirstUncollected, rel.Number)
+	if err := p.putImmutable(ctx, recordKey(rel.Ref()), head); err != nil {
 		return err
 	}
 	data, err := json.Marshal(head)
 	if err != nil {
 		return fmt.Errorf("encode head: %w", err)
 	}
-	_, err = p.store().Put(ctx, HeadKey, data, b.obj.Version)
+	_, err = p.store().Put(ctx, HeadKey, data, base.obj.Version)
 	if errors.Is(err, objectapi.ErrUnknownOutcome) {
-		return p.resolve(ctx, rel.Ref(), err)
+		return p.resolveHeadWrite(ctx, rel.Ref(), err)
 	}
 	return err
 }
 
 // putNew writes one immutable object; a lost answer is harmless because the
 // key is unique to this writer, so a conflict means that the write happened.
-func (p *Publisher) putNew(ctx context.Context, key string, value any) error {
+func (p *Publisher) putImmutable(ctx context.Context, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", key, err)
 	}
-	for try := range newObjectTries {
-		if err = p.pause(ctx, try); err != nil {
+	for attempt := range maxPutAttempts {
+		if err = p.waitBackoff(ctx, attempt); err != nil {
 			break
 		}
 		_, err = p.store().Put(ctx, key, data, 0)
@@ -153,30 +153,30 @@
 	return fmt.Errorf("%w: %s: %v", objectapi.ErrUnavailable, key, err)
 }
 
-func recent(h Head) []Ref {
+func recentRefs(h Head) []Ref {
 	if h.Number == 0 {
 		return nil
 	}
 	refs := append([]Ref{h.Ref()}, h.Recent...)
-	return refs[:min(len(refs), recentRefs)]
+	return refs[:min(len(refs), maxRecentRefs)]
 }
 
-func authors(sets []ChangeSet) string {
+func joinAuthors(sets []ChangeSet) string {
 	var names []string
 	seen := map[string]bool{}
-	for _, s := range sets {
-		if !seen[s.Author] {
-			seen[s.Author] = true
-			names = append(names, s.Author)
+	for _, set := range sets {
+		if !seen[set.Author] {
+			seen[set.Author] = true
+			names = append(names, set.Author)
 		}
 	}
-	if more := len(names) - namedAuthors; more > 0 {
-		return fmt.Sprintf("%s and %d more", strings.Join(names[:namedAuthors], ", "), more)
+	if omitted := len(names) - maxListedAuthors; omitted > 0 {
+		return fmt.Sprintf("%s and %d more", strings.Join(names[:maxListedAuthors], ", "), omitted)
 	}
 	return strings.Join(names, ", ")
 }
 
-func notes(sets []ChangeSet) string {
+func joinNotes(sets []ChangeSet) string {
 	if len(sets) == 1 {
 		return sets[0].Note
 	}
@@ -189,10 +189,10 @@
 	if err != nil {
 		return Release{}, err
 	}
-	return loadParts(ctx, store, head)
+	return loadRows(ctx, store, head)
 }
 
-func loadParts(ctx context.Context, store objectapi.Store, head Head) (Release, error) {
+func loadRows(ctx context.Context, store objectapi.Store, head Head) (Release, error) {
 	rel := head.Release
 	if rel.Number == 0 {
 		return rel, nil
@@ -212,13 +212,13 @@
 }
 
 // split cuts rows into parts that each fit into one object.
-func split(rows []Row) [][]Row {
+func splitRows(rows []Row) [][]Row {
 	var parts [][]Row
 	var part []Row
 	size := 0
 	for _, r := range rows {
 		n := len(r.Key) + len(r.Data) + 128
-		if size+n > maxPart && len(part) > 0 {
+		if size+n > maxPartBytes && len(part) > 0 {
 			parts = append(parts, part)
 			part, size = nil, 0
 		}
@@ -232,16 +232,16 @@
 }
 
 // sweepStep bounds how many numbers one commit collects.
-const sweepStep = 4
+const maxCollectedPerCommit = 4
 
 // collect removes the objects of releases that are no longer kept, those of
 // writers that died or lost the race for these numbers included, and returns
 // the lowest number that may still have objects. Failures are left to the next
 // commit. An object written for a number after that number was collected stays;
 // that needs a writer which stalls for as long as `kept` releases.
-func (p *Publisher) collect(ctx context.Context, from, newest uint64) uint64 {
-	for range sweepStep {
-		if from+kept >= newest {
+func (p *Publisher) collectGarbage(ctx context.Context, from, newest uint64) uint64 {
+	for range maxCollectedPerCommit {
+		if from+retainedReleases >= newest {
 			break
 		}
 		objs, err := p.store().List(ctx, numberPrefix(from))
--- a/process/release/delta.go
+++ b/process/release/delta.go
@@ -2,7 +2,7 @@
 
 // maxHeadDelta bounds the bytes of changed rows that the head object carries.
 // Watchers get them with the head and need no further read of the platform.
-const maxHeadDelta = 64 << 10
+const maxHeadDeltaBytes = 64 << 10
 
 // Delta holds the rows that differ between two releases.
 type Delta struct {
@@ -11,22 +11,22 @@
 }
 
 // diffRows returns what leads from rows to want; both are sorted by key.
-func diffRows(rows, want []Row) Delta {
+func diffRows(rows, target []Row) Delta {
 	var d Delta
 	i := 0
-	for _, w := range want {
-		for i < len(rows) && rows[i].Key < w.Key {
+	for _, row := range target {
+		for i < len(rows) && rows[i].Key < row.Key {
 			d.Deleted = append(d.Deleted, rows[i].Key)
 			i++
 		}
-		if i < len(rows) && rows[i].Key == w.Key {
-			if rows[i].Version != w.Version || string(rows[i].Data) != string(w.Data) {
-				d.Changed = append(d.Changed, w)
+		if i < len(rows) && rows[i].Key == row.Key {
+			if rows[i].Version != row.Version || string(rows[i].Data) != string(row.Data) {
+				d.Changed = append(d.Changed, row)
 			}
 			i++
 			continue
 		}
-		d.Changed = append(d.Changed, w)
+		d.Changed = append(d.Changed, row)
 	}
 	for ; i < len(rows); i++ {
 		d.Deleted = append(d.Deleted, rows[i].Key)
@@ -46,10 +46,10 @@
 	for _, r := range d.Changed {
 		out[r.Key] = r
 	}
-	return sorted(out)
+	return sortedRows(out)
 }
 
-func (d Delta) size() int {
+func (d Delta) sizeBytes() int {
 	n := 0
 	for _, r := range d.Changed {
 		n += len(r.Key) + len(r.Data)
@@ -62,8 +62,8 @@
 
 // fromDelta builds rel from the release before it, if that is held here. The
 // hash tells whether the result is right; otherwise the whole release is read.
-func (f *Follower) fromDelta(rel Release, d *Delta) (Release, bool) {
-	base := f.held.Load()
+func (f *Follower) applyHeadDelta(rel Release, d *Delta) (Release, bool) {
+	base := f.newest.Load()
 	if d == nil || base == nil || base.Number+1 != rel.Number || base.Hash != rel.PreviousHash {
 		return Release{}, false
 	}
--- a/process/release/spread_bench_test.go
+++ b/process/release/distributor_bench_test.go
@@ -24,19 +24,19 @@
 //
 //	go test ./process/release -run '^$' -bench InForce -benchtime 20x
 const (
-	nearDelay = 1500 * time.Microsecond
-	farDelay  = 20 * time.Millisecond
-	domains   = 3
+	sameRegionDelay  = 1500 * time.Microsecond
+	crossRegionDelay = 20 * time.Millisecond
+	benchDomains     = 3
 )
 
-func regions(from, to string) time.Duration {
+func regionDelay(from, to string) time.Duration {
 	if to == "" {
 		to = "d0" // the platform stands in the first region
 	}
 	if from == to {
-		return nearDelay
+		return sameRegionDelay
 	}
-	return farDelay
+	return crossRegionDelay
 }
 
 // largeTables has the rows of the design size: 14 pools of 79 replicas (1,106)
@@ -70,38 +70,38 @@
 }
 
 // acceptClock is the publisher's store; it notes when the head was written.
-type acceptClock struct {
+type timestampStore struct {
 	objectapi.Store
-	at time.Time
+	acceptedAt time.Time
 }
 
-func (a *acceptClock) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (a *timestampStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	v, err := a.Store.Put(ctx, key, value, expect)
 	if key == HeadKey {
-		a.at = time.Now()
+		a.acceptedAt = time.Now()
 	}
 	return v, err
 }
 
 // change accepts a changed server and returns the release and when it was accepted.
-func (fl *fleet) change(serial int) (Release, time.Time) {
-	store := &acceptClock{Store: fl.objects}
+func (fl *fleet) publishServerChange(serial int) (Release, time.Time) {
+	store := &timestampStore{Store: fl.objects}
 	p := &Publisher{Store: store, Validate: func([]Row) error { return nil }, Clock: clock.System{}, Rand: clock.NewSeeded(1)}
-	head := must(fl.g)(objects2head(context.Background(), fl.objects))
+	head := mustSucceed(fl.g)(latestRelease(context.Background(), fl.objects))
 	set := ChangeSet{Author: "ada"}
 	for _, c := range largeTables(serial) {
 		row, _ := head.Row(c.Key)
 		c.BaseVersion = row.Version
 		set.Changes = append(set.Changes, c)
 	}
-	return must(fl.g)(p.Apply(context.Background(), set)), store.at
+	return mustSucceed(fl.g)(p.Apply(context.Background(), set)), store.acceptedAt
 }
 
 // delays returns for every host the time from at to its switch to rel.
-func (fl *fleet) delays(rel Release, at time.Time) []time.Duration {
+func (fl *fleet) activationDelays(rel Release, at time.Time) []time.Duration {
 	var out []time.Duration
 	for _, h := range fl.hosts {
-		t, _ := h.log.Load(rel.Number)
+		t, _ := h.activatedAt.Load(rel.Number)
 		out = append(out, t.(time.Time).Sub(at))
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
@@ -110,16 +110,16 @@
 
 func benchFleet(b *testing.B, n int, hold time.Duration) *fleet {
 	fl := newFleet(NewWithT(b))
-	fl.delay, fl.poll, fl.silence = regions, DefaultSyncInterval, defaultSilence
+	fl.oneWayDelay, fl.syncInterval, fl.watcherTimeout = regionDelay, DefaultSyncInterval, defaultWatcherTimeout
 	fl.opts = FollowerOptions{ActivationDelay: hold}
-	fl.start(b, domains, n/domains)
-	rel, _ := fl.change(0)
-	fl.inForce(rel)
+	fl.start(b, benchDomains, n/benchDomains)
+	rel, _ := fl.publishServerChange(0)
+	fl.awaitInForce(rel)
 	return fl
 }
 
 // report gives the medians over iterations of first, median and last host.
-func report(b *testing.B, all [][]time.Duration) {
+func reportDelays(b *testing.B, all [][]time.Duration) {
 	at := func(name string, pick func([]time.Duration) time.Duration) {
 		var v []float64
 		for _, d := range all {
@@ -140,12 +140,12 @@
 func (fl *fleet) traffic() (calls, bytes, most int64) {
 	for name, h := range fl.hosts {
 		_, n := fl.net.Traffic(name)
-		calls, bytes, most = calls+h.line.calls.Load(), bytes+n, max(most, n)
+		calls, bytes, most = calls+h.link.calls.Load(), bytes+n, max(most, n)
 	}
 	return calls, bytes, most
 }
 
-func processorTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		panic(err)
@@ -170,14 +170,14 @@
 				calls0, bytes0, most0 := fl.traffic()
 				var all [][]time.Duration
 				for i := range b.N {
-					rel, at := fl.change(i + 1)
-					fl.inForce(rel)
-					all = append(all, fl.delays(rel, at))
+					rel, at := fl.publishServerChange(i + 1)
+					fl.awaitInForce(rel)
+					all = append(all, fl.activationDelays(rel, at))
 				}
-				report(b, all)
+				reportDelays(b, all)
 				b.ReportMetric(fl.heapKB(), "heapKB/host")
 				calls, bytes, most := fl.traffic()
-				b.ReportMetric(float64(calls-calls0)/float64(b.N*domains), "calls/domain/op")
+				b.ReportMetric(float64(calls-calls0)/float64(b.N*benchDomains), "calls/domain/op")
 				b.ReportMetric(float64(bytes-bytes0)/float64(b.N*n), "peerB/host/op")
 				b.ReportMetric(float64(most-most0)/float64(b.N), "peerB/busiest/op")
 			})
@@ -194,20 +194,20 @@
 			var all [][]time.Duration
 			for i := range b.N {
 				for _, h := range fl.hosts {
-					h.line.cut()
+					h.link.fail()
 				}
-				fl.betweenDomains(fl.net.Partition)
-				rel, _ := fl.change(i + 1)
-				pass(3 * time.Second) // the outage: watchers reach their longest backoff
-				fl.betweenDomains(fl.net.Heal)
+				fl.eachCrossDomainPair(fl.net.Partition)
+				rel, _ := fl.publishServerChange(i + 1)
+				sleep(3 * time.Second) // the outage: watchers reach their longest backoff
+				fl.eachCrossDomainPair(fl.net.Heal)
 				at := time.Now()
 				for _, h := range fl.hosts {
-					h.line.heal()
+					h.link.restore()
 				}
-				fl.inForce(rel)
-				all = append(all, fl.delays(rel, at))
+				fl.awaitInForce(rel)
+				all = append(all, fl.activationDelays(rel, at))
 			}
-			report(b, all)
+			reportDelays(b, all)
 		})
 	}
 }
@@ -218,22 +218,22 @@
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			fl := benchFleet(b, n, DefaultActivationDelay)
-			for _, h := range fl.domain("d1") {
-				h.line.cut()
+			for _, h := range fl.hostsOf("d1") {
+				h.link.fail()
 			}
 			var all [][]time.Duration
 			for i := range b.N {
-				rel, at := fl.change(i + 1)
-				fl.inForce(rel)
+				rel, at := fl.publishServerChange(i + 1)
+				fl.awaitInForce(rel)
 				var cut []time.Duration
-				for _, h := range fl.domain("d1") {
-					t, _ := h.log.Load(rel.Number)
+				for _, h := range fl.hostsOf("d1") {
+					t, _ := h.activatedAt.Load(rel.Number)
 					cut = append(cut, t.(time.Time).Sub(at))
 				}
 				slices.Sort(cut)
 				all = append(all, cut)
 			}
-			report(b, all)
+			reportDelays(b, all)
 		})
 	}
 }
@@ -246,19 +246,19 @@
 			fl := benchFleet(b, n, DefaultActivationDelay)
 			var all [][]time.Duration
 			for i := range b.N {
-				name := fl.domain("d0")[0].s.ranked(member.Alive)[0]
+				name := fl.hostsOf("d0")[0].distributor.rankedHosts(member.Alive)[0]
 				fl.kill(name, false)
-				rel, at := fl.change(i + 1)
-				fl.inForce(rel)
-				all = append(all, fl.delays(rel, at))
+				rel, at := fl.publishServerChange(i + 1)
+				fl.awaitInForce(rel)
+				all = append(all, fl.activationDelays(rel, at))
 				fl.mu.Lock()
-				fl.ghosts = nil
+				fl.staleMembers = nil
 				fl.mu.Unlock()
-				fl.host(b, name, "d0", newLine(fl.objects))
-				fl.settle(domains)
-				fl.inForce(rel)
+				fl.startHost(b, name, "d0", newPlatformLink(fl.objects))
+				fl.awaitWatchers(benchDomains)
+				fl.awaitInForce(rel)
 			}
-			report(b, all)
+			reportDelays(b, all)
 		})
 	}
 }
@@ -270,15 +270,15 @@
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
 			fl := benchFleet(b, n, DefaultActivationDelay)
 			calls0, bytes0, most0 := fl.traffic()
-			cpu0 := processorTime()
+			cpu0 := cpuTime()
 			for range b.N {
-				pass(period)
+				sleep(period)
 			}
-			cpu := processorTime() - cpu0
+			cpu := cpuTime() - cpu0
 			calls, bytes, most := fl.traffic()
 			seconds := period.Seconds() * float64(b.N)
 			b.ReportMetric(float64(cpu.Microseconds())/seconds/float64(n), "cpu-us/host/s")
-			b.ReportMetric(float64(calls-calls0)/seconds/domains, "calls/domain/s")
+			b.ReportMetric(float64(calls-calls0)/seconds/benchDomains, "calls/domain/s")
 			b.ReportMetric(float64(bytes-bytes0)/seconds/float64(n), "peerB/host/s")
 			b.ReportMetric(float64(most-most0)/seconds, "peerB/busiest/s")
 			b.ReportMetric(0, "ns/op")
@@ -304,10 +304,10 @@
 			name = "changed"
 		}
 		b.Run(name, func(b *testing.B) {
-			var t transfer
+			var t fetchResponse
 			for range b.N {
 				var err error
-				if t, err = newTransfer(next, from); err != nil {
+				if t, err = newFetchResponse(next, from); err != nil {
 					b.Fatal(err)
 				}
 				rel, err := t.release(base)
@@ -315,8 +315,8 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(len(t.Rows)), "packedB")
-			b.ReportMetric(float64(diffRowsFrom(from, next).size()), "rowsB")
+			b.ReportMetric(float64(len(t.Delta)), "packedB")
+			b.ReportMetric(float64(diffRowsFrom(from, next).sizeBytes()), "rowsB")
 		})
 	}
 }
--- a/process/release/spread_test.go
+++ b/process/release/distributor_test.go
@@ -22,15 +22,15 @@
 	fl := newFleet(g)
 	fl.start(t, 2, 12)
 	for _, h := range fl.hosts {
-		h.line.watches.Store(0)
+		h.link.watches.Store(0)
 	}
 	for i := range 5 {
-		fl.inForce(fl.publish("pools/a", fmt.Sprint(i)))
+		fl.awaitInForce(fl.publish("pools/a", fmt.Sprint(i)))
 	}
 	for _, d := range []string{"d0", "d1"} {
 		watching := 0
-		for _, h := range fl.domain(d) {
-			if h.line.watches.Load() > 0 {
+		for _, h := range fl.hostsOf(d) {
+			if h.link.watches.Load() > 0 {
 				watching++
 			}
 		}
@@ -45,30 +45,30 @@
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 2, 3)
-	fl.inForce(fl.publish("pools/a", "0"))
-	for _, h := range fl.domain("d1") {
-		h.line.cut()
+	fl.awaitInForce(fl.publish("pools/a", "0"))
+	for _, h := range fl.hostsOf("d1") {
+		h.link.fail()
 	}
 	second := fl.publish("pools/a", "1")
-	fl.inForce(second)
+	fl.awaitInForce(second)
 
-	fl.betweenDomains(fl.net.Partition)
+	fl.eachCrossDomainPair(fl.net.Partition)
 	third := fl.publish("pools/a", "2")
-	for _, h := range fl.domain("d0") {
-		g.Eventually(func() uint64 { n, _ := h.f.Summary(); return n }, 5*time.Second).Should(Equal(third.Number))
+	for _, h := range fl.hostsOf("d0") {
+		g.Eventually(func() uint64 { n, _ := h.follower.Summary(); return n }, 5*time.Second).Should(Equal(third.Number))
 	}
-	for _, h := range fl.domain("d1") {
-		cur, _ := h.f.Current()
+	for _, h := range fl.hostsOf("d1") {
+		cur, _ := h.follower.Current()
 		g.Expect(cur.Number).To(Equal(second.Number))
 	}
-	fl.betweenDomains(fl.net.Heal)
-	for _, h := range fl.domain("d1") {
-		h.line.heal()
+	fl.eachCrossDomainPair(fl.net.Heal)
+	for _, h := range fl.hostsOf("d1") {
+		h.link.restore()
 	}
-	fl.inForce(third)
+	fl.awaitInForce(third)
 }
 
-func (fl *fleet) betweenDomains(f func(a, b string)) {
+func (fl *fleet) eachCrossDomainPair(f func(a, b string)) {
 	for a, ha := range fl.hosts {
 		for b, hb := range fl.hosts {
 			if ha.domain != hb.domain {
@@ -84,14 +84,14 @@
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 2, 3)
-	fl.inForce(fl.publish("pools/a", "0"))
+	fl.awaitInForce(fl.publish("pools/a", "0"))
 	for i := range 3 {
 		fl.objects.SetFaults(standin.Faults{Delay: 20 * time.Millisecond, LoseWrites: 4 + i})
-		fl.inForce(fl.publish("pools/a", fmt.Sprint("slow ", i)))
+		fl.awaitInForce(fl.publish("pools/a", fmt.Sprint("slow ", i)))
 	}
 	for name, h := range fl.hosts {
 		for n := uint64(1); n <= 4; n++ {
-			_, served := h.log.Load(n)
+			_, served := h.activatedAt.Load(n)
 			g.Expect(served).To(BeTrue(), "%s release %d", name, n)
 		}
 	}
@@ -104,31 +104,31 @@
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 1, 6)
-	fl.inForce(fl.publish("pools/a", "0"))
-	for _, name := range fl.hosts["d0-0"].s.ranked(member.Alive)[:DefaultWatchers] {
-		fl.hosts[name].line.cut()
+	fl.awaitInForce(fl.publish("pools/a", "0"))
+	for _, name := range fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)[:DefaultWatchers] {
+		fl.hosts[name].link.fail()
 	}
-	fl.inForce(fl.publish("pools/a", "1"))
+	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
 // fleetThatDoesNotCompare has a first release in force on 16 hosts that hear of
 // releases by notices alone, and returns the hosts in the order of the notices.
-func fleetThatDoesNotCompare(t *testing.T) (*fleet, []string) {
+func newFleetWithoutSync(t *testing.T) (*fleet, []string) {
 	fl := newFleet(NewWithT(t))
-	fl.poll, fl.silence = time.Hour, time.Hour
+	fl.syncInterval, fl.watcherTimeout = time.Hour, time.Hour
 	fl.start(t, 1, 16)
-	fl.inForce(fl.publish("pools/a", "0"))
-	return fl, fl.hosts["d0-0"].s.ranked(member.Alive)
+	fl.awaitInForce(fl.publish("pools/a", "0"))
+	return fl, fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)
 }
 
 // A host in the middle of the notices' tree and a watcher are killed while the
 // membership still lists them as alive. The hosts behind them get the release
 // all the same, from the sender before; comparing with peers is switched off.
 func TestKilledHostsCutNobodyOff(t *testing.T) {
-	fl, ranked := fleetThatDoesNotCompare(t)
+	fl, ranked := newFleetWithoutSync(t)
 	fl.kill(ranked[0], false)
 	fl.kill(ranked[2], false)
-	fl.inForce(fl.publish("pools/a", "1"))
+	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
 // A host hears of a release, and the answers of both hosts that told it are
@@ -136,10 +136,10 @@
 // find out by comparing, which is switched off here, would take seconds, and for
 // the hosts behind it too.
 func TestLostFetchIsAskedOfOthers(t *testing.T) {
-	fl, ranked := fleetThatDoesNotCompare(t)
+	fl, ranked := newFleetWithoutSync(t)
 	fl.net.LoseResponses(ranked[2], ranked[0])
 	fl.net.LoseResponses(ranked[2], ranked[1])
-	fl.inForce(fl.publish("pools/a", "1"))
+	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
 // Every host is replaced while releases are accepted, one after the other, each
@@ -149,13 +149,13 @@
 	fl := newFleet(g)
 	fl.start(t, 2, 3)
 	var last Release
-	for i, name := range fl.names() {
+	for i, name := range fl.hostNames() {
 		last = fl.publish("pools/a", fmt.Sprint(i))
 		domain := fl.hosts[name].domain
 		fl.kill(name, true)
-		fl.host(t, name+"-new", domain, newLine(fl.objects))
+		fl.startHost(t, name+"-new", domain, newPlatformLink(fl.objects))
 	}
-	fl.inForce(last)
+	fl.awaitInForce(last)
 }
 
 // A host restarts while the platform is down, or answers with an earlier state.
@@ -166,29 +166,29 @@
 		g := NewWithT(t)
 		fl := newFleet(g)
 		fl.start(t, 1, 3)
-		fl.inForce(fl.publish("pools/a", "0"))
-		fl.delay = func(_, to string) time.Duration { // peers answer after the platform
+		fl.awaitInForce(fl.publish("pools/a", "0"))
+		fl.oneWayDelay = func(_, to string) time.Duration { // peers answer after the platform
 			return time.Duration(len(to)) * time.Millisecond
 		}
 		old := standin.New()
-		_, err := publisher(old, 1).Apply(context.Background(), put("ada", "pools/a", "0", 0))
+		_, err := publisher(old, 1).Apply(context.Background(), putRow("ada", "pools/a", "0", 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		second := fl.publish("pools/a", "1")
-		fl.inForce(second)
+		fl.awaitInForce(second)
 		old.SetFaults(faults)
-		h := fl.host(t, "d0-new", "d0", newLine(old))
-		g.Eventually(h.s.Joined, 5*time.Second, time.Millisecond).Should(BeTrue())
-		cur, _ := h.f.Current()
+		h := fl.startHost(t, "d0-new", "d0", newPlatformLink(old))
+		g.Eventually(h.distributor.Joined, 5*time.Second, time.Millisecond).Should(BeTrue())
+		cur, _ := h.follower.Current()
 		g.Expect(cur.Number).To(Equal(second.Number))
-		_, served := h.log.Load(uint64(1))
+		_, served := h.activatedAt.Load(uint64(1))
 		g.Expect(served).To(BeFalse(), "not even for a moment")
 	}
 	g := NewWithT(t)
 	alone := newFleet(g)
 	alone.objects.SetFaults(standin.Faults{Down: true})
-	h := alone.host(t, "d0-0", "d0", newLine(alone.objects))
-	g.Eventually(h.f.Err, 5*time.Second).Should(MatchError(ErrNoRelease))
-	_, ok := h.f.Current()
+	h := alone.startHost(t, "d0-0", "d0", newPlatformLink(alone.objects))
+	g.Eventually(h.follower.Err, 5*time.Second).Should(MatchError(ErrNoRelease))
+	_, ok := h.follower.Current()
 	g.Expect(ok).To(BeFalse())
 }
 
@@ -199,24 +199,24 @@
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 1, 3)
-	fl.inForce(fl.publish("pools/a", "0"))
+	fl.awaitInForce(fl.publish("pools/a", "0"))
 	early := fl.objects.Backup()
 	newest := fl.publish("pools/a", "1")
-	fl.inForce(newest)
+	fl.awaitInForce(newest)
 	fl.objects.Restore(early)
 
-	watcher := fl.hosts[fl.hosts["d0-0"].s.ranked(member.Alive)[0]]
-	g.Eventually(watcher.f.Err, 5*time.Second).Should(MatchError(ErrPlatformBehind))
+	watcher := fl.hosts[fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)[0]]
+	g.Eventually(watcher.follower.Err, 5*time.Second).Should(MatchError(ErrPlatformBehind))
 	p := publisher(fl.objects, 1)
 	g.Eventually(func() error {
-		_, err := p.Apply(context.Background(), put("bo", "pools/b", "1", 0))
+		_, err := p.Apply(context.Background(), putRow("bo", "pools/b", "1", 0))
 		return err
 	}, 5*time.Second).Should(MatchError(ErrPlatformBehind))
-	kept, _ := watcher.f.Current()
+	kept, _ := watcher.follower.Current()
 	g.Expect(kept.Hash).To(Equal(newest.Hash))
-	rel := must(g)(p.Recover(context.Background(), kept, "bo"))
-	fl.inForce(rel)
-	g.Expect(watcher.f.Err()).NotTo(HaveOccurred())
+	rel := mustSucceed(g)(p.Recover(context.Background(), kept, "bo"))
+	fl.awaitInForce(rel)
+	g.Expect(watcher.follower.Err()).NotTo(HaveOccurred())
 }
 
 // A peer offers another content under the number in force, which a restored
@@ -227,41 +227,41 @@
 	fl := newFleet(g)
 	fl.start(t, 1, 2)
 	first := fl.publish("pools/a", "0")
-	fl.inForce(first)
+	fl.awaitInForce(first)
 	h := fl.hosts["d0-0"]
-	h.s.ObservePeerRelease(peer.Identity{Host: "x"}, first.Number, "other")
-	g.Expect(h.f.Err()).To(MatchError(ContainSubstring("with hash other")))
-	cur, _ := h.f.Current()
+	h.distributor.ObservePeerRelease(peer.Identity{Host: "x"}, first.Number, "other")
+	g.Expect(h.follower.Err()).To(MatchError(ContainSubstring("with hash other")))
+	cur, _ := h.follower.Current()
 	g.Expect(cur.Hash).To(Equal(first.Hash))
-	fl.inForce(fl.publish("pools/a", "1"))
-	g.Expect(h.f.Err()).NotTo(HaveOccurred())
+	fl.awaitInForce(fl.publish("pools/a", "1"))
+	g.Expect(h.follower.Err()).NotTo(HaveOccurred())
 }
 
 // A change of one row in large tables costs a peer the row, not the tables; a
 // peer without the base gets all rows, and a wrong base is found by the hash.
 func TestTransferCarriesRowsChanged(t *testing.T) {
 	g := NewWithT(t)
-	base := tables(200, 1)
+	base := newTables(200, 1)
 	next := Release{Number: 2, Rows: append([]Row(nil), base.Rows...)}
 	next.Rows[7].Data, next.Rows[7].Version = []byte(`"changed"`), 2
 	next.Hash = HashRows(next.Rows)
-	delta, err := newTransfer(&PreparedRelease{Release: next}, &PreparedRelease{Release: base})
+	delta, err := newFetchResponse(&PreparedRelease{Release: next}, &PreparedRelease{Release: base})
 	g.Expect(err).NotTo(HaveOccurred())
-	whole, err := newTransfer(&PreparedRelease{Release: next}, nil)
+	whole, err := newFetchResponse(&PreparedRelease{Release: next}, nil)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(len(delta.Rows)).To(BeNumerically("<", len(whole.Rows)/20))
-	for _, tr := range []transfer{delta, whole} {
+	g.Expect(len(delta.Delta)).To(BeNumerically("<", len(whole.Delta)/20))
+	for _, tr := range []fetchResponse{delta, whole} {
 		rel, err := tr.release(&PreparedRelease{Release: base})
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(rel.Verify()).To(Succeed())
 	}
-	other := tables(199, 1)
+	other := newTables(199, 1)
 	rel, err := delta.release(&PreparedRelease{Release: other})
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(rel.Verify()).To(MatchError(ErrCorrupt))
 }
 
-func tables(n int, number uint64) Release {
+func newTables(n int, number uint64) Release {
 	rel := Release{Number: number}
 	for i := range n {
 		data := fmt.Sprintf(`"%s-%d"`, strings.Repeat(fmt.Sprint(i*7919), 40), i)
--- a/process/release/fleet_test.go
+++ b/process/release/fleet_test.go
@@ -22,82 +22,82 @@
 
 // fleet is a platform and the followers of several entry hosts in process.
 type fleet struct {
-	g        *WithT
-	objects  *standin.Objects
-	net      *peertest.Network
-	hosts    map[string]*fleetHost
-	mu       sync.Mutex
-	ghosts   []peer.Identity // killed hosts that the membership lists as alive
-	onChange []func()
-	poll     time.Duration
-	opts     FollowerOptions // of every host
-	silence  time.Duration
-	delay    func(from, to string) time.Duration // one way between domains; nil: none
+	g              *WithT
+	objects        *standin.Objects
+	net            *peertest.Network
+	hosts          map[string]*fleetHost
+	mu             sync.Mutex
+	staleMembers   []peer.Identity // killed hosts that the membership lists as alive
+	onChange       []func()
+	syncInterval   time.Duration
+	opts           FollowerOptions // of every host
+	watcherTimeout time.Duration
+	oneWayDelay    func(from, to string) time.Duration // one way between domains; nil: none
 }
 
 type fleetHost struct {
-	f      *Follower
-	s      *Distributor
-	line   *line
-	log    sync.Map // release number -> time of the switch
-	domain string
-	stop   func()
+	follower    *Follower
+	distributor *Distributor
+	link        *platformLink
+	activatedAt sync.Map // release number -> time of the switch
+	domain      string
+	stop        func()
 }
 
 // line is one host's connection to the platform; it can be cut, which also
 // fails calls under way.
-type line struct {
+type platformLink struct {
 	objectapi.Store
 	watches atomic.Int64
 	calls   atomic.Int64
 	delay   time.Duration // one way
 	mu      sync.Mutex
 	ctx     context.Context
-	cut     context.CancelFunc
+	fail    context.CancelFunc
 }
 
-func newLine(store objectapi.Store) *line {
-	l := &line{Store: store}
-	l.heal()
+func newPlatformLink(store objectapi.Store) *platformLink {
+	l := &platformLink{Store: store}
+	l.restore()
 	return l
 }
 
-func (l *line) heal() {
+func (l *platformLink) restore() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ctx, l.cut = context.WithCancel(context.Background())
+	l.ctx, l.fail = context.WithCancel(context.Background())
 }
 
-func (l *line) down() context.Context {
+func (l *platformLink) linkContext() context.Context {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.ctx
 }
 
-func (l *line) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (l *platformLink) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	l.calls.Add(1)
-	defer pass(2 * l.delay)
-	if l.down().Err() != nil {
+	defer sleep(2 * l.delay)
+	if l.linkContext().Err() != nil {
 		return objectapi.Object{}, objectapi.ErrUnavailable
 	}
 	return l.Store.Get(ctx, key)
 }
 
-func (l *line) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]objectapi.Object, error) {
+func (l *platformLink) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]objectapi.Object, error) {
 	l.watches.Add(1)
 	l.calls.Add(1)
-	pass(l.delay)
-	defer pass(l.delay)
+	sleep(l.delay)
+	defer sleep(l.delay)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer context.AfterFunc(l.down(), cancel)()
-	if l.down().Err() != nil {
+	defer context.AfterFunc(l.linkContext(), cancel)()
+	if l.linkContext().Err() != nil {
 		return nil, objectapi.ErrUnavailable
 	}
 	return l.Store.Watch(ctx, prefix, after, wait)
 }
 
-func pass(d time.Duration) {
+func sleep(d time.Duration) {
 	if d > 0 {
 		<-time.After(d)
 	}
@@ -112,8 +112,8 @@
 func (l delayedLink) Call(ctx context.Context, host string, m peer.Method, in, out any) error {
 	to, _, _ := strings.Cut(host, "-")
 	d := l.delay(l.Self().Domain, to)
-	pass(d)
-	defer pass(d)
+	sleep(d)
+	defer sleep(d)
 	return l.Link.Call(ctx, host, m, in, out)
 }
 
@@ -130,7 +130,7 @@
 	for _, p := range v.link.Peers() {
 		out = append(out, member.Peer{Identity: p})
 	}
-	for _, p := range v.fl.ghosts {
+	for _, p := range v.fl.staleMembers {
 		out = append(out, member.Peer{Identity: p})
 	}
 	return out
@@ -143,7 +143,7 @@
 	v.fl.onChange = append(v.fl.onChange, f)
 }
 
-func (fl *fleet) changed() {
+func (fl *fleet) notifyMembership() {
 	fl.mu.Lock()
 	defer fl.mu.Unlock()
 	for _, f := range fl.onChange {
@@ -152,12 +152,12 @@
 }
 
 // settle waits until all have joined and only the chosen of each domain watch.
-func (fl *fleet) settle(domains int) {
+func (fl *fleet) awaitWatchers(domains int) {
 	fl.g.THelper()
 	fl.g.Eventually(func() int {
 		watching := 0
 		for _, h := range fl.hosts {
-			if h.s.watching.Load() || !h.s.Joined() {
+			if h.distributor.watching.Load() || !h.distributor.Joined() {
 				watching++
 			}
 		}
@@ -167,7 +167,7 @@
 
 func newFleet(g *WithT) *fleet {
 	return &fleet{
-		g: g, objects: standin.New(), net: peertest.NewNetwork(), hosts: map[string]*fleetHost{}, poll: 100 * time.Millisecond, silence: 400 * time.Millisecond,
+		g: g, objects: standin.New(), net: peertest.NewNetwork(), hosts: map[string]*fleetHost{}, syncInterval: 100 * time.Millisecond, watcherTimeout: 400 * time.Millisecond,
 		opts: FollowerOptions{WatchTimeout: 500 * time.Millisecond, PollInterval: 100 * time.Millisecond},
 	}
 }
@@ -176,34 +176,34 @@
 func (fl *fleet) start(t testing.TB, domains, n int) {
 	for d := range domains {
 		for i := range n {
-			fl.host(t, fmt.Sprintf("d%d-%d", d, i), fmt.Sprintf("d%d", d), newLine(fl.objects))
+			fl.startHost(t, fmt.Sprintf("d%d-%d", d, i), fmt.Sprintf("d%d", d), newPlatformLink(fl.objects))
 		}
 	}
-	fl.settle(domains)
+	fl.awaitWatchers(domains)
 }
 
-func (fl *fleet) host(t testing.TB, name, domain string, l *line) *fleetHost {
-	h := &fleetHost{line: l, domain: domain}
+func (fl *fleet) startHost(t testing.TB, name, domain string, l *platformLink) *fleetHost {
+	h := &fleetHost{link: l, domain: domain}
 	link := fl.net.Join(peer.Identity{Host: name, Domain: domain})
 	opts := fl.opts
-	opts.Host, opts.Store, opts.Clock, opts.Rand = name, l, clock.System{}, clock.NewSeeded(weight(domain, name))
+	opts.Host, opts.Store, opts.Clock, opts.Rand = name, l, clock.System{}, clock.NewSeeded(rendezvousWeight(domain, name))
 	opts.Compile = func(r Release) (func(), error) {
-		return func() { h.log.Store(r.Number, time.Now()) }, nil
+		return func() { h.activatedAt.Store(r.Number, time.Now()) }, nil
 	}
-	h.f = NewFollower(opts)
+	h.follower = NewFollower(opts)
 	var over peer.Link = link
-	if fl.delay != nil {
-		l.delay = fl.delay(domain, "")
-		over = delayedLink{link, fl.delay}
+	if fl.oneWayDelay != nil {
+		l.delay = fl.oneWayDelay(domain, "")
+		over = delayedLink{link, fl.oneWayDelay}
 	}
-	h.s = NewDistributor(DistributorOptions{Follower: h.f, Link: over, View: fleetView{fl, link}, SyncInterval: fl.poll, WatcherTimeout: fl.silence})
+	h.distributor = NewDistributor(DistributorOptions{Follower: h.follower, Link: over, View: fleetView{fl, link}, SyncInterval: fl.syncInterval, WatcherTimeout: fl.watcherTimeout})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = h.s.Run(ctx) }()
+	go func() { defer close(done); _ = h.distributor.Run(ctx) }()
 	h.stop = sync.OnceFunc(func() { cancel(); <-done })
 	t.Cleanup(h.stop)
 	fl.hosts[name] = h
-	fl.changed()
+	fl.notifyMembership()
 	return h
 }
 
@@ -213,14 +213,14 @@
 	fl.hosts[name].stop()
 	fl.mu.Lock()
 	if !known {
-		fl.ghosts = append(fl.ghosts, peer.Identity{Host: name, Domain: fl.hosts[name].domain})
+		fl.staleMembers = append(fl.staleMembers, peer.Identity{Host: name, Domain: fl.hosts[name].domain})
 	}
 	fl.mu.Unlock()
 	delete(fl.hosts, name)
-	fl.changed()
+	fl.notifyMembership()
 }
 
-func (fl *fleet) names() []string {
+func (fl *fleet) hostNames() []string {
 	var out []string
 	for name := range fl.hosts {
 		out = append(out, name)
@@ -233,24 +233,24 @@
 func (fl *fleet) publish(key, text string) Release {
 	fl.g.THelper()
 	p := publisher(fl.objects, 1)
-	head := must(fl.g)(objects2head(context.Background(), fl.objects))
+	head := mustSucceed(fl.g)(latestRelease(context.Background(), fl.objects))
 	row, _ := head.Row(key)
-	return must(fl.g)(p.Apply(context.Background(), put("ada", key, text, row.Version)))
+	return mustSucceed(fl.g)(p.Apply(context.Background(), putRow("ada", key, text, row.Version)))
 }
 
 // inForce waits until every host has rel in force.
-func (fl *fleet) inForce(rel Release) {
+func (fl *fleet) awaitInForce(rel Release) {
 	fl.g.THelper()
-	for _, name := range fl.names() {
+	for _, name := range fl.hostNames() {
 		h := fl.hosts[name]
-		fl.g.Eventually(func() string { r, _ := h.f.Current(); return fmt.Sprint(r.Number, r.Hash) }, 10*time.Second, time.Millisecond).
+		fl.g.Eventually(func() string { r, _ := h.follower.Current(); return fmt.Sprint(r.Number, r.Hash) }, 10*time.Second, time.Millisecond).
 			Should(Equal(fmt.Sprint(rel.Number, rel.Hash)), name)
 	}
 }
 
-func (fl *fleet) domain(d string) []*fleetHost {
+func (fl *fleet) hostsOf(d string) []*fleetHost {
 	var out []*fleetHost
-	for _, name := range fl.names() {
+	for _, name := range fl.hostNames() {
 		if fl.hosts[name].domain == d {
 			out = append(out, fl.hosts[name])
 		}
--- a/process/release/follow.go
+++ b/process/release/follower.go
@@ -16,7 +16,7 @@
 // force. It is called with rising numbers, or again with the one in force (see
 // Recompile), by one goroutine at a time. An error leaves the earlier release in
 // force.
-type Compile func(Release) (putInForce func(), err error)
+type Compile func(Release) (activate func(), err error)
 
 // FollowerOptions configure a Follower; zero values get defaults.
 type FollowerOptions struct {
@@ -41,31 +41,31 @@
 const DefaultActivationDelay = 100 * time.Millisecond
 
 const (
-	defaultWatchWait  = 20 * time.Second
-	defaultCheckEvery = 5 * time.Second
+	defaultWatchTimeout = 20 * time.Second
+	defaultPollInterval = 5 * time.Second
 	// recentReleases is how many releases a host keeps to tell peers the rows
 	// changed since the one they have.
-	recentReleases = 8
+	maxRecentlyPrepared = 8
 )
 
 // Follower keeps an entry host on the newest release that it has seen from any
 // source. Offer may be called by the platform watch and by peers alike.
 type Follower struct {
-	opts FollowerOptions
-	kick chan struct{} // a release waits for its switch
-
-	held atomic.Pointer[PreparedRelease] // newest prepared, read without the lock
-
-	mu      sync.Mutex
-	current Release
-	closed  bool               // nothing is put in force yet: see close
-	next    *PreparedRelease   // prepared, not yet in force
-	switchF func()             // puts next in force
-	recent  []*PreparedRelease // newest last
-	refused Ref                // newest release that did not compile
-	faults  faultSet           // what operators have to know
-	watch   watchState
-	changed []func(*PreparedRelease)
+	opts             FollowerOptions
+	activationSignal chan struct{} // a release waits for its switch
+
+	newest atomic.Pointer[PreparedRelease] // newest prepared, read without the lock
+
+	mu                sync.Mutex
+	current           Release
+	activationPaused  bool               // nothing is put in force yet: see close
+	pending           *PreparedRelease   // prepared, not yet in force
+	activatePending   func()             // puts next in force
+	recentlyPrepared  []*PreparedRelease // newest last
+	failedCompile     Ref                // newest release that did not compile
+	faults            faultSet           // what operators have to know
+	platform          platformState
+	preparedCallbacks []func(*PreparedRelease)
 }
 
 // Held is a release that is prepared on this host.
@@ -79,17 +79,19 @@
 // NewFollower returns a follower of the platform's head object.
 func NewFollower(opts FollowerOptions) *Follower {
 	if opts.WatchTimeout <= 0 {
-		opts.WatchTimeout = defaultWatchWait
+		opts.WatchTimeout = defaultWatchTimeout
 	}
 	if opts.PollInterval <= 0 {
-		opts.PollInterval = defaultCheckEvery
+		opts.PollInterval = defaultPollInterval
 	}
-	return &Follower{opts: opts, kick: make(chan struct{}, 1)}
+	return &Follower{opts: opts, activationSignal: make(chan struct{}, 1)}
 }
 
 // OnPrepared registers f, which is called after a release was prepared here,
 // outside the follower's lock. It is called before the follower runs.
-func (f *Follower) OnPrepared(fn func(*PreparedRelease)) { f.changed = append(f.changed, fn) }
+func (f *Follower) OnPrepared(fn func(*PreparedRelease)) {
+	f.preparedCallbacks = append(f.preparedCallbacks, fn)
+}
 
 // Current returns the release in force and whether there is one.
 func (f *Follower) Current() (Release, bool) {
@@ -100,13 +102,13 @@
 
 // Newest returns the newest release prepared here, in force or about to be, or
 // nil. What engines have to load is read from it, before it is in force.
-func (f *Follower) Newest() *PreparedRelease { return f.held.Load() }
+func (f *Follower) Newest() *PreparedRelease { return f.newest.Load() }
 
 // Summary returns number and hash of the newest release prepared here, for
 // heartbeats. It takes no lock.
 func (f *Follower) Summary() (number uint64, hash string) {
-	if h := f.held.Load(); h != nil {
-		return h.Number, h.Hash
+	if newest := f.newest.Load(); newest != nil {
+		return newest.Number, newest.Hash
 	}
 	return 0, ""
 }
@@ -115,17 +117,17 @@
 // A number that is in force here with another hash is a fault that operators
 // are told of: see faultDiverged.
 func (f *Follower) Needs(number uint64, hash, source string) bool {
-	have, haveHash := f.Summary()
-	if number == have && number > 0 && hash != haveHash {
-		f.setFault(faultDiverged, fmt.Errorf("%s has release %d with hash %s, here it is in force with hash %s; accept a new release or recover",
-			source, number, hash, haveHash))
+	newest, newestHash := f.Summary()
+	if number == newest && number > 0 && hash != newestHash {
+		f.setFault(faultHashMismatch, fmt.Errorf("%s has release %d with hash %s, here it is in force with hash %s; accept a new release or recover",
+			source, number, hash, newestHash))
 	}
-	if number <= have {
+	if number <= newest {
 		return false
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return number != f.refused.Number || hash != f.refused.Hash
+	return number != f.failedCompile.Number || hash != f.failedCompile.Hash
 }
 
 // Offer prepares rel if its number is above all that this host has, and puts it
@@ -136,12 +138,12 @@
 	if !f.Needs(rel.Number, rel.Hash, source) {
 		return nil
 	}
-	held, err := f.prepare(rel, age)
-	if err != nil || held == nil {
+	prepared, err := f.prepare(rel, age)
+	if err != nil || prepared == nil {
 		return err
 	}
-	for _, fn := range f.changed {
-		fn(held)
+	for _, fn := range f.preparedCallbacks {
+		fn(prepared)
 	}
 	return nil
 }
@@ -149,55 +151,55 @@
 func (f *Follower) prepare(rel Release, age time.Duration) (*PreparedRelease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if have, _ := f.Summary(); rel.Number <= have {
+	if newest, _ := f.Summary(); rel.Number <= newest {
 		return nil, nil // another source was faster
 	}
 	if err := rel.Verify(); err != nil {
 		return nil, err
 	}
-	switchF, err := f.opts.Compile(rel)
+	activate, err := f.opts.Compile(rel)
 	if err != nil {
-		f.refused = rel.Ref()
+		f.failedCompile = rel.Ref()
 		err = fmt.Errorf("prepare release %d: %w", rel.Number, err)
-		f.faults.set(faultRefused, err)
+		f.faults.set(faultCompileFailed, err)
 		return nil, err
 	}
-	for _, k := range []faultKind{faultRefused, faultBehind, faultDiverged, faultReplaced, faultJoin} {
+	for _, k := range []faultKind{faultCompileFailed, faultPlatformBehind, faultHashMismatch, faultLineageBroken, faultNoRelease} {
 		f.faults.clear(k)
 	}
 	f.checkLineage(rel)
-	held := &PreparedRelease{Release: rel, AcceptedAt: f.opts.Clock.Now().Add(-age)}
-	f.recent = append(f.recent, held)
-	if len(f.recent) > recentReleases {
-		f.recent = f.recent[1:]
+	prepared := &PreparedRelease{Release: rel, AcceptedAt: f.opts.Clock.Now().Add(-age)}
+	f.recentlyPrepared = append(f.recentlyPrepared, prepared)
+	if len(f.recentlyPrepared) > maxRecentlyPrepared {
+		f.recentlyPrepared = f.recentlyPrepared[1:]
 	}
-	if f.next != nil && f.next.AcceptedAt.Before(held.AcceptedAt) {
+	if f.pending != nil && f.pending.AcceptedAt.Before(prepared.AcceptedAt) {
 		// A stream of releases must not put the switch off again and again.
-		held.AcceptedAt = f.next.AcceptedAt
+		prepared.AcceptedAt = f.pending.AcceptedAt
 	}
-	f.next, f.switchF = held, switchF
-	f.held.Store(held)
-	if f.due() {
-		f.switchNow()
+	f.pending, f.activatePending = prepared, activate
+	f.newest.Store(prepared)
+	if f.activationDue() {
+		f.activateNow()
 	} else {
-		f.wake()
+		f.signalActivation()
 	}
-	return held, nil
+	return prepared, nil
 }
 
 // checkLineage tells operators when the new release was not built on the one
 // that it replaces, as after the restore of the platform: edits are lost.
 func (f *Follower) checkLineage(rel Release) {
-	have, hash := f.Summary()
-	if have == 0 || rel.PreviousHash == "" || rel.Number != have+1 || rel.PreviousHash == hash {
+	newest, hash := f.Summary()
+	if newest == 0 || rel.PreviousHash == "" || rel.Number != newest+1 || rel.PreviousHash == hash {
 		return
 	}
-	f.faults.set(faultReplaced, fmt.Errorf("release %d was not built on release %d (hash %s), which was in force here", rel.Number, have, hash))
+	f.faults.set(faultLineageBroken, fmt.Errorf("release %d was not built on release %d (hash %s), which was in force here", rel.Number, newest, hash))
 }
 
-func (f *Follower) wake() {
+func (f *Follower) signalActivation() {
 	select {
-	case f.kick <- struct{}{}:
+	case f.activationSignal <- struct{}{}:
 	default:
 	}
 }
@@ -205,37 +207,37 @@
 // close keeps releases from being put in force until open. A host that starts
 // would otherwise serve what a stale platform answers first, and its callers may
 // have seen a later release from the host before it.
-func (f *Follower) close() {
+func (f *Follower) pauseActivation() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed = true
+	f.activationPaused = true
 }
 
 // open ends close: the newest release seen so far is put in force at once.
-func (f *Follower) open() {
+func (f *Follower) resumeActivation() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.closed = false
-	if f.next != nil && f.due() {
-		f.switchNow()
+	f.activationPaused = false
+	if f.pending != nil && f.activationDue() {
+		f.activateNow()
 	}
 }
 
 // due reports whether next may be put in force; the first release of a host has
 // nothing to wait for. Called with the lock held.
-func (f *Follower) due() bool {
-	return !f.closed && (f.current.Number == 0 || f.untilDue() <= 0)
+func (f *Follower) activationDue() bool {
+	return !f.activationPaused && (f.current.Number == 0 || f.untilActivation() <= 0)
 }
 
 // untilDue returns the time until next may be put in force. Called with the
 // lock held.
-func (f *Follower) untilDue() time.Duration {
-	return f.opts.ActivationDelay - f.opts.Clock.Now().Sub(f.next.AcceptedAt)
+func (f *Follower) untilActivation() time.Duration {
+	return f.opts.ActivationDelay - f.opts.Clock.Now().Sub(f.pending.AcceptedAt)
 }
 
-func (f *Follower) switchNow() {
-	f.switchF()
-	f.current, f.next, f.switchF = f.next.Release, nil, nil
+func (f *Follower) activateNow() {
+	f.activatePending()
+	f.current, f.pending, f.activatePending = f.pending.Release, nil, nil
 }
 
 // Switch puts prepared releases in force when they are due, until ctx ends.
@@ -243,17 +245,17 @@
 	for {
 		var timer <-chan time.Time
 		f.mu.Lock()
-		if f.next != nil && f.due() {
-			f.switchNow()
+		if f.pending != nil && f.activationDue() {
+			f.activateNow()
 		}
-		if f.next != nil && !f.closed {
-			timer = f.opts.Clock.After(f.untilDue())
+		if f.pending != nil && !f.activationPaused {
+			timer = f.opts.Clock.After(f.untilActivation())
 		}
 		f.mu.Unlock()
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-f.kick:
+		case <-f.activationSignal:
 		case <-timer:
 		}
 	}
@@ -266,22 +268,22 @@
 func (f *Follower) Recompile() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.current.Number == 0 || f.next != nil {
+	if f.current.Number == 0 || f.pending != nil {
 		return nil
 	}
-	switchF, err := f.opts.Compile(f.current)
+	activate, err := f.opts.Compile(f.current)
 	if err != nil {
 		return fmt.Errorf("compile release %d again: %w", f.current.Number, err)
 	}
-	switchF()
+	activate()
 	return nil
 }
 
 // remembered returns the release if this host held it lately, or nil.
-func (f *Follower) remembered(number uint64, hash string) *PreparedRelease {
+func (f *Follower) recentRelease(number uint64, hash string) *PreparedRelease {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, h := range f.recent {
+	for _, h := range f.recentlyPrepared {
 		if h.Number == number && h.Hash == hash {
 			return h
 		}
@@ -294,7 +296,7 @@
 func (f *Follower) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return errors.Join(f.faults.all()...)
+	return errors.Join(f.faults.active()...)
 }
 
 func (f *Follower) setFault(k faultKind, err error) {
--- a/process/release/follow_test.go
+++ b/process/release/follower_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-func numbered(n uint64, text string) Release {
+func newRelease(n uint64, text string) Release {
 	rel := Release{Number: n, ID: fmt.Sprint(n, text), Rows: []Row{{Key: "pools/a", Data: []byte(`"` + text + `"`), Version: n}}}
 	rel.Hash = HashRows(rel.Rows)
 	return rel
@@ -48,18 +48,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = f.RunActivation(ctx) }()
-	g.Expect(f.Offer(numbered(1, "a"), 0, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(1, "a"), 0, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(1), "the first one has nothing to wait for")
 
-	g.Expect(f.Offer(numbered(2, "b"), 30*time.Millisecond, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(2, "b"), 30*time.Millisecond, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(1))
 	g.Eventually(now.Waiters).Should(BeNumerically(">=", 1))
 	now.Advance(60 * time.Millisecond)
-	g.Expect(f.Offer(numbered(3, "c"), 0, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(3, "c"), 0, "x")).To(Succeed())
 	now.Advance(10 * time.Millisecond)
 	g.Eventually(inForce.Load).Should(BeEquivalentTo(3), "with the switch of 2")
 
-	g.Expect(f.Offer(numbered(4, "d"), 200*time.Millisecond, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(4, "d"), 200*time.Millisecond, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(4))
 }
 
@@ -73,14 +73,14 @@
 		}
 		return func() {}, nil
 	}})
-	bad := numbered(2, "b")
-	g.Expect(f.Offer(numbered(1, "a"), 0, "x")).To(Succeed())
+	bad := newRelease(2, "b")
+	g.Expect(f.Offer(newRelease(1, "a"), 0, "x")).To(Succeed())
 	g.Expect(f.Offer(bad, 0, "x")).NotTo(Succeed())
 	cur, _ := f.Current()
 	g.Expect(cur.Number).To(BeEquivalentTo(1))
 	g.Expect(f.Err()).To(MatchError(ContainSubstring("unknown field")))
 	g.Expect(f.Needs(2, bad.Hash, "x")).To(BeFalse())
-	g.Expect(f.Offer(numbered(3, "c"), 0, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(3, "c"), 0, "x")).To(Succeed())
 	g.Expect(f.Err()).NotTo(HaveOccurred())
 }
 
@@ -94,9 +94,9 @@
 		compiled = append(compiled, r.Number)
 		return func() {}, nil
 	}})
-	g.Expect(f.Offer(numbered(1, "a"), 0, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(1, "a"), 0, "x")).To(Succeed())
 	g.Expect(f.Recompile()).To(Succeed())
-	g.Expect(f.Offer(numbered(2, "b"), 0, "x")).To(Succeed())
+	g.Expect(f.Offer(newRelease(2, "b"), 0, "x")).To(Succeed())
 	g.Expect(f.Recompile()).To(Succeed())
 	g.Expect(compiled).To(Equal([]uint64{1, 1, 2}))
 }
@@ -107,46 +107,46 @@
 // no host ever goes back.
 func TestReleasesAgainstAPlainModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newModel()
+		m := newReferenceModel()
 		t.Repeat(map[string]func(*rapid.T){
 			"edit":    m.edit,
 			"read":    m.read,
-			"pass on": m.passOn,
+			"pass on": m.offerPublished,
 			"restart": m.restart,
 			"":        m.check,
 		})
 	})
 }
 
-type model struct {
-	objects  *standin.Objects
-	lagging  *lagging
-	p        *Publisher
-	rows     map[string]string // what must be on the platform
-	versions map[string]uint64
-	seen     []map[string]uint64 // what operators read earlier
-	hosts    []*Follower
-	highest  []uint64
-	past     []Release
-	heads    []objectapi.Object
+type referenceModel struct {
+	objects      *standin.Objects
+	stale        *staleStore
+	p            *Publisher
+	rows         map[string]string // what must be on the platform
+	versions     map[string]uint64
+	readVersions []map[string]uint64 // what operators read earlier
+	hosts        []*Follower
+	highest      []uint64
+	published    []Release
+	heads        []objectapi.Object
 }
 
 // lagging is the platform with a head as it was some time ago.
-type lagging struct {
+type staleStore struct {
 	objectapi.Store
 	head objectapi.Object
 }
 
-func (l *lagging) Get(ctx context.Context, key string) (objectapi.Object, error) {
+func (l *staleStore) Get(ctx context.Context, key string) (objectapi.Object, error) {
 	if key == HeadKey && l.head.Version > 0 {
 		return l.head, nil
 	}
 	return l.Store.Get(ctx, key)
 }
 
-func newModel() *model {
-	m := &model{objects: standin.New(), rows: map[string]string{}, versions: map[string]uint64{}, seen: []map[string]uint64{{}}}
-	m.lagging = &lagging{Store: m.objects}
+func newReferenceModel() *referenceModel {
+	m := &referenceModel{objects: standin.New(), rows: map[string]string{}, versions: map[string]uint64{}, readVersions: []map[string]uint64{{}}}
+	m.stale = &staleStore{Store: m.objects}
 	m.p = publisher(m.objects, 1)
 	m.p.Validate = func([]Row) error { return nil }
 	for range 3 {
@@ -155,21 +155,21 @@
 	return m
 }
 
-func (m *model) follower() *Follower {
+func (m *referenceModel) follower() *Follower {
 	return NewFollower(FollowerOptions{
-		Store: m.lagging, Clock: clock.System{}, Rand: clock.NewSeeded(1),
+		Store: m.stale, Clock: clock.System{}, Rand: clock.NewSeeded(1),
 		Compile: func(Release) (func(), error) { return func() {}, nil },
 	})
 }
 
-func (m *model) edit(t *rapid.T) {
+func (m *referenceModel) edit(t *rapid.T) {
 	m.objects.SetFaults(standin.Faults{LoseWrites: rapid.IntRange(0, 5).Draw(t, "lose")})
 	defer m.objects.SetFaults(standin.Faults{})
 	key := rapid.SampledFrom([]string{"pools/a", "pools/b", "routes/c"}).Draw(t, "key")
-	base := rapid.SampledFrom(m.seen).Draw(t, "seen")[key]
-	set := put("op", key, rapid.StringMatching("[xyz]").Draw(t, "text"), base)
+	base := rapid.SampledFrom(m.readVersions).Draw(t, "seen")[key]
+	set := putRow("op", key, rapid.StringMatching("[xyz]").Draw(t, "text"), base)
 	if rapid.Bool().Draw(t, "delete") && base > 0 {
-		set = remove("op", key, base)
+		set = deleteRow("op", key, base)
 	}
 	want := string(set.Changes[0].Data)
 	same := m.rows[key] == want
@@ -186,7 +186,7 @@
 	}
 }
 
-func (m *model) accept(key, want string, rel Release) {
+func (m *referenceModel) accept(key, want string, rel Release) {
 	m.rows[key], m.versions[key] = want, rel.Number
 	if want == "" {
 		delete(m.rows, key)
@@ -196,31 +196,33 @@
 	for k, v := range m.versions {
 		seen[k] = v
 	}
-	m.seen, m.past = append(m.seen, seen), append(m.past, rel)
+	m.readVersions, m.published = append(m.readVersions, seen), append(m.published, rel)
 	head, _ := m.objects.Get(context.Background(), HeadKey)
 	m.heads = append(m.heads, head)
 }
 
-func (m *model) host(t *rapid.T) int { return rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host") }
+func (m *referenceModel) drawHost(t *rapid.T) int {
+	return rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
+}
 
 // read lets a host read the head, as it is or as it was.
-func (m *model) read(t *rapid.T) {
+func (m *referenceModel) read(t *rapid.T) {
 	if len(m.heads) > 0 {
-		m.lagging.head = rapid.SampledFrom(m.heads).Draw(t, "head")
+		m.stale.head = rapid.SampledFrom(m.heads).Draw(t, "head")
 	}
-	_, _ = m.hosts[m.host(t)].readHead(context.Background())
+	_, _ = m.hosts[m.drawHost(t)].readHead(context.Background())
 }
 
 // passOn offers any earlier release to a host, as late peers do.
-func (m *model) passOn(t *rapid.T) {
-	if len(m.past) > 0 {
-		_ = m.hosts[m.host(t)].Offer(rapid.SampledFrom(m.past).Draw(t, "past"), 0, "a peer")
+func (m *referenceModel) offerPublished(t *rapid.T) {
+	if len(m.published) > 0 {
+		_ = m.hosts[m.drawHost(t)].Offer(rapid.SampledFrom(m.published).Draw(t, "past"), 0, "a peer")
 	}
 }
 
 // restart replaces a host; it learns from another as join does.
-func (m *model) restart(t *rapid.T) {
-	i := m.host(t)
+func (m *referenceModel) restart(t *rapid.T) {
+	i := m.drawHost(t)
 	m.hosts[i] = m.follower()
 	_, _ = m.hosts[i].readHead(context.Background())
 	for j, other := range m.hosts {
@@ -231,7 +233,7 @@
 	m.highest[i], _ = m.hosts[i].Summary()
 }
 
-func (m *model) check(t *rapid.T) {
+func (m *referenceModel) check(t *rapid.T) {
 	for i, f := range m.hosts {
 		cur, _ := f.Current()
 		if cur.Number < m.highest[i] {
--- a/process/release/floor.go
+++ b/process/release/highwater.go
@@ -19,7 +19,7 @@
 	Host   string `json:"host"`
 }
 
-func readFloor(ctx context.Context, store objectapi.Store) (HighWaterMark, uint64, error) {
+func readHighWaterMark(ctx context.Context, store objectapi.Store) (HighWaterMark, uint64, error) {
 	obj, err := store.Get(ctx, HighWaterMarkKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return HighWaterMark{}, 0, nil
@@ -27,20 +27,20 @@
 	if err != nil {
 		return HighWaterMark{}, 0, fmt.Errorf("read floor: %w", err)
 	}
-	var f HighWaterMark
-	if err := json.Unmarshal(obj.Value, &f); err != nil {
+	var mark HighWaterMark
+	if err := json.Unmarshal(obj.Value, &mark); err != nil {
 		return HighWaterMark{}, 0, fmt.Errorf("decode floor: %w", err)
 	}
-	return f, obj.Version, nil
+	return mark, obj.Version, nil
 }
 
 // raiseFloor records f unless a floor at least as high is there.
-func raiseFloor(ctx context.Context, store objectapi.Store, f HighWaterMark) error {
-	cur, version, err := readFloor(ctx, store)
-	if err != nil || cur.Number >= f.Number {
+func raiseHighWaterMark(ctx context.Context, store objectapi.Store, mark HighWaterMark) error {
+	current, version, err := readHighWaterMark(ctx, store)
+	if err != nil || current.Number >= mark.Number {
 		return err
 	}
-	data, err := json.Marshal(f)
+	data, err := json.Marshal(mark)
 	if err != nil {
 		return fmt.Errorf("encode floor: %w", err)
 	}
@@ -51,14 +51,14 @@
 // checkFloor refuses to accept on top of a restored platform: the new release
 // would get a number that entry hosts have seen with other content, and they
 // would either ignore it or disagree with each other.
-func (p *Publisher) checkFloor(ctx context.Context, head Head) error {
-	f, _, err := readFloor(ctx, p.store())
+func (p *Publisher) checkHighWaterMark(ctx context.Context, head Head) error {
+	mark, _, err := readHighWaterMark(ctx, p.store())
 	if err != nil {
 		return err
 	}
-	if head.Number < f.Number || (head.Number == f.Number && head.Hash != f.Hash) {
+	if head.Number < mark.Number || (head.Number == mark.Number && head.Hash != mark.Hash) {
 		return fmt.Errorf("%w: head is release %d, host %s has release %d (hash %s) in force; recover from its tables first",
-			ErrPlatformBehind, head.Number, f.Host, f.Number, f.Hash)
+			ErrPlatformBehind, head.Number, mark.Host, mark.Number, mark.Hash)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	if err != nil {
 		return Release{}, err
 	}
-	floor, _, err := readFloor(ctx, p.store())
+	mark, _, err := readHighWaterMark(ctx, p.store())
 	if err != nil {
 		return Release{}, err
 	}
@@ -82,11 +82,11 @@
 		return Release{}, fmt.Errorf("%w: %w", ErrInvalid, err)
 	}
 	next := rel
-	next.Number = max(head.Number, floor.Number, rel.Number) + 1
+	next.Number = max(head.Number, mark.Number, rel.Number) + 1
 	next.ID, next.Author, next.Time = uuid.NewString(), author, p.Clock.Now()
 	next.Note = fmt.Sprintf("recovered from release %d (hash %s)", rel.Number, rel.Hash)
 	next.PreviousHash = rel.Hash
-	h := Head{Release: next, Recent: recent(head), FirstUncollected: max(head.FirstUncollected, 1)}
+	h := Head{Release: next, Recent: recentRefs(head), FirstUncollected: max(head.FirstUncollected, 1)}
 	h.Rows = nil
-	return next, p.write(ctx, base{head: head, obj: obj}, next, h)
+	return next, p.writeRelease(ctx, commitBase{head: head, obj: obj}, next, h)
 }
--- a/process/release/chain.go
+++ b/process/release/history.go
@@ -12,13 +12,13 @@
 const (
 	// recentRefs is how many earlier releases a head names. Looking back n
 	// releases costs n/recentRefs reads, and the head stays a few KB.
-	recentRefs = 32
+	maxRecentRefs = 32
 	// kept is how many releases stay on the platform for Rollback and for
 	// writers that lost an answer.
-	kept = 500
+	retainedReleases = 500
 )
 
-func numberPrefix(number uint64) string { return fmt.Sprintf("%s%020d-", partPrefix, number) }
+func numberPrefix(number uint64) string { return fmt.Sprintf("%s%020d-", releasePrefix, number) }
 
 func objectKey(r Ref, name string) string { return numberPrefix(r.Number) + r.ID + "/" + name }
 
@@ -61,13 +61,13 @@
 // the history ends. Each record names its predecessors, so the chain holds
 // exactly the releases that were accepted; objects of writers that lost the
 // race or died are not on it.
-func walk(ctx context.Context, store objectapi.Store, head Head, f func(Ref) bool) error {
-	if head.Number == 0 || !f(head.Ref()) {
+func walkHistory(ctx context.Context, store objectapi.Store, head Head, visit func(Ref) bool) error {
+	if head.Number == 0 || !visit(head.Ref()) {
 		return nil
 	}
 	for len(head.Recent) > 0 {
 		for _, ref := range head.Recent {
-			if !f(ref) {
+			if !visit(ref) {
 				return nil
 			}
 		}
@@ -84,18 +84,18 @@
 }
 
 // find returns the accepted release of the given number.
-func find(ctx context.Context, store objectapi.Store, head Head, number uint64) (Ref, error) {
-	var found Ref
-	err := walk(ctx, store, head, func(r Ref) bool {
+func findRelease(ctx context.Context, store objectapi.Store, head Head, number uint64) (Ref, error) {
+	var match Ref
+	err := walkHistory(ctx, store, head, func(r Ref) bool {
 		if r.Number == number {
-			found = r
+			match = r
 		}
 		return r.Number > number
 	})
-	if err == nil && found.Number == 0 {
+	if err == nil && match.Number == 0 {
 		err = fmt.Errorf("%w: release %d", ErrNotRetained, number)
 	}
-	return found, err
+	return match, err
 }
 
 // History returns up to n accepted releases, the newest first, without rows.
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	var refs []Ref
-	err = walk(ctx, p.store(), head, func(r Ref) bool {
+	err = walkHistory(ctx, p.store(), head, func(r Ref) bool {
 		if len(refs) < n {
 			refs = append(refs, r)
 		}
@@ -123,14 +123,14 @@
 	if err != nil {
 		return Release{}, err
 	}
-	return p.at(ctx, head, number)
+	return p.loadByNumber(ctx, head, number)
 }
 
-func (p *Publisher) at(ctx context.Context, head Head, number uint64) (Release, error) {
+func (p *Publisher) loadByNumber(ctx context.Context, head Head, number uint64) (Release, error) {
 	if number == head.Number {
-		return loadParts(ctx, p.store(), head)
+		return loadRows(ctx, p.store(), head)
 	}
-	ref, err := find(ctx, p.store(), head, number)
+	ref, err := findRelease(ctx, p.store(), head, number)
 	if err != nil {
 		return Release{}, err
 	}
@@ -138,7 +138,7 @@
 	if err != nil {
 		return Release{}, err
 	}
-	return loadParts(ctx, p.store(), record)
+	return loadRows(ctx, p.store(), record)
 }
 
 // Rollback accepts a new release with the rows of the release of the given
@@ -149,11 +149,11 @@
 	if err != nil {
 		return Release{}, err
 	}
-	now, _, err := p.Head(ctx)
+	latest, _, err := p.Head(ctx)
 	if err != nil {
 		return Release{}, err
 	}
-	set := ChangesBetween(now, old.Rows)
+	set := ChangesBetween(latest, old.Rows)
 	set.Author, set.Note = author, fmt.Sprintf("rollback to release %d", number)
 	return p.Apply(ctx, set)
 }
@@ -161,20 +161,20 @@
 // Difference returns the changes that turn the rows of from into want.
 func ChangesBetween(from Release, want []Row) ChangeSet {
 	var set ChangeSet
-	left := make(map[string]Row, len(want))
+	remaining := make(map[string]Row, len(want))
 	for _, r := range want {
-		left[r.Key] = r
-	}
-	for _, cur := range from.Rows {
-		r, stays := left[cur.Key]
-		delete(left, cur.Key)
-		if !stays {
-			set.Changes = append(set.Changes, Change{Key: cur.Key, Delete: true, BaseVersion: cur.Version})
-		} else if string(r.Data) != string(cur.Data) {
-			set.Changes = append(set.Changes, Change{Key: cur.Key, Data: r.Data, BaseVersion: cur.Version})
+		remaining[r.Key] = r
+	}
+	for _, row := range from.Rows {
+		wanted, kept := remaining[row.Key]
+		delete(remaining, row.Key)
+		if !kept {
+			set.Changes = append(set.Changes, Change{Key: row.Key, Delete: true, BaseVersion: row.Version})
+		} else if string(wanted.Data) != string(row.Data) {
+			set.Changes = append(set.Changes, Change{Key: row.Key, Data: wanted.Data, BaseVersion: row.Version})
 		}
 	}
-	for _, r := range sorted(left) {
+	for _, r := range sortedRows(remaining) {
 		set.Changes = append(set.Changes, Change{Key: r.Key, Data: r.Data})
 	}
 	return set
--- a/process/release/merge.go
+++ b/process/release/merge.go
@@ -23,11 +23,11 @@
 func (e *ConflictError) Error() string {
 	parts := make([]string, len(e.Rows))
 	for i, c := range e.Rows {
-		now := "now"
+		position := "now"
 		if c.Deleted {
-			now = "deleted in"
+			position = "deleted in"
 		}
-		parts[i] = fmt.Sprintf("%s (edited from version %d, %s %d by %s)", c.Key, c.BaseVersion, now, c.CurrentVersion, c.Author)
+		parts[i] = fmt.Sprintf("%s (edited from version %d, %s %d by %s)", c.Key, c.BaseVersion, position, c.CurrentVersion, c.Author)
 	}
 	return ErrRowConflict.Error() + ": " + strings.Join(parts, ", ")
 }
@@ -36,7 +36,7 @@
 func (e *ConflictError) Is(target error) bool { return target == ErrRowConflict }
 
 // removedKept bounds Release.Removed.
-const removedKept = 64
+const maxRecentDeletions = 64
 
 // Merge applies set to base and returns the rows of the next release. Rows
 // that another author changed since set was made are a *ConflictError; an edit
@@ -46,24 +46,24 @@
 	if err := d.apply(set); err != nil {
 		return nil, err
 	}
-	return d.sorted(), nil
+	return d.sortedRows(), nil
 }
 
 // draft is the content of the release that follows base while change sets are
 // merged into it.
 type draft struct {
-	number  uint64
-	rows    map[string]Row
-	removed map[string]Row
+	number    uint64
+	rows      map[string]Row
+	deletions map[string]Row
 }
 
 func newDraft(base Release) *draft {
-	d := &draft{number: base.Number + 1, rows: make(map[string]Row, len(base.Rows)), removed: map[string]Row{}}
+	d := &draft{number: base.Number + 1, rows: make(map[string]Row, len(base.Rows)), deletions: map[string]Row{}}
 	for _, r := range base.Rows {
 		d.rows[r.Key] = r
 	}
 	for _, r := range base.RecentDeletions {
-		d.removed[r.Key] = r
+		d.deletions[r.Key] = r
 	}
 	return d
 }
@@ -72,62 +72,62 @@
 func (d *draft) apply(set ChangeSet) error {
 	var conflicts []RowConflict
 	for _, c := range set.Changes {
-		cur, exists := d.rows[c.Key]
-		if !sameContent(cur, exists, c) && cur.Version != c.BaseVersion {
-			conflicts = append(conflicts, d.conflict(c, cur, exists))
+		current, exists := d.rows[c.Key]
+		if !sameContent(current, exists, c) && current.Version != c.BaseVersion {
+			conflicts = append(conflicts, d.newConflict(c, current, exists))
 		}
 	}
 	if len(conflicts) > 0 {
 		return &ConflictError{Rows: conflicts}
 	}
 	for _, c := range set.Changes {
-		d.change(c, set.Author)
+		d.applyChange(c, set.Author)
 	}
 	return nil
 }
 
-func (d *draft) conflict(c Change, cur Row, exists bool) RowConflict {
+func (d *draft) newConflict(c Change, current Row, exists bool) RowConflict {
 	if !exists {
-		cur = d.removed[c.Key]
+		current = d.deletions[c.Key]
 	}
-	return RowConflict{Key: c.Key, BaseVersion: c.BaseVersion, CurrentVersion: cur.Version, Author: cur.Author, Deleted: !exists}
+	return RowConflict{Key: c.Key, BaseVersion: c.BaseVersion, CurrentVersion: current.Version, Author: current.Author, Deleted: !exists}
 }
 
-func (d *draft) change(c Change, author string) {
-	cur, exists := d.rows[c.Key]
-	if sameContent(cur, exists, c) {
+func (d *draft) applyChange(c Change, author string) {
+	current, exists := d.rows[c.Key]
+	if sameContent(current, exists, c) {
 		return
 	}
 	if c.Delete {
 		delete(d.rows, c.Key)
-		d.removed[c.Key] = Row{Key: c.Key, Version: d.number, Author: author}
+		d.deletions[c.Key] = Row{Key: c.Key, Version: d.number, Author: author}
 		return
 	}
-	delete(d.removed, c.Key)
+	delete(d.deletions, c.Key)
 	d.rows[c.Key] = Row{Key: c.Key, Data: c.Data, Version: d.number, Author: author}
 }
 
 func (d *draft) clone() *draft {
-	return &draft{number: d.number, rows: maps.Clone(d.rows), removed: maps.Clone(d.removed)}
+	return &draft{number: d.number, rows: maps.Clone(d.rows), deletions: maps.Clone(d.deletions)}
 }
 
-func (d *draft) sorted() []Row { return sorted(d.rows) }
+func (d *draft) sortedRows() []Row { return sortedRows(d.rows) }
 
 // newestRemoved returns the newest deletions, by key.
-func (d *draft) newestRemoved() []Row {
-	all := sorted(d.removed)
+func (d *draft) recentDeletions() []Row {
+	all := sortedRows(d.deletions)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Version > all[j].Version })
-	return all[:min(len(all), removedKept)]
+	return all[:min(len(all), maxRecentDeletions)]
 }
 
-func sameContent(cur Row, exists bool, c Change) bool {
+func sameContent(current Row, exists bool, c Change) bool {
 	if c.Delete {
 		return !exists
 	}
-	return exists && string(cur.Data) == string(c.Data)
+	return exists && string(current.Data) == string(c.Data)
 }
 
-func sorted(rows map[string]Row) []Row {
+func sortedRows(rows map[string]Row) []Row {
 	out := make([]Row, 0, len(rows))
 	for _, r := range rows {
 		out = append(out, r)
--- a/process/release/publish.go
+++ b/process/release/publisher.go
@@ -27,9 +27,9 @@
 }
 
 const (
-	defaultAttempts = 60
-	firstBackoff    = 5 * time.Millisecond
-	maxBackoff      = 500 * time.Millisecond
+	defaultMaxAttempts = 60
+	initialBackoff     = 5 * time.Millisecond
+	maxBackoff         = 500 * time.Millisecond
 )
 
 // Head reads the newest accepted release with its rows. The returned version
@@ -40,7 +40,7 @@
 	if err != nil {
 		return Release{}, 0, err
 	}
-	rel, err := loadParts(ctx, p.store(), head)
+	rel, err := loadRows(ctx, p.store(), head)
 	return rel, obj.Version, err
 }
 
@@ -50,32 +50,32 @@
 }
 
 // base is the state that a commit builds on.
-type base struct {
+type commitBase struct {
 	head Head
 	obj  objectapi.Object
 	rel  Release
 }
 
 // unchanged reports whether g leaves the rows as they are.
-func (b base) unchanged(g group) bool {
-	return b.rel.Number > 0 && HashRows(g.draft.sorted()) == b.rel.Hash
+func (b commitBase) unchanged(group commitGroup) bool {
+	return b.rel.Number > 0 && HashRows(group.draft.sortedRows()) == b.rel.Hash
 }
 
-func (p *Publisher) read(ctx context.Context) (base, error) {
+func (p *Publisher) readBase(ctx context.Context) (commitBase, error) {
 	head, obj, err := readHead(ctx, p.store())
 	if err != nil {
-		return base{}, err
+		return commitBase{}, err
 	}
-	return p.complete(ctx, head, obj)
+	return p.loadBase(ctx, head, obj)
 }
 
 // complete reads the rows of head and checks it against the floor.
-func (p *Publisher) complete(ctx context.Context, head Head, obj objectapi.Object) (base, error) {
-	rel, err := loadParts(ctx, p.store(), head)
+func (p *Publisher) loadBase(ctx context.Context, head Head, obj objectapi.Object) (commitBase, error) {
+	rel, err := loadRows(ctx, p.store(), head)
 	if err != nil {
-		return base{}, err
+		return commitBase{}, err
 	}
-	return base{head: head, obj: obj, rel: rel}, p.checkFloor(ctx, head)
+	return commitBase{head: head, obj: obj, rel: rel}, p.checkHighWaterMark(ctx, head)
 }
 
 // Apply merges set into the newest release and accepts the result, whole. The
@@ -86,56 +86,56 @@
 	if set.ID == "" {
 		set.ID = uuid.NewString()
 	}
-	b, err := p.readRetrying(ctx)
+	base, err := p.readBaseWithRetry(ctx)
 	if err != nil {
 		return Release{}, err
 	}
 	// A set that is refused alone is refused here, before it costs a write.
-	g := p.merge(b.rel, []ChangeSet{set})
-	if err := g.refused[set.ID]; err != nil {
+	group := p.mergeSets(base.rel, []ChangeSet{set})
+	if err := group.refused[set.ID]; err != nil {
 		return Release{}, err
 	}
-	if b.unchanged(g) {
-		return b.rel, nil
+	if base.unchanged(group) {
+		return base.rel, nil
 	}
-	return p.join(ctx, set, b.head.Number)
+	return p.commitQueued(ctx, set, base.head.Number)
 }
 
-func (p *Publisher) readRetrying(ctx context.Context) (base, error) {
-	var last error
-	for try := range p.attempts() {
-		if err := p.pause(ctx, try); err != nil {
-			return base{}, errors.Join(err, last)
+func (p *Publisher) readBaseWithRetry(ctx context.Context) (commitBase, error) {
+	var lastErr error
+	for attempt := range p.maxAttempts() {
+		if err := p.waitBackoff(ctx, attempt); err != nil {
+			return commitBase{}, errors.Join(err, lastErr)
 		}
-		b, err := p.read(ctx)
+		base, err := p.readBase(ctx)
 		if err == nil || errors.Is(err, ErrPlatformBehind) {
-			return b, err
+			return base, err
 		}
-		last = err
+		lastErr = err
 	}
-	return base{}, last
+	return commitBase{}, lastErr
 }
 
-func (p *Publisher) attempts() int {
+func (p *Publisher) maxAttempts() int {
 	if p.MaxAttempts > 0 {
 		return p.MaxAttempts
 	}
-	return defaultAttempts
+	return defaultMaxAttempts
 }
 
-func (p *Publisher) backoff(try int) time.Duration {
-	limit := min(firstBackoff<<min(try, 7), maxBackoff)
+func (p *Publisher) backoffDelay(attempt int) time.Duration {
+	limit := min(initialBackoff<<min(attempt, 7), maxBackoff)
 	return time.Duration(p.Rand.Float64() * float64(limit))
 }
 
-func (p *Publisher) pause(ctx context.Context, try int) error {
-	if try == 0 {
+func (p *Publisher) waitBackoff(ctx context.Context, attempt int) error {
+	if attempt == 0 {
 		return ctx.Err()
 	}
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-p.Clock.After(p.backoff(try)):
+	case <-p.Clock.After(p.backoffDelay(attempt)):
 		return nil
 	}
 }
@@ -144,9 +144,9 @@
 // answer was lost. Without it the writer would either repeat an accepted change
 // set or report a failure for a release that is in force. The chain of records
 // answers also when the head has moved on, for as long as releases are kept.
-func (p *Publisher) resolve(ctx context.Context, ref Ref, cause error) error {
-	for try := range p.attempts() {
-		if err := p.pause(ctx, try); err != nil {
+func (p *Publisher) resolveHeadWrite(ctx context.Context, ref Ref, cause error) error {
+	for attempt := range p.maxAttempts() {
+		if err := p.waitBackoff(ctx, attempt); err != nil {
 			return fmt.Errorf("%w (reading back: %w)", cause, err)
 		}
 		head, obj, err := readHead(ctx, p.store())
@@ -159,7 +159,7 @@
 			}
 			continue
 		}
-		accepted, err := find(ctx, p.store(), head, ref.Number)
+		accepted, err := findRelease(ctx, p.store(), head, ref.Number)
 		if errors.Is(err, ErrNotRetained) {
 			return fmt.Errorf("%w: %w", cause, err)
 		}
--- a/process/release/publish_test.go
+++ b/process/release/publisher_test.go
@@ -18,7 +18,7 @@
 
 // joined is a small validator: a row "routes/x" holds the name of a pool, and
 // the row "pools/<name>" must exist.
-func joined(rows []Row) error {
+func validatePoolRefs(rows []Row) error {
 	have := map[string]bool{}
 	for _, r := range rows {
 		have[r.Key] = true
@@ -33,19 +33,19 @@
 }
 
 func publisher(store objectapi.Store, seed uint64) *Publisher {
-	return &Publisher{Store: store, Validate: joined, Clock: clock.System{}, Rand: clock.NewSeeded(seed)}
+	return &Publisher{Store: store, Validate: validatePoolRefs, Clock: clock.System{}, Rand: clock.NewSeeded(seed)}
 }
 
-func put(author, key, text string, base uint64) ChangeSet {
+func putRow(author, key, text string, base uint64) ChangeSet {
 	data, _ := json.Marshal(text)
 	return ChangeSet{Author: author, Changes: []Change{{Key: key, Data: data, BaseVersion: base}}}
 }
 
-func remove(author, key string, base uint64) ChangeSet {
+func deleteRow(author, key string, base uint64) ChangeSet {
 	return ChangeSet{Author: author, Changes: []Change{{Key: key, Delete: true, BaseVersion: base}}}
 }
 
-func must(g *WithT) func(Release, error) Release {
+func mustSucceed(g *WithT) func(Release, error) Release {
 	return func(r Release, err error) Release {
 		g.THelper()
 		g.Expect(err).NotTo(HaveOccurred())
@@ -55,14 +55,14 @@
 
 // losing loses the answer of the next write of key after its effect, and runs
 // meanwhile before the writer hears of it.
-type losing struct {
+type lossyStore struct {
 	objectapi.Store
 	key       string
 	meanwhile func()
 	once      sync.Once
 }
 
-func (l *losing) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (l *lossyStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	v, err := l.Store.Put(ctx, key, value, expect)
 	if key == l.key && err == nil {
 		lost := false
@@ -80,28 +80,28 @@
 // be read back. Comparing the head's id alone would report a failure (or accept
 // the set a second time); the chain of records tells for certain.
 func TestLostAnswerIsResolvedAfterTheHeadMovedOn(t *testing.T) {
-	for _, later := range []int{0, 1, 2, recentRefs + 4, recentRefs + 5} {
+	for _, later := range []int{0, 1, 2, maxRecentRefs + 4, maxRecentRefs + 5} {
 		g := NewWithT(t)
 		ctx, objects := context.Background(), standin.New()
-		first := must(g)(publisher(objects, 1).Apply(ctx, put("ada", "pools/a", "0", 0)))
-		lossy := &losing{Store: objects, key: HeadKey, meanwhile: func() {
+		first := mustSucceed(g)(publisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+		lossy := &lossyStore{Store: objects, key: HeadKey, meanwhile: func() {
 			for i := range later {
-				must(g)(publisher(objects, uint64(i)).Apply(ctx, put("bo", fmt.Sprintf("pools/b%d", i), "1", 0)))
+				mustSucceed(g)(publisher(objects, uint64(i)).Apply(ctx, putRow("bo", fmt.Sprintf("pools/b%d", i), "1", 0)))
 			}
 		}}
 		// alone is the way of sets too large for the queue, which has its own
 		// look at the chain of records.
-		accept := []func(context.Context, ChangeSet) (Release, error){publisher(lossy, 2).Apply, publisher(lossy, 2).alone}[later%2]
-		rel := must(g)(accept(ctx, put("ada", "pools/a", "1", first.Number)))
+		accept := []func(context.Context, ChangeSet) (Release, error){publisher(lossy, 2).Apply, publisher(lossy, 2).commitDirect}[later%2]
+		rel := mustSucceed(g)(accept(ctx, putRow("ada", "pools/a", "1", first.Number)))
 		g.Expect(rel.Number).To(Equal(first.Number + 1))
-		head := must(g)(objects2head(ctx, objects))
+		head := mustSucceed(g)(latestRelease(ctx, objects))
 		g.Expect(head.Number).To(Equal(first.Number + 1 + uint64(later)))
 		row, _ := head.Row("pools/a")
 		g.Expect(row.Version).To(Equal(rel.Number), "accepted once")
 	}
 }
 
-func objects2head(ctx context.Context, store objectapi.Store) (Release, error) {
+func latestRelease(ctx context.Context, store objectapi.Store) (Release, error) {
 	rel, _, err := publisher(store, 9).Head(ctx)
 	return rel, err
 }
@@ -115,12 +115,12 @@
 		g := NewWithT(t)
 		ctx, objects := context.Background(), standin.New()
 		objects.SetFaults(standin.Faults{Delay: 1e6})
-		errs := race(n, func(i int) error {
-			_, err := publisher(objects, uint64(i)).Apply(ctx, put(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
+		errs := runConcurrently(n, func(i int) error {
+			_, err := publisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
 			return err
 		})
 		g.Expect(errors.Join(errs...)).NotTo(HaveOccurred())
-		head := must(g)(objects2head(ctx, objects))
+		head := mustSucceed(g)(latestRelease(ctx, objects))
 		g.Expect(head.Rows).To(HaveLen(n))
 		left, err := objects.List(ctx, queuePrefix)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -139,16 +139,16 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	objects.SetFaults(standin.Faults{CallBudget: 600})
-	errs := race(100, func(i int) error {
-		_, err := publisher(objects, uint64(i)).Apply(ctx, put(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
+	errs := runConcurrently(100, func(i int) error {
+		_, err := publisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
 		return err
 	})
 	g.Expect(errors.Join(errs...)).NotTo(HaveOccurred())
 	objects.SetFaults(standin.Faults{})
-	g.Expect(must(g)(objects2head(ctx, objects)).Rows).To(HaveLen(100))
+	g.Expect(mustSucceed(g)(latestRelease(ctx, objects)).Rows).To(HaveLen(100))
 }
 
-func race(n int, f func(i int) error) []error {
+func runConcurrently(n int, f func(i int) error) []error {
 	errs := make([]error, n)
 	var wg sync.WaitGroup
 	for i := range n {
@@ -163,12 +163,12 @@
 func TestOneOfFiftyEditsOfARowIsAccepted(t *testing.T) {
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
-	must(g)(publisher(objects, 1).Apply(ctx, put("ada", "pools/a", "0", 0)))
-	errs := race(50, func(i int) error {
-		_, err := publisher(objects, uint64(i)).Apply(ctx, put(fmt.Sprint("op", i), "pools/a", fmt.Sprint("edit", i), 1))
+	mustSucceed(g)(publisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+	errs := runConcurrently(50, func(i int) error {
+		_, err := publisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), "pools/a", fmt.Sprint("edit", i), 1))
 		return err
 	})
-	head := must(g)(objects2head(ctx, objects))
+	head := mustSucceed(g)(latestRelease(ctx, objects))
 	row, _ := head.Row("pools/a")
 	won := 0
 	for i, err := range errs {
@@ -191,15 +191,15 @@
 	for seed := range 20 {
 		g := NewWithT(t)
 		ctx, objects := context.Background(), standin.New()
-		must(g)(publisher(objects, 1).Apply(ctx, put("ada", "pools/a", "0", 0)))
-		sets := []ChangeSet{remove("ada", "pools/a", 1), put("bo", "routes/r", "a", 0)}
-		errs := race(2, func(i int) error {
+		mustSucceed(g)(publisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+		sets := []ChangeSet{deleteRow("ada", "pools/a", 1), putRow("bo", "routes/r", "a", 0)}
+		errs := runConcurrently(2, func(i int) error {
 			_, err := publisher(objects, uint64(2*seed+i)).Apply(ctx, sets[i])
 			return err
 		})
 		g.Expect(errs).To(ContainElement(BeNil()))
 		g.Expect(errs).To(ContainElement(MatchError(ErrInvalid)))
-		g.Expect(joined(must(g)(objects2head(ctx, objects)).Rows)).To(Succeed())
+		g.Expect(validatePoolRefs(mustSucceed(g)(latestRelease(ctx, objects)).Rows)).To(Succeed())
 	}
 }
 
@@ -207,18 +207,18 @@
 func TestConflictWithADeletionNamesItsAuthor(t *testing.T) {
 	g := NewWithT(t)
 	ctx, p := context.Background(), publisher(standin.New(), 1)
-	must(g)(p.Apply(ctx, put("ada", "pools/a", "0", 0)))
-	must(g)(p.Apply(ctx, remove("bo", "pools/a", 1)))
-	_, err := p.Apply(ctx, put("ada", "pools/a", "1", 1))
+	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+	mustSucceed(g)(p.Apply(ctx, deleteRow("bo", "pools/a", 1)))
+	_, err := p.Apply(ctx, putRow("ada", "pools/a", "1", 1))
 	g.Expect(err).To(MatchError(ContainSubstring("deleted in 2 by bo")))
 }
 
 // enqueue leaves set in the queue, as a writer that goes no further does.
-func enqueue(g *WithT, p *Publisher, id string, set ChangeSet) *queued {
+func enqueueEntry(g *WithT, p *Publisher, id string, set ChangeSet) *queuedWriter {
 	set.ID = id
-	q := &queued{p: p, set: set, since: 1, key: queuePrefix + id}
-	left := entry{Set: set, Since: 1, Expires: p.Clock.Now().Add(queueLife)}
-	g.Expect(p.putNew(context.Background(), q.key, left)).To(Succeed())
+	q := &queuedWriter{p: p, set: set, since: 1, key: queuePrefix + id}
+	left := queueEntry{Set: set, Since: 1, Expires: p.Clock.Now().Add(queueTTL)}
+	g.Expect(p.putImmutable(context.Background(), q.key, left)).To(Succeed())
 	return q
 }
 
@@ -228,12 +228,12 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
-	must(g)(p.Apply(ctx, put("ada", "pools/a", "0", 0)))
-	enqueue(g, p, "dead", put("cy", "pools/c", "0", 0))
-	second := must(g)(p.Apply(ctx, put("bo", "pools/b", "0", 0)))
+	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+	enqueueEntry(g, p, "dead", putRow("cy", "pools/c", "0", 0))
+	second := mustSucceed(g)(p.Apply(ctx, putRow("bo", "pools/b", "0", 0)))
 	g.Expect(second.Rows).To(HaveLen(3), "accepted together")
-	must(g)(p.Apply(ctx, remove("bo", "pools/c", second.Number)))
-	last := must(g)(p.Apply(ctx, put("bo", "pools/d", "0", 0)))
+	mustSucceed(g)(p.Apply(ctx, deleteRow("bo", "pools/c", second.Number)))
+	last := mustSucceed(g)(p.Apply(ctx, putRow("bo", "pools/d", "0", 0)))
 	_, back := last.Row("pools/c")
 	g.Expect(back).To(BeFalse())
 }
@@ -245,11 +245,11 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
-	must(g)(p.Apply(ctx, put("ada", "pools/a", "0", 0)))
-	q := enqueue(g, p, "slow", put("bo", "pools/a", "1", 1))
-	second := must(g)(p.Apply(ctx, put("cy", "pools/c", "0", 0)))
-	must(g)(p.Apply(ctx, put("cy", "pools/a", "2", second.Number)))
-	rel, done, err := q.step(ctx, 0)
+	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+	q := enqueueEntry(g, p, "slow", putRow("bo", "pools/a", "1", 1))
+	second := mustSucceed(g)(p.Apply(ctx, putRow("cy", "pools/c", "0", 0)))
+	mustSucceed(g)(p.Apply(ctx, putRow("cy", "pools/a", "2", second.Number)))
+	rel, done, err := q.attempt(ctx, 0)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(done).To(BeTrue())
 	g.Expect(rel.Number).To(Equal(second.Number))
@@ -262,30 +262,30 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
-	must(g)(p.Apply(ctx, put("ada", "pools/a", "0", 0)))
-	q := enqueue(g, p, "withdrawn", put("ada", "routes/r", "a", 0))
-	racing := &before{Store: objects, key: HeadKey, run: func() {
+	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
+	q := enqueueEntry(g, p, "withdrawn", putRow("ada", "routes/r", "a", 0))
+	racing := &hookStore{Store: objects, key: HeadKey, hook: func() {
 		_, done, err := q.withdraw(ctx, ErrInvalid)
 		g.Expect(done).To(BeTrue())
 		g.Expect(err).To(MatchError(ErrInvalid))
 	}}
-	rel := must(g)(publisher(racing, 2).Apply(ctx, put("bo", "pools/b", "0", 0)))
+	rel := mustSucceed(g)(publisher(racing, 2).Apply(ctx, putRow("bo", "pools/b", "0", 0)))
 	_, accepted := rel.Row("routes/r")
 	g.Expect(accepted).To(BeFalse())
 	g.Expect(rel.Rows).To(HaveLen(2))
 }
 
 // before runs a step before the first write of key.
-type before struct {
+type hookStore struct {
 	objectapi.Store
 	key  string
-	run  func()
+	hook func()
 	once sync.Once
 }
 
-func (b *before) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (b *hookStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	if key == b.key {
-		b.once.Do(b.run)
+		b.once.Do(b.hook)
 	}
 	return b.Store.Put(ctx, key, value, expect)
 }
@@ -298,28 +298,28 @@
 	big := strings.Repeat("x", 300<<10)
 	set := ChangeSet{Author: "ada"}
 	for i := range 5 {
-		set.Changes = append(set.Changes, put("", fmt.Sprint("pools/", i), big, 0).Changes...)
+		set.Changes = append(set.Changes, putRow("", fmt.Sprint("pools/", i), big, 0).Changes...)
 	}
-	must(g)(publisher(objects, 1).Apply(ctx, set))
+	mustSucceed(g)(publisher(objects, 1).Apply(ctx, set))
 	head, _, err := readHead(ctx, objects)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(len(head.PartKeys)).To(BeNumerically(">", 2))
-	g.Expect(must(g)(objects2head(ctx, objects)).Rows).To(HaveLen(5))
+	g.Expect(mustSucceed(g)(latestRelease(ctx, objects)).Rows).To(HaveLen(5))
 
-	dead := publisher(&dying{Store: objects, key: HeadKey}, 1)
+	dead := publisher(&failingStore{Store: objects, key: HeadKey}, 1)
 	dead.MaxAttempts = 2
-	_, err = dead.Apply(ctx, put("ada", "pools/0", "small", 1))
+	_, err = dead.Apply(ctx, putRow("ada", "pools/0", "small", 1))
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(must(g)(objects2head(ctx, objects)).Number).To(BeEquivalentTo(1))
+	g.Expect(mustSucceed(g)(latestRelease(ctx, objects)).Number).To(BeEquivalentTo(1))
 }
 
 // dying refuses every write of key.
-type dying struct {
+type failingStore struct {
 	objectapi.Store
 	key string
 }
 
-func (d *dying) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (d *failingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	if key == d.key {
 		return 0, objectapi.ErrUnavailable
 	}
@@ -332,9 +332,9 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
-	const n = 2*recentRefs + 10
+	const n = 2*maxRecentRefs + 10
 	for i := range n {
-		must(g)(p.Apply(ctx, put("ada", "pools/a", fmt.Sprint(i), uint64(i))))
+		mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", fmt.Sprint(i), uint64(i))))
 	}
 	refs, err := p.History(ctx, 1000)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -342,9 +342,9 @@
 	for i, r := range refs {
 		g.Expect(r.Number).To(BeEquivalentTo(n - i))
 	}
-	back := must(g)(p.Rollback(ctx, 3, "bo"))
+	back := mustSucceed(g)(p.Rollback(ctx, 3, "bo"))
 	g.Expect(back.Number).To(BeEquivalentTo(n + 1))
-	old := must(g)(p.ByNumber(ctx, 3))
+	old := mustSucceed(g)(p.ByNumber(ctx, 3))
 	g.Expect(back.Hash).To(Equal(old.Hash))
 	_, err = p.Rollback(ctx, 4711, "bo")
 	g.Expect(err).To(MatchError(ErrNotRetained))
@@ -357,11 +357,11 @@
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
 	for n := uint64(1); n <= 3; n++ {
-		g.Expect(p.putNew(ctx, objectKey(Ref{Number: n, ID: "dead"}, "000"), []Row{})).To(Succeed())
+		g.Expect(p.putImmutable(ctx, objectKey(Ref{Number: n, ID: "dead"}, "000"), []Row{})).To(Succeed())
 	}
-	g.Expect(p.collect(ctx, 1, kept+1)).To(BeEquivalentTo(1))
-	g.Expect(p.collect(ctx, 1, kept+3)).To(BeEquivalentTo(3))
-	objs, err := objects.List(ctx, partPrefix)
+	g.Expect(p.collectGarbage(ctx, 1, retainedReleases+1)).To(BeEquivalentTo(1))
+	g.Expect(p.collectGarbage(ctx, 1, retainedReleases+3)).To(BeEquivalentTo(3))
+	objs, err := objects.List(ctx, releasePrefix)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(objs).To(HaveLen(1))
 }
@@ -373,16 +373,16 @@
 	g := NewWithT(t)
 	ctx, objects := context.Background(), standin.New()
 	p := publisher(objects, 1)
-	must(g)(p.Apply(ctx, put("ada", "pools/a", "old", 0)))
+	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "old", 0)))
 	inForce := Release{Number: 5, Rows: []Row{{Key: "pools/a", Data: []byte(`"new"`), Version: 5}}}
 	inForce.Hash = HashRows(inForce.Rows)
-	g.Expect(raiseFloor(ctx, objects, HighWaterMark{Number: 5, Hash: inForce.Hash, Host: "e1"})).To(Succeed())
+	g.Expect(raiseHighWaterMark(ctx, objects, HighWaterMark{Number: 5, Hash: inForce.Hash, Host: "e1"})).To(Succeed())
 
-	_, err := p.Apply(ctx, put("bo", "pools/b", "1", 0))
+	_, err := p.Apply(ctx, putRow("bo", "pools/b", "1", 0))
 	g.Expect(err).To(MatchError(ErrPlatformBehind))
-	rel := must(g)(p.Recover(ctx, inForce, "bo"))
+	rel := mustSucceed(g)(p.Recover(ctx, inForce, "bo"))
 	g.Expect(rel.Number).To(BeEquivalentTo(6))
-	next := must(g)(p.Apply(ctx, put("bo", "pools/b", "1", 0)))
+	next := mustSucceed(g)(p.Apply(ctx, putRow("bo", "pools/b", "1", 0)))
 	g.Expect(next.Number).To(BeEquivalentTo(7))
 	g.Expect(next.Rows).To(HaveLen(2))
 }
--- a/process/release/release.go
+++ b/process/release/release.go
@@ -21,9 +21,9 @@
 	HeadKey          = "bilberry/head"
 	HighWaterMarkKey = "bilberry/floor"
 	queuePrefix      = "bilberry/queue/"
-	partPrefix       = "bilberry/releases/"
+	releasePrefix    = "bilberry/releases/"
 	// maxPart leaves room below objectapi.MaxValueBytes for the JSON around rows.
-	maxPart = 690 << 10
+	maxPartBytes = 690 << 10
 )
 
 // Errors of publishing. Use errors.Is.
--- a/process/release/status.go
+++ b/process/release/status.go
@@ -19,20 +19,20 @@
 }
 
 // Status returns the present state.
-func (s *Distributor) Status() Status {
-	out := Status{Joined: s.Joined(), Watching: s.watching.Load()}
-	if age := s.platformAge(); age >= 0 {
-		out.PlatformLastResponse = s.f.opts.Clock.Now().Add(-time.Duration(age) * time.Millisecond)
+func (d *Distributor) Status() Status {
+	out := Status{Joined: d.Joined(), Watching: d.watching.Load()}
+	if age := d.platformAgeMillis(); age >= 0 {
+		out.PlatformLastResponse = d.follower.opts.Clock.Now().Add(-time.Duration(age) * time.Millisecond)
 	}
-	f := s.f
+	f := d.follower
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out.InForce, out.PlatformHead = f.current.Ref(), f.watch.head
-	if f.next != nil {
-		ref := f.next.Ref()
+	out.InForce, out.PlatformHead = f.current.Ref(), f.platform.headNumber
+	if f.pending != nil {
+		ref := f.pending.Ref()
 		out.Prepared = &ref
 	}
-	for _, err := range f.faults.all() {
+	for _, err := range f.faults.active() {
 		out.Faults = append(out.Faults, err.Error())
 	}
 	return out
--- /dev/null
+++ b/process/release/watcher.go
@@ -0,0 +1,256 @@
+package release
+
+import (
+	"context"
+	"fmt"
+	"sort"
+	"sync/atomic"
+	"time"
+
+	"github.com/cespare/xxhash/v2"
+	"golang.org/x/sync/errgroup"
+
+	"bilberrydale/process/member"
+	"bilberrydale/process/peer"
+)
+
+const (
+	// roleEvery is how often a host looks whether it is to watch the platform,
+	// beside changes of the membership.
+	roleCheckInterval = time.Second
+	// otherDomainShare is the share of comparisons with other domains.
+	crossDomainShare = 0.25
+)
+
+// live returns the other entry hosts whose state is not beyond worst.
+func (d *Distributor) livePeers(maxState member.State) []peer.Identity {
+	if d.opts.View == nil {
+		return d.opts.Link.Peers()
+	}
+	var out []peer.Identity
+	for _, p := range d.opts.View.Peers() {
+		if p.State <= maxState {
+			out = append(out, p.Identity)
+		}
+	}
+	return out
+}
+
+// near returns the live hosts of this domain without this one.
+func (d *Distributor) localPeers(maxState member.State) []peer.Identity {
+	var out []peer.Identity
+	for _, p := range d.livePeers(maxState) {
+		if p.Domain == d.opts.Link.Self().Domain {
+			out = append(out, p)
+		}
+	}
+	return out
+}
+
+// ranked returns the live hosts of this domain, this one included, by
+// rendezvous hashing: all hosts agree on the order without asking each other,
+// and a host that comes or goes moves no other.
+func (d *Distributor) rankedHosts(maxState member.State) []string {
+	self := d.opts.Link.Self()
+	hosts := []string{self.Host}
+	for _, p := range d.localPeers(maxState) {
+		hosts = append(hosts, p.Host)
+	}
+	sort.Slice(hosts, func(i, j int) bool {
+		a, b := rendezvousWeight(self.Domain, hosts[i]), rendezvousWeight(self.Domain, hosts[j])
+		return a > b || (a == b && hosts[i] < hosts[j])
+	})
+	return hosts
+}
+
+func rendezvousWeight(domain, host string) uint64 { return xxhash.Sum64String(domain + "/" + host) }
+
+// keepRole watches the platform while this host is among the chosen of its
+// domain, or while the chosen ones are silent.
+func (d *Distributor) runWatcherElection(ctx context.Context) error {
+	g, ctx := errgroup.WithContext(ctx)
+	changed := make(chan struct{}, 1)
+	if d.opts.View != nil {
+		d.opts.View.OnChange(func() {
+			select {
+			case changed <- struct{}{}:
+			default:
+			}
+		})
+	}
+	var stopWatch context.CancelFunc
+	for ctx.Err() == nil {
+		watching := stopWatch != nil
+		switch shouldWatch := d.shouldWatch(ctx, watching); {
+		case shouldWatch && !watching:
+			var watchCtx context.Context
+			watchCtx, stopWatch = context.WithCancel(ctx)
+			d.watching.Store(true)
+			g.Go(func() error { return d.follower.Watch(watchCtx) })
+		case !shouldWatch && watching:
+			d.watching.Store(false)
+			stopWatch()
+			stopWatch = nil
+		}
+		select {
+		case <-ctx.Done():
+		case <-changed:
+		case <-d.follower.opts.Clock.After(roleCheckInterval):
+		}
+	}
+	if stopWatch != nil {
+		stopWatch()
+	}
+	return g.Wait()
+}
+
+// shouldWatch reports whether this host is to watch the platform.
+func (d *Distributor) shouldWatch(ctx context.Context, watching bool) bool {
+	hosts := d.rankedHosts(member.Alive)
+	for i, h := range hosts {
+		if h == d.opts.Link.Self().Host && i < d.opts.Watchers {
+			return true
+		}
+	}
+	if d.localWatcherActive() {
+		return false
+	}
+	// The chosen ones are silent. Each of n hosts tries the platform in one of
+	// n periods, so that an outage does not turn the whole domain on it.
+	if watching || d.follower.opts.Rand.IntN(len(hosts)) > 0 {
+		return watching
+	}
+	_, err := d.follower.opts.Store.Get(ctx, HeadKey)
+	return err == nil
+}
+
+// heardLately reports whether some other host of the domain has reached the
+// platform lately, by what peers tell.
+func (d *Distributor) localWatcherActive() bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return !d.localWatcherResponse.IsZero() && d.follower.opts.Clock.Now().Sub(d.localWatcherResponse) < d.opts.WatcherTimeout
+}
+
+// compare asks one random peer in each period what it has.
+func (d *Distributor) runPeerSync(ctx context.Context) error {
+	for {
+		wait := time.Duration((0.75 + 0.5*d.follower.opts.Rand.Float64()) * float64(d.opts.SyncInterval))
+		if d.platformUnreachable() {
+			wait /= 2
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-d.follower.opts.Clock.After(wait):
+		}
+		if target, ok := d.pickSyncPeer(); ok {
+			_ = d.syncWith(ctx, target)
+		}
+	}
+}
+
+// partner draws the peer to compare with: mostly one of this domain, now and
+// then one of another, and every second time when the platform is out of reach.
+func (d *Distributor) pickSyncPeer() (peer.Identity, bool) {
+	var local, remote []peer.Identity
+	for _, p := range d.livePeers(member.Alive) {
+		if p.Domain == d.opts.Link.Self().Domain {
+			local = append(local, p)
+		} else {
+			remote = append(remote, p)
+		}
+	}
+	share := crossDomainShare
+	if d.platformUnreachable() {
+		share = 0.5
+	}
+	candidates := local
+	if len(local) == 0 || (len(remote) > 0 && d.follower.opts.Rand.Float64() < share) {
+		candidates = remote
+	}
+	if len(candidates) == 0 {
+		return peer.Identity{}, false
+	}
+	return candidates[d.follower.opts.Rand.IntN(len(candidates))], true
+}
+
+// ask compares with one peer and fetches what it has more.
+func (d *Distributor) syncWith(ctx context.Context, p peer.Identity) error {
+	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
+	defer cancel()
+	var peerSummary summary
+	start := d.follower.opts.Clock.Now()
+	if err := d.opts.Link.Call(callCtx, p.Host, methodSummary, nil, &peerSummary); err != nil {
+		return err
+	}
+	d.recordRoundTrip(p.Host, d.follower.opts.Clock.Now().Sub(start))
+	d.recordPeerPlatformAge(p, &peerSummary)
+	if d.follower.Needs(peerSummary.Number, peerSummary.Hash, p.Host) {
+		return d.fetchOnce(ctx, p, peerSummary.Number)
+	}
+	return nil
+}
+
+func (d *Distributor) recordPlatformResponse(age time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if respondedAt := d.follower.opts.Clock.Now().Add(-age); respondedAt.After(d.localWatcherResponse) {
+		d.localWatcherResponse = respondedAt
+	}
+}
+
+// join asks the platform once and the peers, first those of this domain, which
+// release they have.
+func (d *Distributor) initialSync(ctx context.Context) error {
+	defer d.joined.Store(true)
+	defer d.follower.resumeActivation()
+	callCtx, cancel := context.WithTimeout(ctx, initialSyncTimeout)
+	defer cancel()
+	var g errgroup.Group
+	var platformErr error
+	g.Go(func() error {
+		_, platformErr = d.follower.readHead(callCtx)
+		return nil
+	})
+	peers := d.awaitInitialPeers(callCtx)
+	var responses atomic.Int64
+	for _, p := range peers {
+		g.Go(func() error {
+			if d.syncWith(callCtx, p) == nil {
+				responses.Add(1)
+			}
+			return nil
+		})
+	}
+	_ = g.Wait()
+	if number, _ := d.follower.Summary(); number == 0 && ctx.Err() == nil {
+		d.follower.setFault(faultNoRelease, fmt.Errorf("%w: %d of %d peers answered; platform: %w", ErrNoRelease, responses.Load(), len(peers), platformErr))
+	}
+	return nil
+}
+
+// expectPeers returns the peers to ask: those of this domain, or all others if
+// there are none.
+func (d *Distributor) awaitInitialPeers(ctx context.Context) []peer.Identity {
+	for range 20 {
+		if len(d.opts.Link.Peers()) > 0 || !d.opts.PeersConfigured {
+			break
+		}
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-d.follower.opts.Clock.After(initialSyncTimeout / 40):
+		}
+	}
+	var local []peer.Identity
+	for _, p := range d.opts.Link.Peers() {
+		if p.Domain == d.opts.Link.Self().Domain {
+			local = append(local, p)
+		}
+	}
+	if len(local) == 0 {
+		return d.opts.Link.Peers()
+	}
+	return local
+}
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -26,7 +26,7 @@
 	Hash     string
 	// Platform is the time in milliseconds since a watcher of the host's domain
 	// heard from the platform, as far as the host knows; below 0: it does not.
-	Platform int64
+	PlatformAgeMillis int64
 }
 
 // notice tells that the sender has a release. Root is the host that started
@@ -39,32 +39,32 @@
 }
 
 // fetch asks for the newest release; Number and Hash are what the asker has.
-type fetch struct {
+type fetchRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
 	Hash     string
 }
 
 // transfer carries a release: as rows changed since Base, or whole (Base 0).
-type transfer struct {
-	_msgpack struct{} `msgpack:",as_array"`
-	Number   uint64
-	ID       string
-	Hash     string
-	Previous string
-	Author   string
-	Note     string
-	Time     int64  // unix milliseconds
-	Age      int64  // microseconds since it was accepted, when this was sent
-	Spent    int64  // microseconds between the question and this answer
-	Base     uint64 // release that Rows is the difference from
-	Rows     []byte // a packed rowsBody
+type fetchResponse struct {
+	_msgpack      struct{} `msgpack:",as_array"`
+	Number        uint64
+	ID            string
+	Hash          string
+	PreviousHash  string
+	Author        string
+	Note          string
+	TimeMillis    int64  // unix milliseconds
+	AgeMicros     int64  // microseconds since it was accepted, when this was sent
+	ServiceMicros int64  // microseconds between the question and this answer
+	BaseNumber    uint64 // release that Rows is the difference from
+	Delta         []byte // a packed rowsBody
 }
 
-type rowsBody struct {
+type wireDelta struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Changed  []wireRow
-	Gone     []string
+	Deleted  []string
 }
 
 type wireRow struct {
@@ -78,17 +78,17 @@
 // msgpack finds the _msgpack fields by name and writes these types as arrays,
 // without field names; the linter sees their use here.
 var _ = []struct{}{
-	summary{}._msgpack, notice{}._msgpack, fetch{}._msgpack, transfer{}._msgpack, rowsBody{}._msgpack, wireRow{}._msgpack,
+	summary{}._msgpack, notice{}._msgpack, fetchRequest{}._msgpack, fetchResponse{}._msgpack, wireDelta{}._msgpack, wireRow{}._msgpack,
 }
 
 // maxBody bounds the unpacked rows of one transfer, so that a faulty peer
 // cannot fill this host's memory.
-const maxBody = 16 << 20
+const maxDeltaBytes = 16 << 20
 
 // pack encodes d compressed: rows are JSON that repeats field names.
-func pack(d Delta) ([]byte, error) {
-	body := rowsBody{Gone: d.Deleted}
-	for _, r := range d.Changed {
+func encodeDelta(delta Delta) ([]byte, error) {
+	body := wireDelta{Deleted: delta.Deleted}
+	for _, r := range delta.Changed {
 		body.Changed = append(body.Changed, wireRow{Key: r.Key, Data: r.Data, Version: r.Version, Author: r.Author})
 	}
 	var buf bytes.Buffer
@@ -105,53 +105,53 @@
 	return buf.Bytes(), nil
 }
 
-func unpack(data []byte) (Delta, error) {
-	var body rowsBody
+func decodeDelta(data []byte) (Delta, error) {
+	var body wireDelta
 	r := flate.NewReader(bytes.NewReader(data))
 	defer r.Close()
-	if err := msgpack.NewDecoder(io.LimitReader(r, maxBody)).Decode(&body); err != nil {
+	if err := msgpack.NewDecoder(io.LimitReader(r, maxDeltaBytes)).Decode(&body); err != nil {
 		return Delta{}, fmt.Errorf("unpack rows: %w", err)
 	}
-	d := Delta{Deleted: body.Gone}
+	delta := Delta{Deleted: body.Deleted}
 	for _, r := range body.Changed {
-		d.Changed = append(d.Changed, Row{Key: r.Key, Data: r.Data, Version: r.Version, Author: r.Author})
+		delta.Changed = append(delta.Changed, Row{Key: r.Key, Data: r.Data, Version: r.Version, Author: r.Author})
 	}
-	return d, nil
+	return delta, nil
 }
 
 // newTransfer makes the answer to a peer that has base (nil: nothing known).
-func newTransfer(rel *PreparedRelease, base *PreparedRelease) (transfer, error) {
-	t := transfer{
-		Number: rel.Number, ID: rel.ID, Hash: rel.Hash, Previous: rel.PreviousHash, Author: rel.Author, Note: rel.Note,
-		Time: rel.Time.UnixMilli(),
+func newFetchResponse(newest *PreparedRelease, base *PreparedRelease) (fetchResponse, error) {
+	response := fetchResponse{
+		Number: newest.Number, ID: newest.ID, Hash: newest.Hash, PreviousHash: newest.PreviousHash, Author: newest.Author, Note: newest.Note,
+		TimeMillis: newest.Time.UnixMilli(),
 	}
-	d := Delta{Changed: rel.Rows}
+	delta := Delta{Changed: newest.Rows}
 	if base != nil {
-		d, t.Base = diffRows(base.Rows, rel.Rows), base.Number
+		delta, response.BaseNumber = diffRows(base.Rows, newest.Rows), base.Number
 	}
 	var err error
-	t.Rows, err = pack(d)
-	return t, err
+	response.Delta, err = encodeDelta(delta)
+	return response, err
 }
 
 // release builds the release that t carries. The caller's Offer checks it
 // against its hash, so that a wrong base is found and not put in force.
-func (t transfer) release(base *PreparedRelease) (Release, error) {
-	d, err := unpack(t.Rows)
+func (response fetchResponse) release(base *PreparedRelease) (Release, error) {
+	delta, err := decodeDelta(response.Delta)
 	if err != nil {
 		return Release{}, err
 	}
 	rel := Release{
-		Number: t.Number, ID: t.ID, Hash: t.Hash, PreviousHash: t.Previous, Author: t.Author, Note: t.Note,
-		Time: time.UnixMilli(t.Time),
+		Number: response.Number, ID: response.ID, Hash: response.Hash, PreviousHash: response.PreviousHash, Author: response.Author, Note: response.Note,
+		Time: time.UnixMilli(response.TimeMillis),
 	}
 	var rows []Row
-	if t.Base > 0 {
-		if base == nil || base.Number != t.Base {
-			return Release{}, fmt.Errorf("%w: rows since release %d, which is not here", ErrCorrupt, t.Base)
+	if response.BaseNumber > 0 {
+		if base == nil || base.Number != response.BaseNumber {
+			return Release{}, fmt.Errorf("%w: rows since release %d, which is not here", ErrCorrupt, response.BaseNumber)
 		}
 		rows = base.Rows
 	}
-	rel.Rows = d.apply(rows)
+	rel.Rows = delta.apply(rows)
 	return rel, nil
 }
