--- a/process/release/commit.go
+++ b/process/release/commit.go
@@ -12,22 +12,24 @@
 	"bilberrydale/process/objectapi"
 )
 
-// newObjectTries bounds the tries to write one new object.
+// maxPutAttempts bounds the attempts to write one new object.
 const maxPutAttempts = 8
 
-// namedAuthors is how many authors of a group its release names.
+// maxListedAuthors bounds the authors listed in the Author field of a release
+// of several change sets.
 const maxListedAuthors = 5
 
-// group is what a commit makes of several change sets.
+// commitGroup is the result of merging several change sets: the draft with the
+// accepted ones, and the error of each refused one.
 type commitGroup struct {
 	draft    *draft
 	accepted []ChangeSet
-	refused  map[string]error // by change set id
+	refused  map[string]error // by change set ID
 }
 
-// merge takes as many of sets as hold together on top of base, in order.
-// Validation is of the merged tables: two edits that are each valid alone and
-// dangle together are not both taken.
+// mergeSets merges as many of sets as are valid together into base, in order.
+// Validation runs on the merged tables: of two edits that are each valid alone
+// but leave a dangling reference together, only one is accepted.
 func (p *Publisher) mergeSets(base Release, sets []ChangeSet) commitGroup {
 	group := commitGroup{draft: newDraft(base), refused: map[string]error{}}
 	var mergeable []ChangeSet
@@ -50,8 +52,8 @@
 	return p.mergeOneByOne(base, mergeable, group.refused)
 }
 
-// mergeEach validates after every set. Sets that were refused get a second
-// chance on top of the others, which may hold the row they refer to.
+// mergeOneByOne validates after each set. Refused sets get a second pass after
+// the others, which may contain the row that they refer to.
 func (p *Publisher) mergeOneByOne(base Release, sets []ChangeSet, refused map[string]error) commitGroup {
 	group := commitGroup{draft: newDraft(base), refused: refused}
 	for range 2 {
@@ -75,6 +77,8 @@
 	return group
 }
 
+// validateDraft returns ErrInvalid with the reasons if the rows of draft are
+// invalid.
 func (p *Publisher) validateDraft(d *draft) error {
 	if err := p.Validate(d.sortedRows()); err != nil {
 		return fmt.Errorf("%w: %w", ErrInvalid, err)
@@ -82,10 +86,11 @@
 	return nil
 }
 
-// commit accepts g on top of b with one conditional update of the head. The
-// rows and the record are written before under keys that nobody else uses: a
-// writer that dies in between leaves objects that no head names, which collect
-// removes with their number. A group that changes nothing is b itself.
+// commit accepts group on top of base with one conditional update of the head.
+// The rows and the record are written first, under keys that no other publisher
+// uses; a publisher that dies in between leaves objects that no head refers to,
+// which collectGarbage removes with the releases of their number. A group that
+// changes nothing returns the release of base.
 func (p *Publisher) commit(ctx context.Context, base commitBase, group commitGroup) (Release, error) {
 	if base.unchanged(group) {
 		return base.rel, nil
@@ -107,6 +112,8 @@
 	return rel, p.writeRelease(ctx, base, rel, head)
 }
 
+// writeRelease writes the rows and the record of rel and then updates the head
+// from the version of base.
 func (p *Publisher) writeRelease(ctx context.Context, base commitBase, rel Release, head Head) error {
 	for i, part := range splitRows(rel.Rows) {
 		key := objectKey(rel.Ref(), fmt.Sprintf("%03d", i))
@@ -130,8 +137,9 @@
 	return err
 }
 
-// putNew writes one immutable object; a lost answer is harmless because the
-// key is unique to this writer, so a conflict means that the write happened.
+// putImmutable creates an object. A lost response is harmless: the key is
+// unique to this publisher, so a conflict on a retry means that the write took
+// effect.
 func (p *Publisher) putImmutable(ctx context.Context, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -149,10 +157,11 @@
 			return err
 		}
 	}
-	// Not ErrUnknownOutcome: the head was not touched, a retry is safe.
+	// Not ErrUnknownOutcome: the head is unchanged, so a retry is safe.
 	return fmt.Errorf("%w: %s: %v", objectapi.ErrUnavailable, key, err)
 }
 
+// recentRefs returns the Recent field of the release after h.
 func recentRefs(h Head) []Ref {
 	if h.Number == 0 {
 		return nil
@@ -161,6 +170,8 @@
 	return refs[:min(len(refs), maxRecentRefs)]
 }
 
+// joinAuthors returns the distinct authors of sets, shortened to
+// maxListedAuthors.
 func joinAuthors(sets []ChangeSet) string {
 	var names []string
 	seen := map[string]bool{}
@@ -176,6 +187,7 @@
 	return strings.Join(names, ", ")
 }
 
+// joinNotes returns the note of the only set, or the number of sets.
 func joinNotes(sets []ChangeSet) string {
 	if len(sets) == 1 {
 		return sets[0].Note
@@ -183,7 +195,8 @@
 	return fmt.Sprintf("%d change sets", len(sets))
 }
 
-// Load reads the rows that head refers to and checks them against its hash.
+// Load reads the rows of the head in obj and returns the release. It returns
+// ErrCorrupt if they do not match the hash.
 func Load(ctx context.Context, store objectapi.Store, obj objectapi.Object) (Release, error) {
 	head, err := decodeHead(obj)
 	if err != nil {
@@ -192,6 +205,8 @@
 	return loadRows(ctx, store, head)
 }
 
+// loadRows returns the release of head with its rows, verified against the
+// hash.
 func loadRows(ctx context.Context, store objectapi.Store, head Head) (Release, error) {
 	rel := head.Release
 	if rel.Number == 0 {
@@ -211,7 +226,7 @@
 	return rel, rel.Verify()
 }
 
-// split cuts rows into parts that each fit into one object.
+// splitRows splits rows into parts that each fit into one object.
 func splitRows(rows []Row) [][]Row {
 	var parts [][]Row
 	var part []Row
@@ -231,14 +246,16 @@
 	return parts
 }
 
-// sweepStep bounds how many numbers one commit collects.
+// maxCollectedPerCommit bounds the release numbers whose objects one commit
+// collects.
 const maxCollectedPerCommit = 4
 
-// collect removes the objects of releases that are no longer kept, those of
-// writers that died or lost the race for these numbers included, and returns
-// the lowest number that may still have objects. Failures are left to the next
-// commit. An object written for a number after that number was collected stays;
-// that needs a writer which stalls for as long as `kept` releases.
+// collectGarbage deletes the objects of releases that are no longer retained,
+// starting at from, including those of publishers that died or lost the race
+// for these numbers. It returns the lowest number that may still have objects.
+// Failures are left to the next commit. An object written for a number after
+// that number was collected remains; that requires a publisher that stalls for
+// as long as retainedReleases releases take.
 func (p *Publisher) collectGarbage(ctx context.Context, from, newest uint64) uint64 {
 	for range maxCollectedPerCommit {
 		if from+retainedReleases >= newest {
--- a/process/release/delta.go
+++ b/process/release/delta.go
@@ -1,16 +1,17 @@
 package release
 
-// maxHeadDelta bounds the bytes of changed rows that the head object carries.
-// Watchers get them with the head and need no further read of the platform.
+// maxHeadDeltaBytes bounds the delta in the head object, as keys and data.
+// Watchers get the delta with the head and need no further read of the
+// platform.
 const maxHeadDeltaBytes = 64 << 10
 
 // Delta holds the rows that differ between two releases.
 type Delta struct {
-	Changed []Row    `json:"changed,omitempty"` // by key
-	Deleted []string `json:"gone,omitempty"`
+	Changed []Row    `json:"changed,omitempty"` // added or changed rows, sorted by key
+	Deleted []string `json:"gone,omitempty"`    // keys of deleted rows, sorted
 }
 
-// diffRows returns what leads from rows to want; both are sorted by key.
+// diffRows returns the delta from rows to target; both must be sorted by key.
 func diffRows(rows, target []Row) Delta {
 	var d Delta
 	i := 0
@@ -34,7 +35,8 @@
 	return d
 }
 
-// apply returns rows with d's changes; rows is left as it is.
+// apply returns rows with the changes of d, sorted by key. It does not modify
+// rows.
 func (d Delta) apply(rows []Row) []Row {
 	out := make(map[string]Row, len(rows)+len(d.Changed))
 	for _, r := range rows {
@@ -49,6 +51,7 @@
 	return sortedRows(out)
 }
 
+// sizeBytes returns the total length of the keys and data in d.
 func (d Delta) sizeBytes() int {
 	n := 0
 	for _, r := range d.Changed {
@@ -60,8 +63,10 @@
 	return n
 }
 
-// fromDelta builds rel from the release before it, if that is held here. The
-// hash tells whether the result is right; otherwise the whole release is read.
+// applyHeadDelta reconstructs rel from its predecessor, if this host has it,
+// and the delta in the head. It reports false if the predecessor or the delta
+// is missing or the result does not match the hash; the caller then loads all
+// rows.
 func (f *Follower) applyHeadDelta(rel Release, d *Delta) (Release, bool) {
 	base := f.newest.Load()
 	if d == nil || base == nil || base.Number+1 != rel.Number || base.Hash != rel.PreviousHash {
--- a/process/release/distributor.go
+++ b/process/release/distributor.go
@@ -14,24 +14,28 @@
 	"bilberrydale/process/peer"
 )
 
-// SpreadOptions configure a Spread; zero values get defaults.
+// DistributorOptions configure a Distributor; zero values get defaults.
 type DistributorOptions struct {
 	Follower *Follower
-	Link     peer.Link   // nil: the host runs alone
-	View     member.View // nil: every peer of the link counts as live
-	// Watchers is how many hosts of a domain watch the platform; default 2.
+	Link     peer.Link   // nil: the host has no peers
+	View     member.View // nil: every peer of the link counts as alive
+	// Watchers is the number of hosts per failure domain that watch the
+	// platform; default 2.
 	Watchers int
-	// Poll is the period in which a host compares with one peer; default 2 s.
+	// SyncInterval is the mean interval at which a host compares its release
+	// with that of one peer; default 2 s. It is halved while the platform is
+	// unreachable.
 	SyncInterval time.Duration
-	// Silence is how old the newest news of the platform may get before hosts
-	// other than the chosen ones try the platform; default 20 s.
+	// WatcherTimeout is how long the failure domain may go without a reported
+	// response of the platform before hosts other than its elected watchers try
+	// the platform; default 20 s.
 	WatcherTimeout time.Duration
-	// ExpectPeers says that peers are configured, so that a host which starts
-	// waits a moment for the link to know them.
+	// PeersConfigured makes a host that starts wait briefly until the link has
+	// discovered a peer.
 	PeersConfigured bool
 }
 
-// Defaults of SpreadOptions.
+// Defaults of DistributorOptions.
 const (
 	DefaultWatchers     = 2
 	DefaultSyncInterval = 2 * time.Second
@@ -42,31 +46,35 @@
 	peerTimeout           = 500 * time.Millisecond
 	fetchTimeout          = 5 * time.Second
 	initialSyncTimeout    = time.Second
-	// maxOneWay bounds the estimate of a message's way: a longer time is a
-	// process that got no processor, and would make this host switch early.
+	// maxOneWayDelay bounds the estimated one-way delay of a message. A longer
+	// time means that a process was waiting for a CPU, and would make this host
+	// activate releases early.
 	maxOneWayDelay = 50 * time.Millisecond
 )
 
-// Spread passes releases between entry hosts: few hosts of a failure domain
-// watch the platform, the others hear of a release from them and fetch the rows
-// that changed, and every host compares with a peer now and then, which mends
-// whatever was lost on the way.
+// Distributor passes releases between entry hosts. Few hosts of a failure
+// domain watch the platform; the others are notified of a release by them and
+// fetch the rows that changed. In addition, every host periodically compares
+// its release with that of a random peer, which repairs whatever was lost on
+// the way.
 type Distributor struct {
 	opts     DistributorOptions
 	follower *Follower
 	joined   atomic.Bool
 	watching atomic.Bool                     // this host watches the platform
-	runCtx   atomic.Pointer[context.Context] // of Run, for work that notices start
+	runCtx   atomic.Pointer[context.Context] // of Run, for background work
 
 	mu                   sync.Mutex
-	forwarded            map[string]uint64 // root -> number forwarded last
-	fetching             map[uint64]chan struct{}
-	fetchingLocal        map[uint64]bool      // those of pulling that come from this domain
-	roundTrips           map[string]roundTrip // by peer
-	localWatcherResponse time.Time            // when a watcher of the domain last reached the platform, as told
+	forwarded            map[string]uint64        // by root of the notice: number forwarded last
+	fetching             map[uint64]chan struct{} // by number: closed when the fetch ends
+	fetchingLocal        map[uint64]bool          // by number: the fetch is from this failure domain
+	roundTrips           map[string]roundTrip     // by peer
+	localWatcherResponse time.Time                // last response of the platform to a watcher of the domain, as reported
 }
 
-// NewSpread registers the peer methods; it is called before the link starts.
+// NewDistributor returns a distributor and registers its methods with the link.
+// It must be called before the link starts. If there is a link, the follower
+// activates no release until Run has queried the peers.
 func NewDistributor(opts DistributorOptions) *Distributor {
 	if opts.Watchers <= 0 {
 		opts.Watchers = DefaultWatchers
@@ -89,11 +97,12 @@
 	return d
 }
 
-// Run follows releases until ctx ends.
+// Run follows and distributes releases until ctx ends. It activates releases of
+// the follower, too.
 func (d *Distributor) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	d.runCtx.Store(&ctx)
-	d.recordPlatformResponse(0) // the chosen watchers get the time of Silence to be heard of
+	d.recordPlatformResponse(0) // gives the elected watchers WatcherTimeout to report
 	g.Go(func() error { return d.follower.RunActivation(ctx) })
 	if d.opts.Link == nil {
 		d.joined.Store(true)
@@ -106,17 +115,19 @@
 	return g.Wait()
 }
 
-// Joined reports whether this host asked its peers for their release since it
-// started. Until then it may know less than its callers have seen already: a
-// host that restarts while the platform is down or behind must not serve an
-// earlier release than it did before.
+// Joined reports whether this host has queried its peers for their release
+// since its start. Until then it may have an earlier release than its callers
+// have already seen: a host that restarts while the platform is down or stale
+// must not serve an earlier release than before.
 func (d *Distributor) Joined() bool { return d.joined.Load() }
 
-// Summary returns number and hash of the newest release here, for heartbeats.
+// Summary returns number and hash of the newest release on this host; both are
+// zero if there is none.
 func (d *Distributor) Summary() (number uint64, hash string) { return d.follower.Summary() }
 
-// Heard takes what a peer says it has, from a heartbeat or an answer. It returns
-// at once; a newer release is fetched in the background.
+// ObservePeerRelease handles the newest release that a peer reports in a
+// heartbeat or response. It returns at once; a newer release is fetched in the
+// background.
 func (d *Distributor) ObservePeerRelease(from peer.Identity, number uint64, hash string) {
 	if !d.follower.Needs(number, hash, from.Host) {
 		return
@@ -124,13 +135,17 @@
 	d.runInBackground(func(ctx context.Context) { _ = d.fetchOnce(ctx, from, number) })
 }
 
+// runInBackground runs work in a goroutine with the context of Run. It does
+// nothing unless Run is running.
 func (d *Distributor) runInBackground(work func(context.Context)) {
 	if ctx := d.runCtx.Load(); ctx != nil && (*ctx).Err() == nil {
 		go work(*ctx)
 	}
 }
 
-// pull fetches the newest release of from. One pull of a number runs at a time.
+// fetchOnce fetches the newest release of from unless this host already has
+// number or a later one. Only one fetch per number runs at a time. It returns
+// ErrNotRetained if from does not have the release.
 func (d *Distributor) fetchOnce(ctx context.Context, from peer.Identity, number uint64) error {
 	d.mu.Lock()
 	if inProgress, busy := d.fetching[number]; busy {
@@ -165,6 +180,8 @@
 	return nil
 }
 
+// fetchFrom fetches the newest release of host, as a delta if possible, and
+// offers it to the follower.
 func (d *Distributor) fetchFrom(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -179,8 +196,8 @@
 		return fmt.Errorf("fetch release from %s: %w", host, err)
 	}
 	now := d.follower.opts.Clock.Now()
-	// The answer was under way for some time. Without it each step would put the
-	// switch off by that much.
+	// Add the one-way delay of the response to its age. Otherwise each hop would
+	// postpone the activation by that delay.
 	oneWay := d.recordRoundTrip(host, now.Sub(start)-time.Duration(response.ServiceMicros)*time.Microsecond)
 	acceptedAt := now.Add(-time.Duration(response.AgeMicros)*time.Microsecond - oneWay)
 	rel, err := response.release(base)
@@ -190,12 +207,13 @@
 	return err
 }
 
-// tripsKept bounds the peers whose round trip is remembered.
+// maxRoundTrips bounds the peers whose round-trip time is kept.
 const maxRoundTrips = 512
 
-// measured takes the time of one call to host and returns the estimate of a
-// message's way. The smoothed lowest time counts and not this one: on a loaded
-// host a call waits for a processor, and its half would switch the host early.
+// recordRoundTrip adds a sample of the round-trip time to host and returns the
+// estimated one-way delay of a message. The estimate uses the smoothed minimum
+// and not the sample alone: on a loaded host a call waits for a CPU, and half
+// of that time would make this host activate releases early.
 func (d *Distributor) recordRoundTrip(host string, elapsed time.Duration) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,10 +226,12 @@
 	return min(trip.oneWay(), elapsed/2)
 }
 
+// onFetch responds with the newest release of this host, as a delta if it
+// recently had the release of the caller.
 func (d *Distributor) onFetch(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var request fetchRequest
 	if err := msgpack.Unmarshal(payload, &request); err != nil {
-		return nil, fmt.Errorf("decode fetch: %w", err)
+		return nil, fmt.Errorf("decode fetch request: %w", err)
 	}
 	newest := d.follower.Newest()
 	if newest == nil {
@@ -227,21 +247,24 @@
 	return msgpack.Marshal(&response)
 }
 
+// onSummary responds with the summary of this host.
 func (d *Distributor) onSummary(context.Context, peer.Identity, []byte) ([]byte, error) {
 	number, hash := d.follower.Summary()
 	return msgpack.Marshal(&summary{Number: number, Hash: hash, PlatformAgeMillis: d.platformAgeMillis()})
 }
 
-// HeartbeatPart returns what a heartbeat says of this host's releases.
+// HeartbeatPayload returns the encoded summary of this host for its heartbeats,
+// or nil if it cannot be encoded.
 func (d *Distributor) HeartbeatPayload() []byte {
 	data, err := d.onSummary(context.Background(), peer.Identity{}, nil)
 	if err != nil {
-		return nil // comparing with peers goes on without
+		return nil // peers still learn of releases by periodic comparison
 	}
 	return data
 }
 
-// OnHeartbeatPart takes what HeartbeatPart returned at from. It returns at once.
+// OnHeartbeatPayload handles the HeartbeatPayload of a peer. It returns at once
+// and does not keep data; an invalid payload is ignored.
 func (d *Distributor) OnHeartbeatPayload(from peer.Identity, data []byte) {
 	var peerSummary summary
 	if msgpack.Unmarshal(data, &peerSummary) != nil {
@@ -251,16 +274,17 @@
 	d.ObservePeerRelease(from, peerSummary.Number, peerSummary.Hash)
 }
 
-// notePlatform records how the peer stands with the platform: watchers of a domain
-// speak for all of it.
+// recordPeerPlatformAge records when the platform last responded according to a
+// peer of this failure domain.
 func (d *Distributor) recordPeerPlatformAge(from peer.Identity, peerSummary *summary) {
 	if peerSummary.PlatformAgeMillis >= 0 && from.Domain == d.opts.Link.Self().Domain {
 		d.recordPlatformResponse(time.Duration(peerSummary.PlatformAgeMillis) * time.Millisecond)
 	}
 }
 
-// platformAge is the age of the newest news of the platform in this domain in
-// milliseconds; below 0: none.
+// platformAgeMillis returns the milliseconds since the last response of the
+// platform to this host or, as reported, its failure domain; -1 if there was
+// none.
 func (d *Distributor) platformAgeMillis() int64 {
 	d.mu.Lock()
 	last := d.localWatcherResponse
@@ -274,7 +298,8 @@
 	return d.follower.opts.Clock.Now().Sub(last).Milliseconds()
 }
 
-// cutOff reports whether peers are this host's only source of releases now.
+// platformUnreachable reports whether peers are currently the only source of
+// releases of this host.
 func (d *Distributor) platformUnreachable() bool {
 	if d.watching.Load() && d.follower.platformLastResponse().IsZero() {
 		return true
--- a/process/release/distributor_bench_test.go
+++ b/process/release/distributor_bench_test.go
@@ -19,8 +19,9 @@
 )
 
 // The benchmarks measure one accepted change per iteration, on in-process hosts
-// of three domains in three regions: 1.5 ms one way within a domain, 20 ms
-// between regions and from two of them to the platform. Run for instance
+// of three failure domains in three regions. The one-way delay is 1.5 ms within
+// a domain, and 20 ms between regions and from two of them to the platform. To
+// run one:
 //
 //	go test ./process/release -run '^$' -bench InForce -benchtime 20x
 const (
@@ -29,9 +30,11 @@
 	benchDomains     = 3
 )
 
+// regionDelay returns the one-way delay between two domains, or to the platform
+// if to is empty.
 func regionDelay(from, to string) time.Duration {
 	if to == "" {
-		to = "d0" // the platform stands in the first region
+		to = "d0" // the platform is in the first region
 	}
 	if from == to {
 		return sameRegionDelay
@@ -39,8 +42,8 @@
 	return crossRegionDelay
 }
 
-// largeTables has the rows of the design size: 14 pools of 79 replicas (1,106)
-// and 11 routes. serial changes one server of one pool.
+// largeTables returns the rows of the design size: 14 pools of 79 replicas
+// (1,106) and 11 routes. serial selects one server of one pool that is changed.
 func largeTables(serial int) []Change {
 	type server struct{ Name, Address, Domain, Region string }
 	var changes []Change
@@ -69,7 +72,8 @@
 	return changes
 }
 
-// acceptClock is the publisher's store; it notes when the head was written.
+// timestampStore is the publisher's store; it records when the head was
+// written.
 type timestampStore struct {
 	objectapi.Store
 	acceptedAt time.Time
@@ -83,7 +87,8 @@
 	return v, err
 }
 
-// change accepts a changed server and returns the release and when it was accepted.
+// publishServerChange accepts a changed server and returns the release and the
+// time of acceptance.
 func (fl *fleet) publishServerChange(serial int) (Release, time.Time) {
 	store := &timestampStore{Store: fl.objects}
 	p := &Publisher{Store: store, Validate: func([]Row) error { return nil }, Clock: clock.System{}, Rand: clock.NewSeeded(1)}
@@ -97,30 +102,33 @@
 	return mustSucceed(fl.g)(p.Apply(context.Background(), set)), store.acceptedAt
 }
 
-// delays returns for every host the time from at to its switch to rel.
-func (fl *fleet) activationDelays(rel Release, at time.Time) []time.Duration {
+// activationDelays returns for every host the time from since to its activation
+// of rel, sorted.
+func (fl *fleet) activationDelays(rel Release, since time.Time) []time.Duration {
 	var out []time.Duration
 	for _, h := range fl.hosts {
 		t, _ := h.activatedAt.Load(rel.Number)
-		out = append(out, t.(time.Time).Sub(at))
+		out = append(out, t.(time.Time).Sub(since))
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i] < out[j] })
 	return out
 }
 
-func benchFleet(b *testing.B, n int, hold time.Duration) *fleet {
+func benchFleet(b *testing.B, n int, activationDelay time.Duration) *fleet {
 	fl := newFleet(NewWithT(b))
 	fl.oneWayDelay, fl.syncInterval, fl.watcherTimeout = regionDelay, DefaultSyncInterval, defaultWatcherTimeout
-	fl.opts = FollowerOptions{ActivationDelay: hold}
+	fl.opts = FollowerOptions{ActivationDelay: activationDelay}
 	fl.start(b, benchDomains, n/benchDomains)
 	rel, _ := fl.publishServerChange(0)
 	fl.awaitInForce(rel)
 	return fl
 }
 
-// report gives the medians over iterations of first, median and last host.
+// reportDelays reports the median and the maximum over iterations for the
+// first, the median and the last host, and for the spread between first and
+// last.
 func reportDelays(b *testing.B, all [][]time.Duration) {
-	at := func(name string, pick func([]time.Duration) time.Duration) {
+	reportMetric := func(name string, pick func([]time.Duration) time.Duration) {
 		var v []float64
 		for _, d := range all {
 			v = append(v, float64(pick(d).Microseconds())/1000)
@@ -129,20 +137,21 @@
 		b.ReportMetric(v[len(v)/2], name+"-ms")
 		b.ReportMetric(v[len(v)-1], name+"-worst-ms")
 	}
-	at("first", func(d []time.Duration) time.Duration { return d[0] })
-	at("median", func(d []time.Duration) time.Duration { return d[len(d)/2] })
-	at("last", func(d []time.Duration) time.Duration { return d[len(d)-1] })
-	at("apart", func(d []time.Duration) time.Duration { return d[len(d)-1] - d[0] })
+	reportMetric("first", func(d []time.Duration) time.Duration { return d[0] })
+	reportMetric("median", func(d []time.Duration) time.Duration { return d[len(d)/2] })
+	reportMetric("last", func(d []time.Duration) time.Duration { return d[len(d)-1] })
+	reportMetric("apart", func(d []time.Duration) time.Duration { return d[len(d)-1] - d[0] })
 	b.ReportMetric(0, "ns/op")
 }
 
-// traffic returns the platform calls and peer bytes of all hosts.
-func (fl *fleet) traffic() (calls, bytes, most int64) {
+// traffic returns the platform calls and the peer bytes of all hosts, and the
+// peer bytes of the busiest host.
+func (fl *fleet) traffic() (calls, bytes, busiestBytes int64) {
 	for name, h := range fl.hosts {
 		_, n := fl.net.Traffic(name)
-		calls, bytes, most = calls+h.link.calls.Load(), bytes+n, max(most, n)
+		calls, bytes, busiestBytes = calls+h.link.calls.Load(), bytes+n, max(busiestBytes, n)
 	}
-	return calls, bytes, most
+	return calls, bytes, busiestBytes
 }
 
 func cpuTime() time.Duration {
@@ -153,8 +162,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// heapKB returns the live heap for each host, the platform's and the harness's
-// share included.
+// heapKB returns the live heap per host, including the share of the platform
+// and the test harness.
 func (fl *fleet) heapKB() float64 {
 	runtime.GC()
 	var m runtime.MemStats
@@ -162,6 +171,8 @@
 	return float64(m.HeapAlloc) / 1024 / float64(len(fl.hosts))
 }
 
+// BenchmarkInForce measures the time from the acceptance of a change to its
+// activation on all hosts, without faults.
 func BenchmarkInForce(b *testing.B) {
 	for _, hold := range []time.Duration{0, 100 * time.Millisecond, 250 * time.Millisecond} {
 		for _, n := range []int{6, 12, 24, 48} {
@@ -170,9 +181,9 @@
 				calls0, bytes0, most0 := fl.traffic()
 				var all [][]time.Duration
 				for i := range b.N {
-					rel, at := fl.publishServerChange(i + 1)
+					rel, acceptedAt := fl.publishServerChange(i + 1)
 					fl.awaitInForce(rel)
-					all = append(all, fl.activationDelays(rel, at))
+					all = append(all, fl.activationDelays(rel, acceptedAt))
 				}
 				reportDelays(b, all)
 				b.ReportMetric(fl.heapKB(), "heapKB/host")
@@ -186,7 +197,8 @@
 }
 
 // BenchmarkHeal accepts a change while no host reaches the platform and no
-// domain another, and measures from the heal.
+// domain reaches another, and measures from the time the connections are
+// restored.
 func BenchmarkHeal(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -198,14 +210,14 @@
 				}
 				fl.eachCrossDomainPair(fl.net.Partition)
 				rel, _ := fl.publishServerChange(i + 1)
-				sleep(3 * time.Second) // the outage: watchers reach their longest backoff
+				sleep(3 * time.Second) // outage; watchers reach their longest backoff
 				fl.eachCrossDomainPair(fl.net.Heal)
-				at := time.Now()
+				restoredAt := time.Now()
 				for _, h := range fl.hosts {
 					h.link.restore()
 				}
 				fl.awaitInForce(rel)
-				all = append(all, fl.activationDelays(rel, at))
+				all = append(all, fl.activationDelays(rel, restoredAt))
 			}
 			reportDelays(b, all)
 		})
@@ -213,7 +225,7 @@
 }
 
 // BenchmarkCutDomain accepts a change while one domain does not reach the
-// platform, and measures its hosts, which learn of it from other domains.
+// platform, and measures its hosts, which get it from other domains.
 func BenchmarkCutDomain(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -223,12 +235,12 @@
 			}
 			var all [][]time.Duration
 			for i := range b.N {
-				rel, at := fl.publishServerChange(i + 1)
+				rel, acceptedAt := fl.publishServerChange(i + 1)
 				fl.awaitInForce(rel)
 				var cut []time.Duration
 				for _, h := range fl.hostsOf("d1") {
 					t, _ := h.activatedAt.Load(rel.Number)
-					cut = append(cut, t.(time.Time).Sub(at))
+					cut = append(cut, t.(time.Time).Sub(acceptedAt))
 				}
 				slices.Sort(cut)
 				all = append(all, cut)
@@ -239,7 +251,7 @@
 }
 
 // BenchmarkKilledWatcher kills the first watcher of a domain just before the
-// change, while the membership still lists it.
+// change, while the membership still lists it as alive.
 func BenchmarkKilledWatcher(b *testing.B) {
 	for _, n := range []int{6, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
@@ -248,9 +260,9 @@
 			for i := range b.N {
 				name := fl.hostsOf("d0")[0].distributor.rankedHosts(member.Alive)[0]
 				fl.kill(name, false)
-				rel, at := fl.publishServerChange(i + 1)
+				rel, acceptedAt := fl.publishServerChange(i + 1)
 				fl.awaitInForce(rel)
-				all = append(all, fl.activationDelays(rel, at))
+				all = append(all, fl.activationDelays(rel, acceptedAt))
 				fl.mu.Lock()
 				fl.staleMembers = nil
 				fl.mu.Unlock()
@@ -263,7 +275,8 @@
 	}
 }
 
-// BenchmarkAtRest measures ten seconds without a change per iteration.
+// BenchmarkAtRest measures CPU time and traffic during ten seconds without a
+// change per iteration.
 func BenchmarkAtRest(b *testing.B) {
 	const period = 10 * time.Second
 	for _, n := range []int{6, 12, 24, 48} {
@@ -287,7 +300,7 @@
 }
 
 // BenchmarkTransfer measures one changed server in tables of the design size:
-// what a peer sends and what it costs both to make and take it in.
+// the size of the response, and the cost of building and applying it.
 func BenchmarkTransfer(b *testing.B) {
 	rows := func(serial int, number uint64) Release {
 		rel := Release{Number: number}
--- a/process/release/distributor_test.go
+++ b/process/release/distributor_test.go
@@ -14,9 +14,9 @@
 	"bilberrydale/process/peer"
 )
 
-// All hosts follow a release, but only two of each domain's twelve hold a watch
-// on the platform: it counts each waiting watch, and its rates do not grow with
-// the fleet.
+// All hosts follow a release, but only two of the twelve hosts of each domain
+// watch the platform: it counts each waiting watch, and its call rate does not
+// grow with the fleet.
 func TestFewHostsOfADomainWatchThePlatform(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
@@ -38,10 +38,10 @@
 	}
 }
 
-// A domain loses its line to the platform. A release accepted meanwhile comes
-// to it through peers of the other domain. Then it loses those too and goes on
-// serving what it has; when both come back it follows again.
-func TestDomainCutFromPlatformThenPeersThenHealed(t *testing.T) {
+// A domain loses its connection to the platform and gets the next release from
+// peers in the other domain. Then it loses these peers too and keeps the
+// release that it has. When both connections return, it follows again.
+func TestDomainLosesPlatformThenPeersThenReconnects(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 2, 3)
@@ -68,6 +68,7 @@
 	fl.awaitInForce(third)
 }
 
+// eachCrossDomainPair calls f for each pair of hosts in different domains.
 func (fl *fleet) eachCrossDomainPair(f func(a, b string)) {
 	for a, ha := range fl.hosts {
 		for b, hb := range fl.hosts {
@@ -78,9 +79,9 @@
 	}
 }
 
-// The platform takes long for every call and loses the answers of writes. The
-// operator waits longer, and every host still follows each release, in order.
-func TestSlowPlatformThatLosesAnswers(t *testing.T) {
+// The platform is slow and loses the responses to writes. Publishing takes
+// longer, and every host still follows every release in order.
+func TestSlowPlatformThatLosesResponses(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 2, 3)
@@ -97,10 +98,10 @@
 	}
 }
 
-// Both watchers of a domain lose the platform and every peer outside, but stay
-// alive for the membership. Nobody is told to take over; the others notice that
-// no news of the platform comes any more, and one of them watches it.
-func TestOthersWatchWhenTheChosenAreSilent(t *testing.T) {
+// Both watchers of a domain lose the platform but stay alive in the membership,
+// so no new watchers are elected. The other hosts detect that no response of
+// the platform is reported any more, and one of them watches it.
+func TestOtherHostsWatchWhenElectedWatchersLoseThePlatform(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 1, 6)
@@ -111,8 +112,9 @@
 	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
-// fleetThatDoesNotCompare has a first release in force on 16 hosts that hear of
-// releases by notices alone, and returns the hosts in the order of the notices.
+// newFleetWithoutSync starts 16 hosts that learn of releases only by notices,
+// with a first release in force. It also returns the hosts in the order of the
+// notice tree.
 func newFleetWithoutSync(t *testing.T) (*fleet, []string) {
 	fl := newFleet(NewWithT(t))
 	fl.syncInterval, fl.watcherTimeout = time.Hour, time.Hour
@@ -121,29 +123,29 @@
 	return fl, fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)
 }
 
-// A host in the middle of the notices' tree and a watcher are killed while the
-// membership still lists them as alive. The hosts behind them get the release
-// all the same, from the sender before; comparing with peers is switched off.
-func TestKilledHostsCutNobodyOff(t *testing.T) {
+// A watcher and a host in the middle of the notice tree are killed while the
+// membership still lists them as alive. The hosts below them get the release
+// from the sender above; the periodic comparison with peers is off.
+func TestNoticesPassKilledHosts(t *testing.T) {
 	fl, ranked := newFleetWithoutSync(t)
 	fl.kill(ranked[0], false)
 	fl.kill(ranked[2], false)
 	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
-// A host hears of a release, and the answers of both hosts that told it are
-// lost, as on a connection that went silent. It asks others at once; waiting to
-// find out by comparing, which is switched off here, would take seconds, and for
-// the hosts behind it too.
-func TestLostFetchIsAskedOfOthers(t *testing.T) {
+// A host is notified of a release, and the responses of both hosts that
+// announced it are lost, as on a hanging connection. It fetches from other
+// hosts at once; periodic comparison, which is off here, would take seconds,
+// also for the hosts below it.
+func TestLostFetchIsRetriedFromOtherHosts(t *testing.T) {
 	fl, ranked := newFleetWithoutSync(t)
 	fl.net.LoseResponses(ranked[2], ranked[0])
 	fl.net.LoseResponses(ranked[2], ranked[1])
 	fl.awaitInForce(fl.publish("pools/a", "1"))
 }
 
-// Every host is replaced while releases are accepted, one after the other, each
-// new one knowing nothing. All end on the newest release.
+// All hosts are replaced one after the other by hosts without state while
+// releases are accepted. All end on the newest release.
 func TestAllHostsReplacedDuringReleases(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
@@ -158,56 +160,58 @@
 	fl.awaitInForce(last)
 }
 
-// A host restarts while the platform is down, or answers with an earlier state.
-// It asks its peers before it is ready, so its callers do not meet a release
-// lower than before. Without peers and platform it says so and is not ready.
-func TestRestartLearnsFromPeers(t *testing.T) {
+// A host restarts while the platform is down or returns an earlier state. It
+// queries its peers before it is ready, so its callers do not meet a lower
+// release than before. Without peers and platform it reports a fault and has no
+// release in force.
+func TestRestartedHostSyncsFromPeers(t *testing.T) {
 	for _, faults := range []standin.Faults{{Down: true}, {StaleReads: true}} {
 		g := NewWithT(t)
 		fl := newFleet(g)
 		fl.start(t, 1, 3)
 		fl.awaitInForce(fl.publish("pools/a", "0"))
-		fl.oneWayDelay = func(_, to string) time.Duration { // peers answer after the platform
+		fl.oneWayDelay = func(_, to string) time.Duration { // peers respond after the platform
 			return time.Duration(len(to)) * time.Millisecond
 		}
-		old := standin.New()
-		_, err := publisher(old, 1).Apply(context.Background(), putRow("ada", "pools/a", "0", 0))
+		otherPlatform := standin.New()
+		_, err := newPublisher(otherPlatform, 1).Apply(context.Background(), putRow("ada", "pools/a", "0", 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		second := fl.publish("pools/a", "1")
 		fl.awaitInForce(second)
-		old.SetFaults(faults)
-		h := fl.startHost(t, "d0-new", "d0", newPlatformLink(old))
+		otherPlatform.SetFaults(faults)
+		h := fl.startHost(t, "d0-new", "d0", newPlatformLink(otherPlatform))
 		g.Eventually(h.distributor.Joined, 5*time.Second, time.Millisecond).Should(BeTrue())
 		cur, _ := h.follower.Current()
 		g.Expect(cur.Number).To(Equal(second.Number))
 		_, served := h.activatedAt.Load(uint64(1))
-		g.Expect(served).To(BeFalse(), "not even for a moment")
+		g.Expect(served).To(BeFalse(), "release 1 must never be activated")
 	}
 	g := NewWithT(t)
-	alone := newFleet(g)
-	alone.objects.SetFaults(standin.Faults{Down: true})
-	h := alone.startHost(t, "d0-0", "d0", newPlatformLink(alone.objects))
+	isolated := newFleet(g)
+	isolated.objects.SetFaults(standin.Faults{Down: true})
+	h := isolated.startHost(t, "d0-0", "d0", newPlatformLink(isolated.objects))
 	g.Eventually(h.follower.Err, 5*time.Second).Should(MatchError(ErrNoRelease))
 	_, ok := h.follower.Current()
 	g.Expect(ok).To(BeFalse())
 }
 
-// The platform is restored to an earlier state, so its versions are below what
-// the watches have seen. Hosts keep what is in force, say that the platform is behind, and the floor that they raise makes the
-// publisher refuse. After Recover all hosts follow again, upwards only.
-func TestRestoredPlatformIsSaidAndMended(t *testing.T) {
+// The platform is restored to an earlier state, so its versions are below those
+// that the watches have seen. Hosts keep the release in force and report that
+// the platform is behind; publishers refuse edits because of the high-water
+// mark. After Recover all hosts follow again and never go back.
+func TestRestoredPlatformIsReportedAndRecovered(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 1, 3)
 	fl.awaitInForce(fl.publish("pools/a", "0"))
-	early := fl.objects.Backup()
+	backup := fl.objects.Backup()
 	newest := fl.publish("pools/a", "1")
 	fl.awaitInForce(newest)
-	fl.objects.Restore(early)
+	fl.objects.Restore(backup)
 
 	watcher := fl.hosts[fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)[0]]
 	g.Eventually(watcher.follower.Err, 5*time.Second).Should(MatchError(ErrPlatformBehind))
-	p := publisher(fl.objects, 1)
+	p := newPublisher(fl.objects, 1)
 	g.Eventually(func() error {
 		_, err := p.Apply(context.Background(), putRow("bo", "pools/b", "1", 0))
 		return err
@@ -219,10 +223,10 @@
 	g.Expect(watcher.follower.Err()).NotTo(HaveOccurred())
 }
 
-// A peer offers another content under the number in force, which a restored
-// platform can have accepted. The host keeps its own and says so; the next
-// number ends the disagreement.
-func TestOneNumberWithTwoContentsIsSaid(t *testing.T) {
+// A peer offers other content under the number of the release in force, which a
+// restored platform can have accepted. The host keeps its own release and
+// reports a fault; the next release ends it.
+func TestHashMismatchIsReported(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
 	fl.start(t, 1, 2)
@@ -237,9 +241,10 @@
 	g.Expect(h.follower.Err()).NotTo(HaveOccurred())
 }
 
-// A change of one row in large tables costs a peer the row, not the tables; a
-// peer without the base gets all rows, and a wrong base is found by the hash.
-func TestTransferCarriesRowsChanged(t *testing.T) {
+// After a change of one row in large tables a response carries that row and not
+// the tables. A peer without the base gets all rows, and a wrong base is
+// detected by the hash.
+func TestFetchResponseCarriesChangedRows(t *testing.T) {
 	g := NewWithT(t)
 	base := newTables(200, 1)
 	next := Release{Number: 2, Rows: append([]Row(nil), base.Rows...)}
--- a/process/release/fleet_test.go
+++ b/process/release/fleet_test.go
@@ -20,32 +20,33 @@
 	"bilberrydale/process/peer/peertest"
 )
 
-// fleet is a platform and the followers of several entry hosts in process.
+// fleet is a platform and the followers and distributors of several entry hosts
+// in one process.
 type fleet struct {
 	g              *WithT
 	objects        *standin.Objects
 	net            *peertest.Network
 	hosts          map[string]*fleetHost
 	mu             sync.Mutex
-	staleMembers   []peer.Identity // killed hosts that the membership lists as alive
+	staleMembers   []peer.Identity // killed hosts that the membership still lists as alive
 	onChange       []func()
 	syncInterval   time.Duration
 	opts           FollowerOptions // of every host
 	watcherTimeout time.Duration
-	oneWayDelay    func(from, to string) time.Duration // one way between domains; nil: none
+	oneWayDelay    func(from, to string) time.Duration // between two domains, or to the platform (to ""); nil: none
 }
 
 type fleetHost struct {
 	follower    *Follower
 	distributor *Distributor
 	link        *platformLink
-	activatedAt sync.Map // release number -> time of the switch
+	activatedAt sync.Map // time of activation by release number
 	domain      string
 	stop        func()
 }
 
-// line is one host's connection to the platform; it can be cut, which also
-// fails calls under way.
+// platformLink is the connection of one host to the platform. fail interrupts
+// it, including calls in flight; restore ends that.
 type platformLink struct {
 	objectapi.Store
 	watches atomic.Int64
@@ -103,7 +104,8 @@
 	}
 }
 
-// delayedLink adds the way between domains to each call.
+// delayedLink adds the one-way delay between two domains to the request and the
+// response of each call.
 type delayedLink struct {
 	*peertest.Link
 	delay func(from, to string) time.Duration
@@ -117,7 +119,8 @@
 	return l.Link.Call(ctx, host, m, in, out)
 }
 
-// fleetView is a host's membership: everybody on the network, and the ghosts.
+// fleetView is the membership view of a host: all hosts on the network and the
+// stale members.
 type fleetView struct {
 	fl   *fleet
 	link *peertest.Link
@@ -151,7 +154,8 @@
 	}
 }
 
-// settle waits until all have joined and only the chosen of each domain watch.
+// awaitWatchers waits until all hosts have joined and only the elected hosts of
+// each domain watch the platform.
 func (fl *fleet) awaitWatchers(domains int) {
 	fl.g.THelper()
 	fl.g.Eventually(func() int {
@@ -182,6 +186,7 @@
 	fl.awaitWatchers(domains)
 }
 
+// startHost runs one host that reaches the platform over l.
 func (fl *fleet) startHost(t testing.TB, name, domain string, l *platformLink) *fleetHost {
 	h := &fleetHost{link: l, domain: domain}
 	link := fl.net.Join(peer.Identity{Host: name, Domain: domain})
@@ -191,12 +196,12 @@
 		return func() { h.activatedAt.Store(r.Number, time.Now()) }, nil
 	}
 	h.follower = NewFollower(opts)
-	var over peer.Link = link
+	var peerLink peer.Link = link
 	if fl.oneWayDelay != nil {
 		l.delay = fl.oneWayDelay(domain, "")
-		over = delayedLink{link, fl.oneWayDelay}
+		peerLink = delayedLink{link, fl.oneWayDelay}
 	}
-	h.distributor = NewDistributor(DistributorOptions{Follower: h.follower, Link: over, View: fleetView{fl, link}, SyncInterval: fl.syncInterval, WatcherTimeout: fl.watcherTimeout})
+	h.distributor = NewDistributor(DistributorOptions{Follower: h.follower, Link: peerLink, View: fleetView{fl, link}, SyncInterval: fl.syncInterval, WatcherTimeout: fl.watcherTimeout})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() { defer close(done); _ = h.distributor.Run(ctx) }()
@@ -207,12 +212,13 @@
 	return h
 }
 
-// kill stops a host as by SIGKILL; known says whether the membership learns it.
-func (fl *fleet) kill(name string, known bool) {
+// kill stops a host abruptly, as SIGKILL does. membershipUpdated says whether
+// the membership drops the host.
+func (fl *fleet) kill(name string, membershipUpdated bool) {
 	fl.net.Leave(name)
 	fl.hosts[name].stop()
 	fl.mu.Lock()
-	if !known {
+	if !membershipUpdated {
 		fl.staleMembers = append(fl.staleMembers, peer.Identity{Host: name, Domain: fl.hosts[name].domain})
 	}
 	fl.mu.Unlock()
@@ -229,16 +235,16 @@
 	return out
 }
 
-// publish accepts a release that changes one row.
+// publish accepts a release that sets one row.
 func (fl *fleet) publish(key, text string) Release {
 	fl.g.THelper()
-	p := publisher(fl.objects, 1)
+	p := newPublisher(fl.objects, 1)
 	head := mustSucceed(fl.g)(latestRelease(context.Background(), fl.objects))
 	row, _ := head.Row(key)
 	return mustSucceed(fl.g)(p.Apply(context.Background(), putRow("ada", key, text, row.Version)))
 }
 
-// inForce waits until every host has rel in force.
+// awaitInForce waits until every host has rel in force.
 func (fl *fleet) awaitInForce(rel Release) {
 	fl.g.THelper()
 	for _, name := range fl.hostNames() {
--- a/process/release/follower.go
+++ b/process/release/follower.go
@@ -12,13 +12,14 @@
 	"bilberrydale/process/objectapi"
 )
 
-// Compile checks and builds a release and returns the function that puts it in
-// force. It is called with rising numbers, or again with the one in force (see
-// Recompile), by one goroutine at a time. An error leaves the earlier release in
-// force.
+// Compile checks and builds a release and returns the function that activates
+// it, that is, puts it in force on this host. It is called with rising numbers,
+// or again with the release in force (see Recompile), never concurrently. If it
+// returns an error, the earlier release stays in force.
 type Compile func(Release) (activate func(), err error)
 
-// FollowerOptions configure a Follower; zero values get defaults.
+// FollowerOptions configure a Follower. Zero durations get the default unless
+// stated otherwise.
 type FollowerOptions struct {
 	Host    string // name of this entry host
 	Store   objectapi.Store
@@ -26,57 +27,63 @@
 	Rand    clock.Rand
 	Compile Compile
 
-	// Hold is the time between the acceptance of a release, estimated from the
-	// delays of messages, and the switch to it, in which it spreads to the others
-	// (prepare-then-switch).
-	// 0: switch on arrival. A host that learns of it later switches at once.
+	// ActivationDelay is the time from the acceptance of a release, estimated
+	// from message delays, to its activation. Meanwhile the release spreads to
+	// the other hosts, so that all activate it at about the same time. A host
+	// that receives it later activates it at once. 0: activate on arrival.
 	ActivationDelay time.Duration
-	// WatchWait is how long one watch of the platform waits; default 20 s.
+	// WatchTimeout is how long one watch call on the platform waits for a
+	// change; default 20 s.
 	WatchTimeout time.Duration
-	// CheckEvery is the period of the reads that back the watch up; default 5 s.
+	// PollInterval is the mean interval of the polls that back up the watch;
+	// default 5 s.
 	PollInterval time.Duration
 }
 
-// DefaultHold is the time in which a release spreads before the switch.
+// DefaultActivationDelay is the default ActivationDelay of entry hosts.
 const DefaultActivationDelay = 100 * time.Millisecond
 
 const (
 	defaultWatchTimeout = 20 * time.Second
 	defaultPollInterval = 5 * time.Second
-	// recentReleases is how many releases a host keeps to tell peers the rows
-	// changed since the one they have.
+	// maxRecentlyPrepared is the number of releases kept to send peers only the
+	// rows changed since the release that they have.
 	maxRecentlyPrepared = 8
 )
 
-// Follower keeps an entry host on the newest release that it has seen from any
-// source. Offer may be called by the platform watch and by peers alike.
+// Follower keeps an entry host on the newest release that it has received from
+// any source. Its methods are safe for concurrent use except OnPrepared; both
+// the platform watch and peers call Offer.
 type Follower struct {
 	opts             FollowerOptions
-	activationSignal chan struct{} // a release waits for its switch
+	activationSignal chan struct{} // a release is pending
 
-	newest atomic.Pointer[PreparedRelease] // newest prepared, read without the lock
+	newest atomic.Pointer[PreparedRelease] // newest prepared release, read without mu
 
 	mu                sync.Mutex
 	current           Release
-	activationPaused  bool               // nothing is put in force yet: see close
-	pending           *PreparedRelease   // prepared, not yet in force
-	activatePending   func()             // puts next in force
+	activationPaused  bool               // see pauseActivation
+	pending           *PreparedRelease   // prepared, not yet active
+	activatePending   func()             // activates pending
 	recentlyPrepared  []*PreparedRelease // newest last
 	failedCompile     Ref                // newest release that did not compile
-	faults            faultSet           // what operators have to know
+	faults            faultSet           // reported to operators
 	platform          platformState
 	preparedCallbacks []func(*PreparedRelease)
 }
 
-// Held is a release that is prepared on this host.
+// PreparedRelease is a release that compiled on this host.
 type PreparedRelease struct {
 	Release
-	// Origin is when the release was accepted, on this host's clock, estimated
-	// from the delays of the messages that brought it.
+	// AcceptedAt is when the publisher accepted the release, on the clock of
+	// this host, estimated from the delays of the messages that carried it. A
+	// release that replaces a pending one takes over its AcceptedAt if that is
+	// earlier.
 	AcceptedAt time.Time
 }
 
-// NewFollower returns a follower of the platform's head object.
+// NewFollower returns a follower of the head object on the platform. It
+// activates releases with a delay only while RunActivation runs.
 func NewFollower(opts FollowerOptions) *Follower {
 	if opts.WatchTimeout <= 0 {
 		opts.WatchTimeout = defaultWatchTimeout
@@ -87,8 +94,9 @@
 	return &Follower{opts: opts, activationSignal: make(chan struct{}, 1)}
 }
 
-// OnPrepared registers f, which is called after a release was prepared here,
-// outside the follower's lock. It is called before the follower runs.
+// OnPrepared registers fn, which is called with each release after it was
+// prepared, without holding the lock of the follower. It must be called before
+// the follower receives releases.
 func (f *Follower) OnPrepared(fn func(*PreparedRelease)) {
 	f.preparedCallbacks = append(f.preparedCallbacks, fn)
 }
@@ -100,12 +108,12 @@
 	return f.current, f.current.Number > 0
 }
 
-// Newest returns the newest release prepared here, in force or about to be, or
-// nil. What engines have to load is read from it, before it is in force.
+// Newest returns the newest prepared release, active or pending, or nil.
+// Engines load what it requires before it is in force.
 func (f *Follower) Newest() *PreparedRelease { return f.newest.Load() }
 
-// Summary returns number and hash of the newest release prepared here, for
-// heartbeats. It takes no lock.
+// Summary returns number and hash of the newest prepared release for
+// heartbeats; both are zero if there is none. It takes no lock.
 func (f *Follower) Summary() (number uint64, hash string) {
 	if newest := f.newest.Load(); newest != nil {
 		return newest.Number, newest.Hash
@@ -113,13 +121,15 @@
 	return 0, ""
 }
 
-// Wants reports whether a release with this number and hash should be fetched.
-// A number that is in force here with another hash is a fault that operators
-// are told of: see faultDiverged.
+// Needs reports whether the release with this number and hash should be
+// fetched: its number is higher than that of every prepared release, and it has
+// not failed to compile here. If the newest release here has the same number
+// and another hash, Needs records a fault for operators (see
+// faultHashMismatch). source names the sender in that fault.
 func (f *Follower) Needs(number uint64, hash, source string) bool {
 	newest, newestHash := f.Summary()
 	if number == newest && number > 0 && hash != newestHash {
-		f.setFault(faultHashMismatch, fmt.Errorf("%s has release %d with hash %s, here it is in force with hash %s; accept a new release or recover",
+		f.setFault(faultHashMismatch, fmt.Errorf("%s has release %d with hash %s, but this host has it with hash %s; accept a new release or recover",
 			source, number, hash, newestHash))
 	}
 	if number <= newest {
@@ -130,10 +140,12 @@
 	return number != f.failedCompile.Number || hash != f.failedCompile.Hash
 }
 
-// Offer prepares rel if its number is above all that this host has, and puts it
-// in force when its time has come. A stale read of the platform or a late peer
-// offers a lower number: it is ignored, so that an accepted configuration never
-// reverts on this host. age is the time since rel was accepted.
+// Offer prepares rel if its number is higher than that of every release
+// prepared here, and activates it once its activation delay has passed. A stale
+// read of the platform or a late peer offers a lower number; it is ignored, so
+// that an accepted configuration never reverts on this host. age is the time
+// since rel was accepted; source names the sender. Offer returns ErrCorrupt if
+// the hash does not match, or the error of Compile.
 func (f *Follower) Offer(rel Release, age time.Duration, source string) error {
 	if !f.Needs(rel.Number, rel.Hash, source) {
 		return nil
@@ -148,11 +160,13 @@
 	return nil
 }
 
+// prepare compiles rel and makes it pending, or activates it if it is due. It
+// returns nil if rel is not newer than the newest prepared release.
 func (f *Follower) prepare(rel Release, age time.Duration) (*PreparedRelease, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if newest, _ := f.Summary(); rel.Number <= newest {
-		return nil, nil // another source was faster
+		return nil, nil // received from another source in the meantime
 	}
 	if err := rel.Verify(); err != nil {
 		return nil, err
@@ -174,7 +188,8 @@
 		f.recentlyPrepared = f.recentlyPrepared[1:]
 	}
 	if f.pending != nil && f.pending.AcceptedAt.Before(prepared.AcceptedAt) {
-		// A stream of releases must not put the switch off again and again.
+		// Keep the earlier activation time: a steady stream of releases must not
+		// postpone the activation forever.
 		prepared.AcceptedAt = f.pending.AcceptedAt
 	}
 	f.pending, f.activatePending = prepared, activate
@@ -187,16 +202,18 @@
 	return prepared, nil
 }
 
-// checkLineage tells operators when the new release was not built on the one
-// that it replaces, as after the restore of the platform: edits are lost.
+// checkLineage records a fault if rel was not built on the release that it
+// replaces, as after a restore of the platform; edits are lost then. Called
+// with the lock held.
 func (f *Follower) checkLineage(rel Release) {
 	newest, hash := f.Summary()
 	if newest == 0 || rel.PreviousHash == "" || rel.Number != newest+1 || rel.PreviousHash == hash {
 		return
 	}
-	f.faults.set(faultLineageBroken, fmt.Errorf("release %d was not built on release %d (hash %s), which was in force here", rel.Number, newest, hash))
+	f.faults.set(faultLineageBroken, fmt.Errorf("release %d was not built on release %d (hash %s) of this host", rel.Number, newest, hash))
 }
 
+// signalActivation makes RunActivation check the pending release again.
 func (f *Follower) signalActivation() {
 	select {
 	case f.activationSignal <- struct{}{}:
@@ -204,16 +221,18 @@
 	}
 }
 
-// close keeps releases from being put in force until open. A host that starts
-// would otherwise serve what a stale platform answers first, and its callers may
-// have seen a later release from the host before it.
+// pauseActivation prevents activations until resumeActivation. Otherwise a host
+// that starts could serve an early response of a stale platform, although its
+// callers have already seen a later release from the previous process of this
+// host.
 func (f *Follower) pauseActivation() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.activationPaused = true
 }
 
-// open ends close: the newest release seen so far is put in force at once.
+// resumeActivation ends pauseActivation and activates the newest release
+// received so far if it is due.
 func (f *Follower) resumeActivation() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -223,24 +242,27 @@
 	}
 }
 
-// due reports whether next may be put in force; the first release of a host has
-// nothing to wait for. Called with the lock held.
+// activationDue reports whether the pending release may be activated now. The
+// first release of a host is not delayed. Called with the lock held and a
+// release pending.
 func (f *Follower) activationDue() bool {
 	return !f.activationPaused && (f.current.Number == 0 || f.untilActivation() <= 0)
 }
 
-// untilDue returns the time until next may be put in force. Called with the
-// lock held.
+// untilActivation returns the time until the pending release is due; at most 0
+// if it is due. Called with the lock held.
 func (f *Follower) untilActivation() time.Duration {
 	return f.opts.ActivationDelay - f.opts.Clock.Now().Sub(f.pending.AcceptedAt)
 }
 
+// activateNow activates the pending release. Called with the lock held.
 func (f *Follower) activateNow() {
 	f.activatePending()
 	f.current, f.pending, f.activatePending = f.pending.Release, nil, nil
 }
 
-// Switch puts prepared releases in force when they are due, until ctx ends.
+// RunActivation activates prepared releases when they are due, until ctx ends.
+// It always returns nil.
 func (f *Follower) RunActivation(ctx context.Context) error {
 	for {
 		var timer <-chan time.Time
@@ -261,10 +283,10 @@
 	}
 }
 
-// Recompile compiles the release in force again and puts the result in force,
-// for what the compiled form takes from outside the release. It does nothing
-// while a newer one waits for its switch: what the earlier one takes would be
-// the last that Compile has seen, and the newer one would keep its first result.
+// Recompile compiles the release in force again and activates the result, for
+// inputs of Compile from outside the release. It does nothing while a newer
+// release is pending: the earlier one would be the last that Compile was called
+// with, and the newer one would keep the result of its first compilation.
 func (f *Follower) Recompile() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -273,13 +295,14 @@
 	}
 	activate, err := f.opts.Compile(f.current)
 	if err != nil {
-		return fmt.Errorf("compile release %d again: %w", f.current.Number, err)
+		return fmt.Errorf("recompile release %d: %w", f.current.Number, err)
 	}
 	activate()
 	return nil
 }
 
-// remembered returns the release if this host held it lately, or nil.
+// recentRelease returns the given release if this host prepared it recently, or
+// nil.
 func (f *Follower) recentRelease(number uint64, hash string) *PreparedRelease {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -291,8 +314,8 @@
 	return nil
 }
 
-// LastError returns what keeps this host from the newest release or what an
-// operator has to mend, or nil.
+// Err returns the joined active faults: what keeps this host from the newest
+// release or requires an operator. It returns nil if there are none.
 func (f *Follower) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/release/follower_test.go
+++ b/process/release/follower_test.go
@@ -18,7 +18,8 @@
 	"bilberrydale/process/objectapi"
 )
 
-// TestMain fixes the seed of the property tests: every run takes the same path.
+// TestMain fixes the seed of the property tests, so that every run is
+// identical.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "20261203")
@@ -33,38 +34,38 @@
 	return rel
 }
 
-// Hosts get a release at different times and switch at the same time, so that
-// requests do not meet two configurations for the time of the spreading. A host
-// that gets it late switches at once, and a stream of releases does not put the
-// switch off for ever.
-func TestPrepareThenSwitch(t *testing.T) {
+// Hosts receive a release at different times and activate it at the same time,
+// so that requests do not meet two configurations while it spreads. A host that
+// receives it late activates it at once, and a stream of releases does not
+// postpone the activation forever.
+func TestActivationIsDelayedAfterPrepare(t *testing.T) {
 	g := NewWithT(t)
-	now := clock.NewManual(time.Unix(1000, 0))
+	manualClock := clock.NewManual(time.Unix(1000, 0))
 	var inForce atomic.Uint64
 	f := NewFollower(FollowerOptions{
-		Clock: now, Rand: clock.NewSeeded(1), ActivationDelay: 100 * time.Millisecond,
+		Clock: manualClock, Rand: clock.NewSeeded(1), ActivationDelay: 100 * time.Millisecond,
 		Compile: func(r Release) (func(), error) { return func() { inForce.Store(r.Number) }, nil },
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = f.RunActivation(ctx) }()
 	g.Expect(f.Offer(newRelease(1, "a"), 0, "x")).To(Succeed())
-	g.Expect(inForce.Load()).To(BeEquivalentTo(1), "the first one has nothing to wait for")
+	g.Expect(inForce.Load()).To(BeEquivalentTo(1), "the first release is not delayed")
 
 	g.Expect(f.Offer(newRelease(2, "b"), 30*time.Millisecond, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(1))
-	g.Eventually(now.Waiters).Should(BeNumerically(">=", 1))
-	now.Advance(60 * time.Millisecond)
+	g.Eventually(manualClock.Waiters).Should(BeNumerically(">=", 1))
+	manualClock.Advance(60 * time.Millisecond)
 	g.Expect(f.Offer(newRelease(3, "c"), 0, "x")).To(Succeed())
-	now.Advance(10 * time.Millisecond)
-	g.Eventually(inForce.Load).Should(BeEquivalentTo(3), "with the switch of 2")
+	manualClock.Advance(10 * time.Millisecond)
+	g.Eventually(inForce.Load).Should(BeEquivalentTo(3), "activated when release 2 was due")
 
 	g.Expect(f.Offer(newRelease(4, "d"), 200*time.Millisecond, "x")).To(Succeed())
 	g.Expect(inForce.Load()).To(BeEquivalentTo(4))
 }
 
-// A release that does not compile here leaves the earlier one in force, is said,
-// and is not fetched again and again.
+// A release that does not compile leaves the earlier one in force, is reported
+// as a fault, and is not fetched again.
 func TestReleaseThatDoesNotCompile(t *testing.T) {
 	g := NewWithT(t)
 	f := NewFollower(FollowerOptions{Clock: clock.System{}, Compile: func(r Release) (func(), error) {
@@ -84,10 +85,10 @@
 	g.Expect(f.Err()).NotTo(HaveOccurred())
 }
 
-// The release in force is compiled again, as when a model has been loaded, while
-// a newer one waits for its switch. What was compiled last has to be the newer
-// one: the entry host takes from it whether some model is still awaited.
-func TestRecompileLeavesTheNewerReleaseLast(t *testing.T) {
+// The release in force is recompiled, as after a model was loaded, while a
+// newer one is pending. The last compilation must be that of the newer release:
+// the entry host derives from it whether it still waits for a model.
+func TestRecompileIsSkippedWhileANewerReleaseIsPending(t *testing.T) {
 	g := NewWithT(t)
 	var compiled []uint64
 	f := NewFollower(FollowerOptions{Clock: clock.NewManual(time.Unix(1000, 0)), ActivationDelay: time.Second, Compile: func(r Release) (func(), error) {
@@ -101,37 +102,39 @@
 	g.Expect(compiled).To(Equal([]uint64{1, 1, 2}))
 }
 
-// Operators edit rows from versions that they read some time ago, answers are
-// lost, the platform answers stale, hosts read, pass releases on in any order
-// and restart. The platform's rows are at every time what a plain map says, and
-// no host ever goes back.
-func TestReleasesAgainstAPlainModel(t *testing.T) {
+// Operators edit rows from versions that they read earlier, responses are lost,
+// the platform returns stale heads, and hosts read the head, get releases from
+// peers in any order and restart. The rows on the platform always equal those
+// of a plain map, and no host goes back to an earlier release.
+func TestReleasesAgainstReferenceModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newReferenceModel()
 		t.Repeat(map[string]func(*rapid.T){
-			"edit":    m.edit,
-			"read":    m.read,
+			"edit":    m.editRow,
+			"read":    m.readHead,
 			"pass on": m.offerPublished,
-			"restart": m.restart,
-			"":        m.check,
+			"restart": m.restartHost,
+			"":        m.checkInvariants,
 		})
 	})
 }
 
+// referenceModel runs random operations on the platform and hosts and keeps the
+// expected rows in maps.
 type referenceModel struct {
 	objects      *standin.Objects
 	stale        *staleStore
 	p            *Publisher
-	rows         map[string]string // what must be on the platform
+	rows         map[string]string // expected on the platform
 	versions     map[string]uint64
-	readVersions []map[string]uint64 // what operators read earlier
+	readVersions []map[string]uint64 // row versions that operators read earlier
 	hosts        []*Follower
 	highest      []uint64
 	published    []Release
 	heads        []objectapi.Object
 }
 
-// lagging is the platform with a head as it was some time ago.
+// staleStore is a store that returns an earlier head if one is set.
 type staleStore struct {
 	objectapi.Store
 	head objectapi.Object
@@ -147,7 +150,7 @@
 func newReferenceModel() *referenceModel {
 	m := &referenceModel{objects: standin.New(), rows: map[string]string{}, versions: map[string]uint64{}, readVersions: []map[string]uint64{{}}}
 	m.stale = &staleStore{Store: m.objects}
-	m.p = publisher(m.objects, 1)
+	m.p = newPublisher(m.objects, 1)
 	m.p.Validate = func([]Row) error { return nil }
 	for range 3 {
 		m.hosts, m.highest = append(m.hosts, m.follower()), append(m.highest, 0)
@@ -162,7 +165,9 @@
 	})
 }
 
-func (m *referenceModel) edit(t *rapid.T) {
+// editRow applies an edit made from versions read earlier, with lost write
+// responses, and checks whether it should be accepted.
+func (m *referenceModel) editRow(t *rapid.T) {
 	m.objects.SetFaults(standin.Faults{LoseWrites: rapid.IntRange(0, 5).Draw(t, "lose")})
 	defer m.objects.SetFaults(standin.Faults{})
 	key := rapid.SampledFrom([]string{"pools/a", "pools/b", "routes/c"}).Draw(t, "key")
@@ -172,21 +177,22 @@
 		set = deleteRow("op", key, base)
 	}
 	want := string(set.Changes[0].Data)
-	same := m.rows[key] == want
+	unchanged := m.rows[key] == want
 	rel, err := m.p.Apply(context.Background(), set)
-	if same || base == m.versions[key] {
+	if unchanged || base == m.versions[key] {
 		if err != nil {
 			t.Fatalf("edit of %s from version %d refused: %v", key, base, err)
 		}
-		if !same {
-			m.accept(key, want, rel)
+		if !unchanged {
+			m.recordAccepted(key, want, rel)
 		}
 	} else if !errors.Is(err, ErrRowConflict) {
 		t.Fatalf("edit of %s from version %d, now %d: %v", key, base, m.versions[key], err)
 	}
 }
 
-func (m *referenceModel) accept(key, want string, rel Release) {
+// recordAccepted updates the expected rows after an accepted edit.
+func (m *referenceModel) recordAccepted(key, want string, rel Release) {
 	m.rows[key], m.versions[key] = want, rel.Number
 	if want == "" {
 		delete(m.rows, key)
@@ -205,23 +211,26 @@
 	return rapid.IntRange(0, len(m.hosts)-1).Draw(t, "host")
 }
 
-// read lets a host read the head, as it is or as it was.
-func (m *referenceModel) read(t *rapid.T) {
+// readHead lets a host read the head; from the first accepted release on, a
+// random accepted one.
+func (m *referenceModel) readHead(t *rapid.T) {
 	if len(m.heads) > 0 {
 		m.stale.head = rapid.SampledFrom(m.heads).Draw(t, "head")
 	}
 	_, _ = m.hosts[m.drawHost(t)].readHead(context.Background())
 }
 
-// passOn offers any earlier release to a host, as late peers do.
+// offerPublished offers a random accepted release to a host, as a late peer
+// does.
 func (m *referenceModel) offerPublished(t *rapid.T) {
 	if len(m.published) > 0 {
 		_ = m.hosts[m.drawHost(t)].Offer(rapid.SampledFrom(m.published).Draw(t, "past"), 0, "a peer")
 	}
 }
 
-// restart replaces a host; it learns from another as join does.
-func (m *referenceModel) restart(t *rapid.T) {
+// restartHost replaces a host by a new one, which gets the releases of the
+// others as in initialSync.
+func (m *referenceModel) restartHost(t *rapid.T) {
 	i := m.drawHost(t)
 	m.hosts[i] = m.follower()
 	_, _ = m.hosts[i].readHead(context.Background())
@@ -233,7 +242,9 @@
 	m.highest[i], _ = m.hosts[i].Summary()
 }
 
-func (m *referenceModel) check(t *rapid.T) {
+// checkInvariants checks that no host went back and that the platform has the
+// expected rows.
+func (m *referenceModel) checkInvariants(t *rapid.T) {
 	for i, f := range m.hosts {
 		cur, _ := f.Current()
 		if cur.Number < m.highest[i] {
--- a/process/release/highwater.go
+++ b/process/release/highwater.go
@@ -11,30 +11,35 @@
 	"bilberrydale/process/objectapi"
 )
 
-// Floor is what entry hosts report when they have a release in force that the
-// platform's head does not know: its state was restored from an earlier one.
+// HighWaterMark is the highest release that an entry host had in force when it
+// found the platform's head to be lower or different, as after a restore of the
+// platform to an earlier state. Followers store it on the platform, where
+// publishers check it.
 type HighWaterMark struct {
-	Number uint64 `json:"number"` // highest release in force on a host
+	Number uint64 `json:"number"` // highest release on a host
 	Hash   string `json:"hash"`
 	Host   string `json:"host"`
 }
 
+// readHighWaterMark returns the stored mark and the version of its object; both
+// are zero if there is none.
 func readHighWaterMark(ctx context.Context, store objectapi.Store) (HighWaterMark, uint64, error) {
 	obj, err := store.Get(ctx, HighWaterMarkKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
 		return HighWaterMark{}, 0, nil
 	}
 	if err != nil {
-		return HighWaterMark{}, 0, fmt.Errorf("read floor: %w", err)
+		return HighWaterMark{}, 0, fmt.Errorf("read high-water mark: %w", err)
 	}
 	var mark HighWaterMark
 	if err := json.Unmarshal(obj.Value, &mark); err != nil {
-		return HighWaterMark{}, 0, fmt.Errorf("decode floor: %w", err)
+		return HighWaterMark{}, 0, fmt.Errorf("decode high-water mark: %w", err)
 	}
 	return mark, obj.Version, nil
 }
 
-// raiseFloor records f unless a floor at least as high is there.
+// raiseHighWaterMark stores mark unless the stored one is at least as high. It
+// returns objectapi.ErrConflict if another host wrote in between.
 func raiseHighWaterMark(ctx context.Context, store objectapi.Store, mark HighWaterMark) error {
 	current, version, err := readHighWaterMark(ctx, store)
 	if err != nil || current.Number >= mark.Number {
@@ -42,30 +47,33 @@
 	}
 	data, err := json.Marshal(mark)
 	if err != nil {
-		return fmt.Errorf("encode floor: %w", err)
+		return fmt.Errorf("encode high-water mark: %w", err)
 	}
 	_, err = store.Put(ctx, HighWaterMarkKey, data, version)
 	return err
 }
 
-// checkFloor refuses to accept on top of a restored platform: the new release
-// would get a number that entry hosts have seen with other content, and they
-// would either ignore it or disagree with each other.
+// checkHighWaterMark returns ErrPlatformBehind if the platform was restored to
+// a state before the high-water mark. A new release would get a number that
+// entry hosts already have with other content; they would either ignore it or
+// disagree with each other.
 func (p *Publisher) checkHighWaterMark(ctx context.Context, head Head) error {
 	mark, _, err := readHighWaterMark(ctx, p.store())
 	if err != nil {
 		return err
 	}
 	if head.Number < mark.Number || (head.Number == mark.Number && head.Hash != mark.Hash) {
-		return fmt.Errorf("%w: head is release %d, host %s has release %d (hash %s) in force; recover from its tables first",
+		return fmt.Errorf("%w: head is release %d, but host %s has release %d (hash %s) in force; recover from its tables first",
 			ErrPlatformBehind, head.Number, mark.Host, mark.Number, mark.Hash)
 	}
 	return nil
 }
 
-// Recover mends a restored platform: it accepts the rows of rel, as an entry
-// host shows them, under a number above the head's and every number that hosts
-// reported. An operator calls it after choosing which content is right.
+// Recover repairs a platform that was restored to an earlier state. It accepts
+// the rows of rel, as an entry host returns them, under a number above the
+// head, the high-water mark and rel. An operator calls it after deciding which
+// content is right. It returns ErrCorrupt or ErrInvalid if rel does not verify
+// or validate.
 func (p *Publisher) Recover(ctx context.Context, rel Release, author string) (Release, error) {
 	if err := rel.Verify(); err != nil {
 		return Release{}, err
--- a/process/release/history.go
+++ b/process/release/history.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// recentRefs is how many earlier releases a head names. Looking back n
-	// releases costs n/recentRefs reads, and the head stays a few KB.
+	// maxRecentRefs bounds the earlier releases listed in a head. Reading back
+	// n releases takes n/maxRecentRefs reads, and the head stays at a few KB.
 	maxRecentRefs = 32
-	// kept is how many releases stay on the platform for Rollback and for
-	// writers that lost an answer.
+	// retainedReleases is the number of releases retained on the platform for
+	// Rollback and for publishers that lost the response to a write.
 	retainedReleases = 500
 )
 
@@ -32,8 +32,8 @@
 	return h, nil
 }
 
-// readHead returns the head and its object; both are zero before the first
-// release.
+// readHead returns the head and its object. Before the first release the head
+// is zero; the object has version 0 if it does not exist.
 func readHead(ctx context.Context, store objectapi.Store) (Head, objectapi.Object, error) {
 	obj, err := store.Get(ctx, HeadKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -46,6 +46,7 @@
 	return head, obj, err
 }
 
+// readRecord returns the stored head of an earlier release, or ErrNotRetained.
 func readRecord(ctx context.Context, store objectapi.Store, ref Ref) (Head, error) {
 	obj, err := store.Get(ctx, recordKey(ref))
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -57,10 +58,10 @@
 	return decodeHead(obj)
 }
 
-// walk calls f for the releases from head backwards until f returns false or
-// the history ends. Each record names its predecessors, so the chain holds
-// exactly the releases that were accepted; objects of writers that lost the
-// race or died are not on it.
+// walkHistory calls visit for the accepted releases, newest first, starting
+// with head, until visit returns false or the history ends. Each record lists
+// its predecessors, so the walk visits exactly the accepted releases; objects
+// left by publishers that lost the race or died are not reachable.
 func walkHistory(ctx context.Context, store objectapi.Store, head Head, visit func(Ref) bool) error {
 	if head.Number == 0 || !visit(head.Ref()) {
 		return nil
@@ -83,7 +84,8 @@
 	return nil
 }
 
-// find returns the accepted release of the given number.
+// findRelease returns the accepted release with the given number, or
+// ErrNotRetained.
 func findRelease(ctx context.Context, store objectapi.Store, head Head, number uint64) (Ref, error) {
 	var match Ref
 	err := walkHistory(ctx, store, head, func(r Ref) bool {
@@ -98,7 +100,8 @@
 	return match, err
 }
 
-// History returns up to n accepted releases, the newest first, without rows.
+// History returns up to n accepted releases without rows, newest first.
+// Releases that are no longer retained are left out.
 func (p *Publisher) History(ctx context.Context, n int) ([]Ref, error) {
 	head, _, err := readHead(ctx, p.store())
 	if err != nil {
@@ -117,7 +120,8 @@
 	return refs, err
 }
 
-// At returns the accepted release of the given number with its rows.
+// ByNumber returns the accepted release with the given number and its rows. The
+// error is ErrNotRetained if the platform does not have it.
 func (p *Publisher) ByNumber(ctx context.Context, number uint64) (Release, error) {
 	head, _, err := readHead(ctx, p.store())
 	if err != nil {
@@ -142,8 +146,8 @@
 }
 
 // Rollback accepts a new release with the rows of the release of the given
-// number. The numbers rise as always; a row that somebody changes meanwhile is
-// a conflict.
+// number. The new release gets the next number; a row that another author
+// changes in the meantime is a conflict.
 func (p *Publisher) Rollback(ctx context.Context, number uint64, author string) (Release, error) {
 	old, err := p.ByNumber(ctx, number)
 	if err != nil {
@@ -158,7 +162,7 @@
 	return p.Apply(ctx, set)
 }
 
-// Difference returns the changes that turn the rows of from into want.
+// ChangesBetween returns the changes that turn the rows of from into want.
 func ChangesBetween(from Release, want []Row) ChangeSet {
 	var set ChangeSet
 	remaining := make(map[string]Row, len(want))
--- a/process/release/merge.go
+++ b/process/release/merge.go
@@ -7,19 +7,20 @@
 	"strings"
 )
 
-// ConflictError names every row of a change set that somebody else changed.
+// ConflictError lists every row of a change set that has changed since the
+// version that the edit was made from. It matches ErrRowConflict.
 type ConflictError struct{ Rows []RowConflict }
 
-// RowConflict is one conflicting row.
+// RowConflict describes one conflicting row.
 type RowConflict struct {
 	Key            string
 	BaseVersion    uint64 // the version the edit was made from
-	CurrentVersion uint64 // the version now in the head
-	Author         string // who changed it
-	Deleted        bool   // the row is gone
+	CurrentVersion uint64 // the version in the head, or of the deletion
+	Author         string // author of CurrentVersion
+	Deleted        bool   // the row no longer exists
 }
 
-// Error implements error.
+// Error implements error and lists the conflicting rows.
 func (e *ConflictError) Error() string {
 	parts := make([]string, len(e.Rows))
 	for i, c := range e.Rows {
@@ -32,15 +33,15 @@
 	return ErrRowConflict.Error() + ": " + strings.Join(parts, ", ")
 }
 
-// Is lets errors.Is match ErrRowConflict.
+// Is reports whether target is ErrRowConflict.
 func (e *ConflictError) Is(target error) bool { return target == ErrRowConflict }
 
-// removedKept bounds Release.Removed.
+// maxRecentDeletions bounds Release.RecentDeletions.
 const maxRecentDeletions = 64
 
-// Merge applies set to base and returns the rows of the next release. Rows
-// that another author changed since set was made are a *ConflictError; an edit
-// equal to what is already there is no conflict.
+// Merge applies set to base and returns the rows of the next release, sorted by
+// key. It returns a *ConflictError if rows have changed since the versions that
+// set was made from; an edit equal to the current content is no conflict.
 func Merge(base Release, set ChangeSet) ([]Row, error) {
 	d := newDraft(base)
 	if err := d.apply(set); err != nil {
@@ -49,8 +50,8 @@
 	return d.sortedRows(), nil
 }
 
-// draft is the content of the release that follows base while change sets are
-// merged into it.
+// draft is the content of the release after base while change sets are merged
+// into it.
 type draft struct {
 	number    uint64
 	rows      map[string]Row
@@ -68,7 +69,7 @@
 	return d
 }
 
-// apply merges set whole, or changes nothing and returns a *ConflictError.
+// apply merges all of set, or changes nothing and returns a *ConflictError.
 func (d *draft) apply(set ChangeSet) error {
 	var conflicts []RowConflict
 	for _, c := range set.Changes {
@@ -86,6 +87,7 @@
 	return nil
 }
 
+// newConflict describes the conflict of c with the current row or its deletion.
 func (d *draft) newConflict(c Change, current Row, exists bool) RowConflict {
 	if !exists {
 		current = d.deletions[c.Key]
@@ -113,13 +115,14 @@
 
 func (d *draft) sortedRows() []Row { return sortedRows(d.rows) }
 
-// newestRemoved returns the newest deletions, by key.
+// recentDeletions returns the latest deletions, newest first and then by key.
 func (d *draft) recentDeletions() []Row {
 	all := sortedRows(d.deletions)
 	sort.SliceStable(all, func(i, j int) bool { return all[i].Version > all[j].Version })
 	return all[:min(len(all), maxRecentDeletions)]
 }
 
+// sameContent reports whether the row already has the content that c requests.
 func sameContent(current Row, exists bool, c Change) bool {
 	if c.Delete {
 		return !exists
--- a/process/release/notice.go
+++ b/process/release/notice.go
@@ -12,17 +12,20 @@
 )
 
 const (
-	// fanout is how many hosts each host notifies. A release reaches a domain
-	// of n hosts in log_fanout(n) steps, and no host sends more than this.
+	// fanout is the number of hosts that each host notifies. A release reaches
+	// a failure domain of n hosts in log_fanout(n) steps, and no host sends
+	// more notices than this.
 	fanout = 4
-	// pullTries is how many hosts are asked for a release that was noticed.
+	// maxFetchAttempts bounds the hosts tried in turn for a release announced
+	// by a notice.
 	maxFetchAttempts = 6
-	// rootsKept bounds what is remembered of the roots of notices.
+	// maxForwardedRoots bounds the roots whose last forwarded number is kept.
 	maxForwardedRoots = 64
 )
 
-// prepared starts a notice in this host's domain for a release that came from
-// the platform or from another domain. One from this domain has its root there.
+// announcePrepared starts a notice in this failure domain for a release that
+// came from the platform or from another domain. A release from this domain is
+// announced by the host that brought it into the domain.
 func (d *Distributor) announcePrepared(rel *PreparedRelease) {
 	d.mu.Lock()
 	local := d.fetchingLocal[rel.Number]
@@ -34,29 +37,32 @@
 	d.runInBackground(func(ctx context.Context) { d.forward(ctx, n) })
 }
 
-// onNotice fetches the release if it is new here and passes the notice on. The
-// notice is passed on also when the release is known: the tree of another root
-// may have lost a host half-way.
+// onNotice fetches the release if this host needs it, and forwards the notice.
+// It forwards the notice of a known release, too: the tree of another root may
+// have lost a host on the path.
 func (d *Distributor) onNotice(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var n notice
 	if err := msgpack.Unmarshal(payload, &n); err != nil {
-		return nil, fmt.Errorf("decode notice: %w", err)
+		return nil, fmt.Errorf("decode release notice: %w", err)
 	}
 	d.runInBackground(func(ctx context.Context) { d.handleNotice(ctx, from, n) })
 	number, hash := d.follower.Summary()
 	return msgpack.Marshal(&summary{Number: number, Hash: hash, PlatformAgeMillis: d.platformAgeMillis()})
 }
 
+// handleNotice fetches the announced release if needed and forwards the notice
+// unless the fetch failed.
 func (d *Distributor) handleNotice(ctx context.Context, from peer.Identity, n notice) {
 	if d.follower.Needs(n.Number, n.Hash, from.Host) && d.fetchFromAny(ctx, from, n) != nil {
-		return // comparing with peers mends it
+		return // the periodic comparison with peers repairs it
 	}
 	d.forward(ctx, n)
 }
 
-// pullFromAny tries the sender, the root and then random hosts of the domain. A
-// host that gave up at the first lost connection would leave all hosts behind it
-// in the tree to find out by comparing, which takes seconds.
+// fetchFromAny tries the sender, the root and then random hosts of the failure
+// domain. If a host gave up after the first lost connection, all hosts below it
+// in the tree would get the release only by periodic comparison, which takes
+// seconds.
 func (d *Distributor) fetchFromAny(ctx context.Context, from peer.Identity, n notice) error {
 	root := from
 	root.Host = n.Root
@@ -90,7 +96,8 @@
 	}
 }
 
-// forward notifies this host's children in the tree of the notice's root, once.
+// forward sends the notice to the children of this host in the tree of its
+// root, once per root and number.
 func (d *Distributor) forward(ctx context.Context, n notice) {
 	d.mu.Lock()
 	seen := d.forwarded[n.Root] >= n.Number
@@ -113,9 +120,9 @@
 	}
 }
 
-// notify tells the children of the host at position i. Those of a child that
-// does not answer are told directly: a host that died must not cut off the
-// hosts behind it.
+// notifyChildren sends the notice to the children of the host at position i of
+// the tree. If a child does not respond, it sends the notice to the children of
+// that child directly, so that a dead host does not cut off the hosts below it.
 func (d *Distributor) notifyChildren(ctx context.Context, hosts []string, i int, n notice) {
 	var g errgroup.Group
 	for child := fanout*i + 1; child <= fanout*i+fanout && child < len(hosts); child++ {
@@ -132,9 +139,10 @@
 	_ = g.Wait()
 }
 
-// tree lays out the hosts of this domain: root first, the others by rank, so
-// that all hosts with the same view agree on it. Suspected hosts are in it: most
-// are merely slow, and one that is dead is passed over.
+// noticeTree returns the hosts of this failure domain in the order of the
+// notice tree: root first, then the others by rank, so that all hosts with the
+// same membership view agree on it. It includes suspected hosts: most of them
+// are merely slow, and dead ones are skipped by notifyChildren.
 func (d *Distributor) noticeTree(root string) []string {
 	hosts := []string{root}
 	for _, h := range d.rankedHosts(member.Suspect) {
--- a/process/release/publisher.go
+++ b/process/release/publisher.go
@@ -12,17 +12,19 @@
 	"bilberrydale/process/objectapi"
 )
 
-// Validator checks merged rows; it returns an error that names every fault.
+// Validator checks merged rows. Its error should name every invalid row.
 type Validator func(rows []Row) error
 
-// Publisher accepts change sets into the head object. It is used by the
-// operators' command; any number of publishers may race.
+// Publisher accepts change sets as new releases by updating the head object. It
+// is used by the operators' command. Any number of publishers may run
+// concurrently against one platform.
 type Publisher struct {
 	Store    objectapi.Store
 	Validate Validator
 	Clock    clock.Clock
 	Rand     clock.Rand
-	// Attempts bounds the conditional updates tried for one change set.
+	// MaxAttempts bounds the attempts to update the head for one change set;
+	// default 60.
 	MaxAttempts int
 }
 
@@ -32,9 +34,9 @@
 	maxBackoff         = 500 * time.Millisecond
 )
 
-// Head reads the newest accepted release with its rows. The returned version
-// is the head object's, to be given to a conditional update. A platform that
-// has no release yet gives an empty one numbered 0.
+// Head returns the newest accepted release with its rows, and the version of
+// the head object for a conditional update. If the platform has no release yet,
+// it returns an empty release numbered 0.
 func (p *Publisher) Head(ctx context.Context) (Release, uint64, error) {
 	head, obj, err := readHead(ctx, p.store())
 	if err != nil {
@@ -44,23 +46,25 @@
 	return rel, obj.Version, err
 }
 
-// store is the platform, with patience for its call rate.
+// store returns the platform store with retries when its call rate is exceeded.
 func (p *Publisher) store() objectapi.Store {
 	return objectapi.RetryingStore{Store: p.Store, Clock: p.Clock, Rand: p.Rand}
 }
 
-// base is the state that a commit builds on.
+// commitBase is the state that a commit builds on: the head, its object and its
+// release with rows.
 type commitBase struct {
 	head Head
 	obj  objectapi.Object
 	rel  Release
 }
 
-// unchanged reports whether g leaves the rows as they are.
+// unchanged reports whether group leaves the rows as they are.
 func (b commitBase) unchanged(group commitGroup) bool {
 	return b.rel.Number > 0 && HashRows(group.draft.sortedRows()) == b.rel.Hash
 }
 
+// readBase reads the current head as the base of a commit.
 func (p *Publisher) readBase(ctx context.Context) (commitBase, error) {
 	head, obj, err := readHead(ctx, p.store())
 	if err != nil {
@@ -69,7 +73,7 @@
 	return p.loadBase(ctx, head, obj)
 }
 
-// complete reads the rows of head and checks it against the floor.
+// loadBase loads the rows of head and checks it against the high-water mark.
 func (p *Publisher) loadBase(ctx context.Context, head Head, obj objectapi.Object) (commitBase, error) {
 	rel, err := loadRows(ctx, p.store(), head)
 	if err != nil {
@@ -78,10 +82,11 @@
 	return commitBase{head: head, obj: obj, rel: rel}, p.checkHighWaterMark(ctx, head)
 }
 
-// Apply merges set into the newest release and accepts the result, whole. The
-// error is a *ConflictError, ErrInvalid or ErrBehind for a set that was refused
-// (nothing of it is or will be in force), and ErrPending when the platform went
-// away before the outcome was known.
+// Apply merges set into the newest release and accepts the result as a whole.
+// It returns the release that contains the set. A set that was refused returns
+// a *ConflictError, ErrInvalid or ErrPlatformBehind; nothing of it is or will
+// be in force. Apply returns ErrPending if the platform became unavailable
+// before the outcome was known.
 func (p *Publisher) Apply(ctx context.Context, set ChangeSet) (Release, error) {
 	if set.ID == "" {
 		set.ID = uuid.NewString()
@@ -90,7 +95,7 @@
 	if err != nil {
 		return Release{}, err
 	}
-	// A set that is refused alone is refused here, before it costs a write.
+	// Check the set on its own first, so that refusing it needs no write.
 	group := p.mergeSets(base.rel, []ChangeSet{set})
 	if err := group.refused[set.ID]; err != nil {
 		return Release{}, err
@@ -101,6 +106,8 @@
 	return p.commitQueued(ctx, set, base.head.Number)
 }
 
+// readBaseWithRetry repeats readBase until it succeeds or returns
+// ErrPlatformBehind.
 func (p *Publisher) readBaseWithRetry(ctx context.Context) (commitBase, error) {
 	var lastErr error
 	for attempt := range p.maxAttempts() {
@@ -123,11 +130,13 @@
 	return defaultMaxAttempts
 }
 
+// backoffDelay returns a random delay whose bound doubles with each attempt.
 func (p *Publisher) backoffDelay(attempt int) time.Duration {
 	limit := min(initialBackoff<<min(attempt, 7), maxBackoff)
 	return time.Duration(p.Rand.Float64() * float64(limit))
 }
 
+// waitBackoff waits before a repeated attempt; attempt 0 does not wait.
 func (p *Publisher) waitBackoff(ctx context.Context, attempt int) error {
 	if attempt == 0 {
 		return ctx.Err()
@@ -140,14 +149,17 @@
 	}
 }
 
-// resolve decides whether the head write of a release took effect although its
-// answer was lost. Without it the writer would either repeat an accepted change
-// set or report a failure for a release that is in force. The chain of records
-// answers also when the head has moved on, for as long as releases are kept.
+// resolveHeadWrite determines whether the head write of a release took effect
+// although its response was lost. Otherwise the publisher would either repeat
+// an accepted change set or report a failure for a release that is in force. It
+// returns nil if the release was accepted, objectapi.ErrConflict if it was not
+// and never will be, and cause if the outcome remains unknown. The history
+// shows the outcome even when the head has advanced, as long as the release is
+// retained.
 func (p *Publisher) resolveHeadWrite(ctx context.Context, ref Ref, cause error) error {
 	for attempt := range p.maxAttempts() {
 		if err := p.waitBackoff(ctx, attempt); err != nil {
-			return fmt.Errorf("%w (reading back: %w)", cause, err)
+			return fmt.Errorf("%w (reading back the head: %w)", cause, err)
 		}
 		head, obj, err := readHead(ctx, p.store())
 		if err != nil {
@@ -175,9 +187,9 @@
 }
 
 // fence writes the head back unchanged under a new version. A write that is
-// still under way, sent before the fence and built on an earlier version, can
-// then no longer take effect: what was read before the fence is final. nil and
-// ErrConflict both say that the head has a newer version than obj.
+// still in flight, sent before the fence on an earlier version, can then no
+// longer take effect, so what was read before the fence is final. Both nil and
+// ErrConflict mean that the head has a newer version than obj.
 func (p *Publisher) fence(ctx context.Context, obj objectapi.Object) error {
 	if obj.Version == 0 {
 		obj.Value = []byte("{}") // a head that names no release
--- a/process/release/queue.go
+++ b/process/release/queue.go
@@ -12,41 +12,44 @@
 )
 
 const (
-	// queueLife is how long a queued set may wait for its writer. A writer
-	// that died must not have its edit accepted hours later.
+	// queueTTL is how long a change set may stay queued. The edit of a
+	// publisher that died must not be accepted hours later.
 	queueTTL = 30 * time.Second
-	// giveUpTime is how long a writer tries to withdraw its set at the end.
+	// withdrawTimeout bounds the withdrawal of a change set after the last
+	// attempt.
 	withdrawTimeout = 5 * time.Second
-	// groupSize bounds the change sets of one release.
+	// maxGroupSize bounds the change sets of one release.
 	maxGroupSize = 400
-	// headWait is the longest wait for somebody else's commit, in jittered
-	// steps; the first writer to stop waiting commits the whole queue.
+	// maxHeadWait bounds the first wait for another publisher's commit. Waits
+	// are jittered and grow with the attempts; the first publisher to stop
+	// waiting commits the whole queue.
 	maxHeadWait = 40 * time.Millisecond
-	// committers is how many writers are expected to prepare a commit at the
-	// same time, however long the queue is.
+	// expectedCommitters is the number of publishers expected to prepare a
+	// commit at the same time, regardless of the queue length.
 	expectedCommitters = 2
 )
 
-// entry is a queued change set as stored on the platform.
+// queueEntry is a queued change set as stored on the platform.
 type queueEntry struct {
 	Set     ChangeSet `json:"set"`
-	Since   uint64    `json:"since"` // newest release when it was queued
+	Since   uint64    `json:"since"` // number of the newest release when it was queued
 	Expires time.Time `json:"expires"`
 }
 
-// queued is one writer's place in the queue.
+// queuedWriter is the publisher of one queued change set.
 type queuedWriter struct {
 	p     *Publisher
 	set   ChangeSet
 	since uint64
 	key   string
-	// version of the head read last.
+	// headVersion is the version of the head object read last.
 	headVersion uint64
 }
 
-// join queues set and takes part in accepting the queue until the set is
-// accepted or refused. Several hundred writers then need one write each and a
-// few commits together, where single updates would fail against each other.
+// commitQueued queues set and takes part in committing the queue until the set
+// is accepted or refused. Several hundred concurrent publishers then need one
+// write each and a few commits together, where separate conditional updates
+// would fail against each other.
 func (p *Publisher) commitQueued(ctx context.Context, set ChangeSet, sinceRelease uint64) (Release, error) {
 	q := &queuedWriter{p: p, set: set, since: sinceRelease, key: queuePrefix + set.ID}
 	e := queueEntry{Set: set, Since: sinceRelease, Expires: p.Clock.Now().Add(queueTTL)}
@@ -55,7 +58,7 @@
 		return p.commitDirect(ctx, set)
 	}
 	if err != nil {
-		return q.abandon(ctx, fmt.Errorf("queue the change set: %w", err))
+		return q.abandon(ctx, fmt.Errorf("queue change set: %w", err))
 	}
 	var lastErr error
 	for attempt := range p.maxAttempts() {
@@ -64,7 +67,7 @@
 			lastErr = ctx.Err()
 			break
 		}
-		rel, done, err := q.attempt(ctx, attempt)
+		rel, done, err := q.tryCommit(ctx, attempt)
 		if done {
 			return rel, err
 		}
@@ -75,7 +78,7 @@
 	return q.abandon(ctx, lastErr)
 }
 
-// wait ends when the head moves or a random time has passed.
+// awaitHeadChange waits until the head changes or a random time has passed.
 func (q *queuedWriter) awaitHeadChange(ctx context.Context, attempt int) {
 	limit := maxHeadWait * time.Duration(min(attempt+1, 8))
 	wait := time.Duration((0.1 + 0.9*q.p.Rand.Float64()) * float64(limit))
@@ -84,10 +87,11 @@
 	}
 }
 
-// step looks whether the set was accepted and otherwise tries to commit the
-// queue. The head is read before the queue: withdraw depends on that order. Rows
-// are read only by the few writers that prepare a commit.
-func (q *queuedWriter) attempt(ctx context.Context, attempt int) (Release, bool, error) {
+// tryCommit checks whether the set was accepted and otherwise tries to commit the
+// queue. It reports whether the outcome is final. The head is read before the
+// queue; withdraw depends on that order. Rows are read only by the few
+// publishers that prepare a commit.
+func (q *queuedWriter) tryCommit(ctx context.Context, tryCommit int) (Release, bool, error) {
 	head, obj, err := readHead(ctx, q.p.store())
 	if err != nil {
 		return Release{}, false, err
@@ -100,7 +104,7 @@
 	if err != nil {
 		return Release{}, false, err
 	}
-	if q.deferToOthers(len(sets), attempt) {
+	if q.deferToOthers(len(sets), tryCommit) {
 		return Release{}, false, objectapi.ErrConflict
 	}
 	base, err := q.p.loadBase(ctx, head, obj)
@@ -113,6 +117,8 @@
 	return q.commit(ctx, base, sets)
 }
 
+// commit merges sets into base and commits them, or withdraws the own set if it
+// is refused. It reports whether the outcome is final.
 func (q *queuedWriter) commit(ctx context.Context, base commitBase, sets []ChangeSet) (Release, bool, error) {
 	group := q.p.mergeSets(base.rel, sets)
 	if err := group.refused[q.set.ID]; err != nil {
@@ -129,14 +135,15 @@
 	return rel, true, nil
 }
 
-// leaveToOthers draws lots among the writers in the queue, so that a few of them
-// prepare a commit and not all. Each further try makes the draw likelier, so
-// that a queue of dead writers cannot hold a living one up.
+// deferToOthers decides at random whether to leave this commit to others, so
+// that only a few of the queued publishers prepare one. Each further attempt
+// makes deferring less likely, so that entries of dead publishers cannot hold
+// up a live one.
 func (q *queuedWriter) deferToOthers(queueLength, attempt int) bool {
 	return q.p.Rand.Float64()*float64(queueLength) > float64(expectedCommitters*(attempt+1))
 }
 
-// alone accepts a set that is too large for a queue entry.
+// commitDirect commits a set that is too large for a queue entry.
 func (p *Publisher) commitDirect(ctx context.Context, set ChangeSet) (Release, error) {
 	var lastErr error
 	for attempt := range p.maxAttempts() {
@@ -160,10 +167,11 @@
 		}
 		lastErr = err
 	}
-	return Release{}, fmt.Errorf("release not accepted after %d attempts: %w", p.maxAttempts(), lastErr)
+	return Release{}, fmt.Errorf("change set not accepted after %d attempts: %w", p.maxAttempts(), lastErr)
 }
 
-// included looks for the set in the releases since it was queued.
+// findAccepted returns the release that accepted the set since it was queued,
+// and whether there is one.
 func (q *queuedWriter) findAccepted(ctx context.Context, head Head) (Release, bool, error) {
 	accepted, err := q.p.acceptedSince(ctx, head, q.since)
 	if err != nil {
@@ -178,8 +186,8 @@
 	return rel, true, err
 }
 
-// setsSince returns the change sets accepted after release since, with the
-// number that each was accepted in.
+// acceptedSince returns the IDs of the change sets accepted after release
+// sinceRelease, each with the number of its release.
 func (p *Publisher) acceptedSince(ctx context.Context, head Head, sinceRelease uint64) (map[string]uint64, error) {
 	accepted := map[string]uint64{}
 	var refs []Ref
@@ -206,10 +214,11 @@
 	return accepted, nil
 }
 
-// pending returns the queued sets in the order in which they were queued.
-// Expired ones are removed. A set that was accepted already is left out: its
-// writer may have died before removing it, and accepting it again would bring
-// back a row that somebody has deleted since.
+// pendingSets returns the queued sets, the own one first and then in queue
+// order, at most maxGroupSize. It removes expired entries. Sets that were
+// already accepted are left out: their publisher may have died before removing
+// the entry, and accepting it again would restore a row that has been deleted
+// since.
 func (q *queuedWriter) pendingSets(ctx context.Context, head Head) ([]ChangeSet, error) {
 	objs, err := q.p.store().List(ctx, queuePrefix)
 	if err != nil {
@@ -242,12 +251,13 @@
 	return sets, nil
 }
 
-// expired reports whether e is to be dropped: its life is over, or so many
-// releases followed that reading back whether it was accepted costs too much.
+// expired reports whether to drop e: its TTL is over, or so many releases have
+// followed that checking whether it was accepted needs too many reads.
 func (q *queuedWriter) expired(e queueEntry, head Head) bool {
 	return q.p.Clock.Now().After(e.Expires) || e.Since+maxRecentRefs < head.Number
 }
 
+// dequeue removes the queue entry. A failure leaves it to expire.
 func (q *queuedWriter) dequeue(ctx context.Context) {
 	obj, err := q.p.store().Get(ctx, q.key)
 	if err == nil {
@@ -255,10 +265,12 @@
 	}
 }
 
-// withdraw takes the set out of the queue and makes sure that nobody accepts it
-// any more before the refusal is reported. A publisher that listed the queue
-// before the removal built on a head read even earlier; once the head has a
-// newer version its update fails. So: remove, read, fence.
+// withdraw removes the set from the queue and ensures that nobody accepts it
+// any more before reason is reported as the refusal. A publisher that listed
+// the queue before the removal builds on a head read even earlier; once the
+// head has a newer version, its update fails. Hence the order: remove the
+// entry, read the head, fence it. It reports whether the outcome is final; the
+// set may turn out to be accepted.
 func (q *queuedWriter) withdraw(ctx context.Context, reason error) (Release, bool, error) {
 	obj, err := q.p.store().Get(ctx, q.key)
 	if err == nil {
@@ -283,15 +295,16 @@
 	return Release{}, true, reason
 }
 
-// giveUp ends a writer that ran out of attempts or time.
+// abandon withdraws the set of a publisher that ran out of attempts or time. It
+// returns ErrPending if the withdrawal fails.
 func (q *queuedWriter) abandon(ctx context.Context, lastErr error) (Release, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), withdrawTimeout)
 	defer cancel()
-	reason := fmt.Errorf("release not accepted after %d attempts: %w", q.p.maxAttempts(), lastErr)
+	reason := fmt.Errorf("change set not accepted after %d attempts: %w", q.p.maxAttempts(), lastErr)
 	rel, done, err := q.withdraw(ctx, reason)
 	if done {
 		return rel, err
 	}
-	return Release{}, fmt.Errorf("%w: change set %s is queued until %s at the latest: %w (%w)",
+	return Release{}, fmt.Errorf("%w: change set %s stays queued for at most %s: %w (withdrawal: %w)",
 		ErrPending, q.set.ID, queueTTL, reason, err)
 }
--- a/process/release/release.go
+++ b/process/release/release.go
@@ -1,9 +1,10 @@
-// Package release moves releases: numbered, immutable, content-hashed sets of
-// rows that hold both tables together. It treats rows as opaque bytes, so that
-// it can live as long as the process while the typed tables live for one
-// version. Publishing is one conditional update of one head object on the
-// platform; following means that an entry host puts higher numbers in force
-// and never a lower one.
+// Package release publishes and distributes releases: numbered, immutable,
+// content-hashed sets of rows that together make up both tables. Rows are
+// opaque bytes here, so that this code can live as long as the process while
+// the typed tables live for one version. A Publisher accepts a release by one
+// conditional update of a single head object on the platform. A Follower
+// activates releases on an entry host in rising order and never goes back to a
+// lower number. A Distributor passes releases between entry hosts.
 package release
 
 import (
@@ -16,38 +17,44 @@
 	"time"
 )
 
-// Keys on the platform.
+// Object keys and key prefixes on the platform.
 const (
 	HeadKey          = "bilberry/head"
 	HighWaterMarkKey = "bilberry/floor"
 	queuePrefix      = "bilberry/queue/"
 	releasePrefix    = "bilberry/releases/"
-	// maxPart leaves room below objectapi.MaxValueBytes for the JSON around rows.
+	// maxPartBytes bounds the rows of one object. It is below
+	// objectapi.MaxValueBytes to leave space for the JSON around the rows.
 	maxPartBytes = 690 << 10
 )
 
-// Errors of publishing. Use errors.Is.
+// Errors of publishing and following releases; match them with errors.Is.
 var (
-	// ErrRowConflict: a row of the change set was changed by somebody else
-	// since the version it was made from.
+	// ErrRowConflict: a row of the change set has changed since the version
+	// that the edit was made from. The error is a *ConflictError.
 	ErrRowConflict = errors.New("release: row conflict")
-	// ErrInvalid: the merged tables do not hold together.
+	// ErrInvalid: the merged tables do not pass validation.
 	ErrInvalid = errors.New("release: invalid tables")
-	// ErrCorrupt: content read back does not have the hash it was stored under.
+	// ErrCorrupt: the rows do not match the hash of their release.
 	ErrCorrupt = errors.New("release: content does not match its hash")
-	// ErrNotKept: the release is older than the history that is kept.
-	ErrNotRetained = errors.New("release: no longer kept")
-	// ErrBehind: entry hosts have a release in force that the platform does
-	// not know, so it was restored to an earlier state. See Publisher.Recover.
+	// ErrNotRetained: the release is older than the retained history, or the
+	// queried host does not have it.
+	ErrNotRetained = errors.New("release: no longer retained")
+	// ErrPlatformBehind: entry hosts have a release in force that the platform
+	// does not have, because the platform was restored to an earlier state. See
+	// Publisher.Recover.
 	ErrPlatformBehind = errors.New("release: the platform is behind the entry hosts")
-	// ErrNoRelease: a host has started and found no release to serve.
-	ErrNoRelease = errors.New("release: neither the platform nor a peer has given one")
-	// ErrPending: the change set is still queued and may yet be accepted.
+	// ErrNoRelease: the entry host has started and got no release from the
+	// platform or a peer.
+	ErrNoRelease = errors.New("release: no release available from the platform or any peer")
+	// ErrPending: the outcome is not known; the change set is still queued or
+	// its head update may have taken effect, so it can still be accepted.
 	ErrPending = errors.New("release: outcome not known yet")
 )
 
-// Row is one row of one table. Key is "<table>/<name>"; Data is its canonical
-// JSON; Version is the number of the release that last changed it.
+// Row is one row of one table. Key is "<table>/<name>", Data its canonical
+// JSON, Version the number of the release that last changed the row, and Author
+// who changed it.
 type Row struct {
 	Key     string          `json:"key"`
 	Data    json.RawMessage `json:"data"`
@@ -59,33 +66,38 @@
 type Release struct {
 	Number uint64    `json:"number"`
 	ID     string    `json:"id"`   // unique per accepted write
-	Hash   string    `json:"hash"` // of the rows' keys and data
+	Hash   string    `json:"hash"` // HashRows of Rows
 	Author string    `json:"author"`
 	Note   string    `json:"note,omitempty"`
 	Time   time.Time `json:"time"`
-	// Previous is the hash of the release numbered one lower.
+	// PreviousHash is the hash of the release that this one was built on, which
+	// is numbered one lower except after Publisher.Recover.
 	PreviousHash string `json:"previous,omitempty"`
-	Rows         []Row  `json:"rows,omitempty"` // by key
-	// Removed holds key, version and author of the newest deletions, so that a
-	// conflict with a deletion names its author.
+	Rows         []Row  `json:"rows,omitempty"` // sorted by key
+	// RecentDeletions holds key, version and author of the latest deleted rows,
+	// so that a conflict with a deletion names its author.
 	RecentDeletions []Row `json:"removed,omitempty"`
 }
 
-// Head is the value of the head object and of each release's record: the
-// release without rows, and what a writer needs to look back.
+// Head is the stored form of the head object and of the record of each release:
+// the release without its rows, and the metadata with which publishers read
+// back the history.
 type Head struct {
 	Release
-	PartKeys     []string `json:"parts"`          // keys of the objects that hold the rows
-	ChangeSetIDs []string `json:"sets,omitempty"` // change sets accepted by this release
-	// Delta leads from the release before to this one; nil when it is large.
+	PartKeys     []string `json:"parts"`          // keys of the objects with the rows
+	ChangeSetIDs []string `json:"sets,omitempty"` // change sets accepted in this release
+	// Delta holds the changes against the previous release; nil if they exceed
+	// maxHeadDeltaBytes.
 	Delta *Delta `json:"delta,omitempty"`
-	// Recent are the releases before this one, newest first, up to recentRefs.
+	// Recent holds the releases before this one, newest first, at most
+	// maxRecentRefs.
 	Recent []Ref `json:"recent,omitempty"`
-	// Swept is the lowest number whose objects may still exist.
+	// FirstUncollected is the lowest release number whose objects may still
+	// exist on the platform; garbage collection continues there.
 	FirstUncollected uint64 `json:"swept,omitempty"`
 }
 
-// Ref names one accepted release.
+// Ref identifies one accepted release and holds its metadata without rows.
 type Ref struct {
 	Number uint64    `json:"number"`
 	ID     string    `json:"id"`
@@ -95,13 +107,13 @@
 	Time   time.Time `json:"time"`
 }
 
-// Ref returns the release's reference.
+// Ref returns the reference of r.
 func (r *Release) Ref() Ref {
 	return Ref{Number: r.Number, ID: r.ID, Hash: r.Hash, Author: r.Author, Note: r.Note, Time: r.Time}
 }
 
-// Change is one row as an operator wants it. Base is the row version that the
-// edit was made from (0: the row did not exist).
+// Change sets or deletes one row. BaseVersion is the row version that the edit
+// was made from; 0 means that the row did not exist.
 type Change struct {
 	Key         string          `json:"key"`
 	Data        json.RawMessage `json:"data,omitempty"`
@@ -109,15 +121,16 @@
 	BaseVersion uint64          `json:"base"`
 }
 
-// ChangeSet is one operator's edit; it is accepted whole or refused whole.
+// ChangeSet is one edit by one author. It is accepted or refused as a whole.
 type ChangeSet struct {
-	ID      string   `json:"id"` // unique; Apply makes one when it is empty
+	ID      string   `json:"id"` // unique; Apply generates it if empty
 	Author  string   `json:"author"`
 	Note    string   `json:"note,omitempty"`
 	Changes []Change `json:"changes"`
 }
 
-// HashRows returns the content hash of rows, which must be sorted by key.
+// HashRows returns the hex content hash of the keys and data of rows, which
+// must be sorted by key.
 func HashRows(rows []Row) string {
 	h := sha256.New()
 	for _, r := range rows {
@@ -127,7 +140,8 @@
 	return hex.EncodeToString(h.Sum(nil)[:16])
 }
 
-// Row returns the row with the given key.
+// Row returns the row with the given key and whether it exists. Rows must be
+// sorted by key.
 func (r *Release) Row(key string) (Row, bool) {
 	i := sort.Search(len(r.Rows), func(i int) bool { return r.Rows[i].Key >= key })
 	if i < len(r.Rows) && r.Rows[i].Key == key {
@@ -136,10 +150,10 @@
 	return Row{}, false
 }
 
-// Verify checks that the rows match the hash.
+// Verify returns ErrCorrupt if the rows do not match the hash.
 func (r *Release) Verify() error {
 	if got := HashRows(r.Rows); got != r.Hash {
-		return fmt.Errorf("%w: release %d has %s, want %s", ErrCorrupt, r.Number, got, r.Hash)
+		return fmt.Errorf("%w: rows of release %d have hash %s, want %s", ErrCorrupt, r.Number, got, r.Hash)
 	}
 	return nil
 }
--- a/process/release/status.go
+++ b/process/release/status.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// Status is what a host says of its releases to operators.
+// Status is the state of the releases on an entry host, shown to operators.
 type Status struct {
 	InForce  Ref  `json:"in_force"`
-	Prepared *Ref `json:"prepared,omitempty"` // spreading, not yet in force
-	// Joined: the peers were asked after the start.
+	Prepared *Ref `json:"prepared,omitempty"` // waiting for its activation
+	// Joined: the host has queried its peers since its start.
 	Joined bool `json:"joined"`
-	// Watching: this host is one of those of its domain that watch the platform.
+	// Watching: this host is one of the watchers of its failure domain, which
+	// watch the platform.
 	Watching bool `json:"watching"`
-	// PlatformHead is the release that the platform showed last to this host.
+	// PlatformHead is the release number of the head that this host read last.
 	PlatformHead uint64 `json:"platform_head"`
-	// PlatformHeard is when the platform was last heard, through this host or,
-	// as far as peers tell, another of its domain.
+	// PlatformLastResponse is when the platform last answered this host or, as
+	// reported by peers, another host of its failure domain.
 	PlatformLastResponse time.Time `json:"platform_heard,omitzero"`
-	Faults               []string  `json:"faults,omitempty"`
+	// Faults are the texts of the active faults; see Follower.Err.
+	Faults []string `json:"faults,omitempty"`
 }
 
-// Status returns the present state.
+// Status returns the current state of the releases on this host. It is safe for
+// concurrent use.
 func (d *Distributor) Status() Status {
 	out := Status{Joined: d.Joined(), Watching: d.watching.Load()}
 	if age := d.platformAgeMillis(); age >= 0 {
--- a/process/release/watch.go
+++ b/process/release/watch.go
@@ -12,24 +12,27 @@
 	"bilberrydale/process/objectapi"
 )
 
+// maxWatchBackoff bounds the delay between failed watch or fetch attempts.
 const maxWatchBackoff = time.Second
 
-// watchState is what is known of this host's own line to the platform.
+// platformState is the state of this host's own connection to the platform.
 type platformState struct {
-	lastResponse time.Time // last answer of the platform; zero: it failed since
-	headNumber   uint64    // number of the head read last
-	// trip is the time of a read of the platform. Half of it is how old a
-	// change is when the watch tells of it.
+	lastResponse time.Time // last response; zero: the last watch failed or ended
+	headNumber   uint64    // release number of the head read last
+	// roundTrip is the smoothed round-trip time of a read. Half of it is the
+	// estimated age of a change when the watch reports it.
 	roundTrip roundTrip
 }
 
-// roundTrip is the time of a call and its answer, smoothed.
+// roundTrip is a smoothed round-trip time of calls.
 type roundTrip time.Duration
 
-// roundTripShare is the weight of a new measurement that is above the present
-// one; a lower one counts at once, because only queueing makes it higher.
+// roundTripSmoothing is the inverse weight of a sample above the current
+// estimate. A lower sample replaces the estimate at once, because only queueing
+// makes a sample higher.
 const roundTripSmoothing = 16
 
+// update adds a sample to the estimate.
 func (r *roundTrip) update(d time.Duration) {
 	if *r == 0 || d < time.Duration(*r) {
 		*r = roundTrip(d)
@@ -38,28 +41,30 @@
 	*r += (roundTrip(d) - *r) / roundTripSmoothing
 }
 
-// oneWay estimates the way of one message.
+// oneWay estimates the one-way delay of a message as half the round trip, at
+// most maxOneWayDelay.
 func (r roundTrip) oneWay() time.Duration { return min(time.Duration(r)/2, maxOneWayDelay) }
 
+// recordRoundTrip adds a sample of the round-trip time to the platform.
 func (f *Follower) recordRoundTrip(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.platform.roundTrip.update(d)
 }
 
-// platformAnsweredAt returns when the platform last answered this host; zero:
-// it does not answer.
+// platformLastResponse returns when the platform last answered this host; zero
+// if the last watch failed or none runs.
 func (f *Follower) platformLastResponse() time.Time {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.platform.lastResponse
 }
 
-// Watch follows the head object until ctx ends. Beside the long watch it asks
-// for changes every CheckEvery, because a watch can go silent for good with its
-// connection, and now and then reads the whole head, because a watch that starts
-// after a version which a restored platform has not reached again would miss
-// every release until then.
+// Watch follows the head object until ctx ends. In addition to the long watch
+// it polls for changes every PollInterval, because a watch can hang forever
+// with its connection. Every pollsPerFullRead polls it reads the whole head: a
+// platform that was restored has lower versions, and a watch from the last
+// version seen would miss every release until the versions reach it again.
 func (f *Follower) Watch(ctx context.Context) error {
 	defer f.platformFailed(nil)
 	g, ctx := errgroup.WithContext(ctx)
@@ -69,6 +74,8 @@
 	return g.Wait()
 }
 
+// watchHead watches the head object from lastVersion until ctx ends, with
+// backoff after failures.
 func (f *Follower) watchHead(ctx context.Context, lastVersion *atomic.Uint64) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -89,6 +96,7 @@
 	return nil
 }
 
+// handleHeads handles the heads in order and advances lastVersion after each.
 func (f *Follower) handleHeads(ctx context.Context, objs []objectapi.Object, lastVersion *atomic.Uint64) error {
 	for _, o := range objs {
 		head, err := decodeHead(o)
@@ -104,17 +112,18 @@
 }
 
 const (
-	// fullCheck is how many checks one read of the whole head is worth: it has
-	// some tens of KB, an answer without a change has none.
+	// pollsPerFullRead is the number of polls per read of the whole head, which
+	// has some tens of KB; a poll without a change transfers none.
 	pollsPerFullRead = 12
-	pollWait         = time.Millisecond
+	// pollWait is how long a poll waits on the platform for a change.
+	pollWait = time.Millisecond
 )
 
-// checkHead asks for changes of the head now and then, as a back-up of the
-// watch, which reports the platform's failures.
+// pollHead polls the head at intervals as a backup of the watch. It ignores
+// failures, which the watch reports.
 func (f *Follower) pollHead(ctx context.Context, lastVersion *atomic.Uint64) error {
 	for poll := 1; ; poll++ {
-		// Jitter keeps the hosts from reading in step after an outage.
+		// Jitter prevents the hosts from polling in lockstep after an outage.
 		wait := time.Duration((0.75 + 0.5*f.opts.Rand.Float64()) * float64(f.opts.PollInterval))
 		select {
 		case <-ctx.Done():
@@ -138,8 +147,8 @@
 	}
 }
 
-// readHead reads the head once and takes the release that it names. It returns
-// the version of the head object.
+// readHead reads the head once, handles it and returns the version of the head
+// object.
 func (f *Follower) readHead(ctx context.Context) (uint64, error) {
 	start := f.opts.Clock.Now()
 	head, obj, err := readHead(ctx, f.opts.Store)
@@ -151,7 +160,9 @@
 	return obj.Version, f.handleHead(ctx, head)
 }
 
-// takeHead fetches the release of head if this host lacks it.
+// handleHead fetches and offers the release of head if this host needs it. It
+// returns an error only if the release could not be read or is corrupt, so that
+// it is read again.
 func (f *Follower) handleHead(ctx context.Context, head Head) error {
 	f.checkPlatformBehind(ctx, head)
 	if !f.Needs(head.Number, head.Hash, "the platform") {
@@ -170,12 +181,13 @@
 	if err := f.Offer(rel, f.opts.Clock.Now().Sub(changedAt), "the platform"); errors.Is(err, ErrCorrupt) {
 		return err
 	}
-	return nil // a release that does not compile is a fault of its own
+	return nil // Offer has recorded a compile error as a fault
 }
 
-// compareHead tells operators when the platform knows less than this host, and
-// records that on the platform, where publishers see it (see Floor). A stale
-// read raises a floor that the true head has reached, which does no harm.
+// checkPlatformBehind records a fault if the platform has an earlier release
+// than this host, and raises the high-water mark if it has an earlier or a
+// different one, so that publishers detect it. A stale read can raise the mark
+// to a release that the actual head has already reached; that has no effect.
 func (f *Follower) checkPlatformBehind(ctx context.Context, head Head) {
 	number, hash := f.Summary()
 	f.mu.Lock()
@@ -184,7 +196,7 @@
 	if head.Number >= number {
 		f.clearFault(faultPlatformBehind)
 	} else {
-		f.setFault(faultPlatformBehind, fmt.Errorf("%w: its head is release %d, here release %d is in force", ErrPlatformBehind, head.Number, number))
+		f.setFault(faultPlatformBehind, fmt.Errorf("%w: its head is release %d, this host has release %d", ErrPlatformBehind, head.Number, number))
 	}
 	if head.Number > number || number == 0 || (head.Number == number && head.Hash == hash) {
 		return
@@ -195,6 +207,7 @@
 	}
 }
 
+// platformResponded records a response of the platform.
 func (f *Follower) platformResponded() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -202,6 +215,8 @@
 	f.faults.clear(faultPlatformUnreachable)
 }
 
+// platformFailed records that the watch failed with err, or ended if err is
+// nil.
 func (f *Follower) platformFailed(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +224,8 @@
 	f.faults.set(faultPlatformUnreachable, err)
 }
 
-// backoff waits a random time that grows with the failures in a row.
+// backoff waits for a random delay that doubles with each consecutive failure
+// up to maxWatchBackoff, and counts the failure.
 func (f *Follower) backoff(ctx context.Context, failures *int) {
 	limit := min(initialBackoff<<min(*failures, 10), maxWatchBackoff)
 	*failures++
--- a/process/release/watcher.go
+++ b/process/release/watcher.go
@@ -15,14 +15,16 @@
 )
 
 const (
-	// roleEvery is how often a host looks whether it is to watch the platform,
-	// beside changes of the membership.
+	// roleCheckInterval is how often a host checks whether it should watch the
+	// platform, in addition to membership changes.
 	roleCheckInterval = time.Second
-	// otherDomainShare is the share of comparisons with other domains.
+	// crossDomainShare is the share of periodic comparisons with peers of other
+	// failure domains.
 	crossDomainShare = 0.25
 )
 
-// live returns the other entry hosts whose state is not beyond worst.
+// livePeers returns the other entry hosts whose membership state is at most
+// maxState.
 func (d *Distributor) livePeers(maxState member.State) []peer.Identity {
 	if d.opts.View == nil {
 		return d.opts.Link.Peers()
@@ -36,7 +38,7 @@
 	return out
 }
 
-// near returns the live hosts of this domain without this one.
+// localPeers returns the live peers of this failure domain, without this host.
 func (d *Distributor) localPeers(maxState member.State) []peer.Identity {
 	var out []peer.Identity
 	for _, p := range d.livePeers(maxState) {
@@ -47,9 +49,10 @@
 	return out
 }
 
-// ranked returns the live hosts of this domain, this one included, by
-// rendezvous hashing: all hosts agree on the order without asking each other,
-// and a host that comes or goes moves no other.
+// rankedHosts returns the live hosts of this failure domain, including this
+// one, ordered by rendezvous hashing. All hosts with the same membership
+// compute the same order without communication, and a host that joins or leaves
+// does not change the order of the others.
 func (d *Distributor) rankedHosts(maxState member.State) []string {
 	self := d.opts.Link.Self()
 	hosts := []string{self.Host}
@@ -65,8 +68,9 @@
 
 func rendezvousWeight(domain, host string) uint64 { return xxhash.Sum64String(domain + "/" + host) }
 
-// keepRole watches the platform while this host is among the chosen of its
-// domain, or while the chosen ones are silent.
+// runWatcherElection watches the platform while this host is an elected watcher
+// of its failure domain, or while the elected ones report no response of the
+// platform.
 func (d *Distributor) runWatcherElection(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	changed := make(chan struct{}, 1)
@@ -104,7 +108,8 @@
 	return g.Wait()
 }
 
-// shouldWatch reports whether this host is to watch the platform.
+// shouldWatch reports whether this host should watch the platform; watching
+// says whether it does now.
 func (d *Distributor) shouldWatch(ctx context.Context, watching bool) bool {
 	hosts := d.rankedHosts(member.Alive)
 	for i, h := range hosts {
@@ -115,8 +120,9 @@
 	if d.localWatcherActive() {
 		return false
 	}
-	// The chosen ones are silent. Each of n hosts tries the platform in one of
-	// n periods, so that an outage does not turn the whole domain on it.
+	// The elected watchers report no response of the platform. Each of the n
+	// hosts tries the platform in one of n intervals on average, so that not the
+	// whole domain calls the platform during an outage.
 	if watching || d.follower.opts.Rand.IntN(len(hosts)) > 0 {
 		return watching
 	}
@@ -124,15 +130,16 @@
 	return err == nil
 }
 
-// heardLately reports whether some other host of the domain has reached the
-// platform lately, by what peers tell.
+// localWatcherActive reports whether a host of the failure domain has reached
+// the platform within WatcherTimeout, as reported by peers.
 func (d *Distributor) localWatcherActive() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.localWatcherResponse.IsZero() && d.follower.opts.Clock.Now().Sub(d.localWatcherResponse) < d.opts.WatcherTimeout
 }
 
-// compare asks one random peer in each period what it has.
+// runPeerSync compares the release of this host with that of one random peer
+// per SyncInterval, with jitter, until ctx ends.
 func (d *Distributor) runPeerSync(ctx context.Context) error {
 	for {
 		wait := time.Duration((0.75 + 0.5*d.follower.opts.Rand.Float64()) * float64(d.opts.SyncInterval))
@@ -150,8 +157,9 @@
 	}
 }
 
-// partner draws the peer to compare with: mostly one of this domain, now and
-// then one of another, and every second time when the platform is out of reach.
+// pickSyncPeer picks the peer to compare with: usually one of this failure
+// domain, and one of another with probability crossDomainShare, or 0.5 while
+// the platform is unreachable. It reports false if there is no live peer.
 func (d *Distributor) pickSyncPeer() (peer.Identity, bool) {
 	var local, remote []peer.Identity
 	for _, p := range d.livePeers(member.Alive) {
@@ -175,7 +183,8 @@
 	return candidates[d.follower.opts.Rand.IntN(len(candidates))], true
 }
 
-// ask compares with one peer and fetches what it has more.
+// syncWith reads the summary of one peer and fetches its release if it is
+// newer.
 func (d *Distributor) syncWith(ctx context.Context, p peer.Identity) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
@@ -192,6 +201,8 @@
 	return nil
 }
 
+// recordPlatformResponse records that the platform responded to a host of this
+// failure domain age ago.
 func (d *Distributor) recordPlatformResponse(age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -200,8 +211,9 @@
 	}
 }
 
-// join asks the platform once and the peers, first those of this domain, which
-// release they have.
+// initialSync reads the head of the platform once and queries the peers,
+// preferably those of this failure domain, for their release. It then permits
+// activation. It records a fault if no source had a release.
 func (d *Distributor) initialSync(ctx context.Context) error {
 	defer d.joined.Store(true)
 	defer d.follower.resumeActivation()
@@ -225,13 +237,14 @@
 	}
 	_ = g.Wait()
 	if number, _ := d.follower.Summary(); number == 0 && ctx.Err() == nil {
-		d.follower.setFault(faultNoRelease, fmt.Errorf("%w: %d of %d peers answered; platform: %w", ErrNoRelease, responses.Load(), len(peers), platformErr))
+		d.follower.setFault(faultNoRelease, fmt.Errorf("%w: %d of %d peers responded; platform: %w", ErrNoRelease, responses.Load(), len(peers), platformErr))
 	}
 	return nil
 }
 
-// expectPeers returns the peers to ask: those of this domain, or all others if
-// there are none.
+// awaitInitialPeers returns the peers of this failure domain, or all peers if
+// there are none. If peers are configured, it first waits until the link has
+// one, for at most half of initialSyncTimeout.
 func (d *Distributor) awaitInitialPeers(ctx context.Context) []peer.Identity {
 	for range 20 {
 		if len(d.opts.Link.Peers()) > 0 || !d.opts.PeersConfigured {
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -12,25 +12,28 @@
 	"bilberrydale/process/peer"
 )
 
-// Methods between entry hosts.
+// Methods of calls between entry hosts.
 const (
 	methodNotice  peer.Method = "release.notice"
 	methodSummary peer.Method = "release.summary"
 	methodFetch   peer.Method = "release.fetch"
 )
 
-// summary says what a host has prepared and how it stands with the platform.
+// summary reports the newest release that a host has prepared and how recently
+// its failure domain reached the platform. The types of this file are encoded
+// as arrays: order, number and types of their fields are the wire format.
 type summary struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
 	Hash     string
-	// Platform is the time in milliseconds since a watcher of the host's domain
-	// heard from the platform, as far as the host knows; below 0: it does not.
+	// PlatformAgeMillis is the time since the platform last answered a watcher
+	// of the host's domain, as far as the host has learned; negative if it has
+	// learned of no answer.
 	PlatformAgeMillis int64
 }
 
-// notice tells that the sender has a release. Root is the host that started
-// the notice; the tree of receivers is laid out from it.
+// notice announces that the sender has prepared a release. Root is the host
+// that started the notice; the forwarding tree is computed from it.
 type notice struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
@@ -38,14 +41,16 @@
 	Root     string
 }
 
-// fetch asks for the newest release; Number and Hash are what the asker has.
+// fetchRequest asks for the newest release of the receiver; Number and Hash are
+// those of the newest release of the sender.
 type fetchRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
 	Hash     string
 }
 
-// transfer carries a release: as rows changed since Base, or whole (Base 0).
+// fetchResponse carries a release, either as the rows changed since BaseNumber
+// or with all rows (BaseNumber 0).
 type fetchResponse struct {
 	_msgpack      struct{} `msgpack:",as_array"`
 	Number        uint64
@@ -55,18 +60,20 @@
 	Author        string
 	Note          string
 	TimeMillis    int64  // unix milliseconds
-	AgeMicros     int64  // microseconds since it was accepted, when this was sent
-	ServiceMicros int64  // microseconds between the question and this answer
-	BaseNumber    uint64 // release that Rows is the difference from
-	Delta         []byte // a packed rowsBody
+	AgeMicros     int64  // since the release was accepted, at the time of sending
+	ServiceMicros int64  // between receiving the request and sending this response
+	BaseNumber    uint64 // release that Delta is relative to; 0: none
+	Delta         []byte // from encodeDelta
 }
 
+// wireDelta is the encoded form of a Delta.
 type wireDelta struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Changed  []wireRow
 	Deleted  []string
 }
 
+// wireRow is the encoded form of a Row.
 type wireRow struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Key      string
@@ -75,17 +82,19 @@
 	Author   string
 }
 
-// msgpack finds the _msgpack fields by name and writes these types as arrays,
-// without field names; the linter sees their use here.
+// msgpack looks up the _msgpack fields by name and then encodes the types as
+// arrays without field names. This use keeps the linter from reporting the
+// fields as unused.
 var _ = []struct{}{
 	summary{}._msgpack, notice{}._msgpack, fetchRequest{}._msgpack, fetchResponse{}._msgpack, wireDelta{}._msgpack, wireRow{}._msgpack,
 }
 
-// maxBody bounds the unpacked rows of one transfer, so that a faulty peer
-// cannot fill this host's memory.
+// maxDeltaBytes bounds the decompressed size of one delta, so that a faulty
+// peer cannot exhaust the memory of this host.
 const maxDeltaBytes = 16 << 20
 
-// pack encodes d compressed: rows are JSON that repeats field names.
+// encodeDelta encodes delta with msgpack and compresses it, since rows are JSON
+// with many repeated field names.
 func encodeDelta(delta Delta) ([]byte, error) {
 	body := wireDelta{Deleted: delta.Deleted}
 	for _, r := range delta.Changed {
@@ -94,23 +103,24 @@
 	var buf bytes.Buffer
 	w, err := flate.NewWriter(&buf, flate.DefaultCompression)
 	if err != nil {
-		return nil, fmt.Errorf("pack rows: %w", err)
+		return nil, fmt.Errorf("encode delta: %w", err)
 	}
 	if err := msgpack.NewEncoder(w).Encode(&body); err != nil {
-		return nil, fmt.Errorf("pack rows: %w", err)
+		return nil, fmt.Errorf("encode delta: %w", err)
 	}
 	if err := w.Close(); err != nil {
-		return nil, fmt.Errorf("pack rows: %w", err)
+		return nil, fmt.Errorf("encode delta: %w", err)
 	}
 	return buf.Bytes(), nil
 }
 
+// decodeDelta reverses encodeDelta.
 func decodeDelta(data []byte) (Delta, error) {
 	var body wireDelta
 	r := flate.NewReader(bytes.NewReader(data))
 	defer r.Close()
 	if err := msgpack.NewDecoder(io.LimitReader(r, maxDeltaBytes)).Decode(&body); err != nil {
-		return Delta{}, fmt.Errorf("unpack rows: %w", err)
+		return Delta{}, fmt.Errorf("decode delta: %w", err)
 	}
 	delta := Delta{Deleted: body.Deleted}
 	for _, r := range body.Changed {
@@ -119,7 +129,8 @@
 	return delta, nil
 }
 
-// newTransfer makes the answer to a peer that has base (nil: nothing known).
+// newFetchResponse builds the response for a peer that has base; nil sends all
+// rows.
 func newFetchResponse(newest *PreparedRelease, base *PreparedRelease) (fetchResponse, error) {
 	response := fetchResponse{
 		Number: newest.Number, ID: newest.ID, Hash: newest.Hash, PreviousHash: newest.PreviousHash, Author: newest.Author, Note: newest.Note,
@@ -134,8 +145,9 @@
 	return response, err
 }
 
-// release builds the release that t carries. The caller's Offer checks it
-// against its hash, so that a wrong base is found and not put in force.
+// release reconstructs the release that the response carries. Follower.Offer
+// verifies its hash, so a wrong base is detected and the release is not
+// activated.
 func (response fetchResponse) release(base *PreparedRelease) (Release, error) {
 	delta, err := decodeDelta(response.Delta)
 	if err != nil {
@@ -148,7 +160,7 @@
 	var rows []Row
 	if response.BaseNumber > 0 {
 		if base == nil || base.Number != response.BaseNumber {
-			return Release{}, fmt.Errorf("%w: rows since release %d, which is not here", ErrCorrupt, response.BaseNumber)
+			return Release{}, fmt.Errorf("%w: delta is relative to release %d, which this host does not have", ErrCorrupt, response.BaseNumber)
 		}
 		rows = base.Rows
 	}
