--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -50,7 +50,7 @@
 // Result is the outcome of Begin.
 type Result struct {
 	State    State
-	Response *Response
+	Response *Response // with Done; nil if it is not cached
 	// PartiallyRan is set with Granted if an earlier send of the key ran
 	// repeatable stages and no others.
 	PartiallyRan bool
@@ -66,7 +66,8 @@
 type Claims interface {
 	// Begin tries to claim key. After Granted the caller calls exactly one of
 	// Finish, Release and MarkUnknown (or ReleasePartial, see
-	// PartialReleaser).
+	// PartialReleaser). Begin may wait until ctx ends while the request runs
+	// on another host.
 	Begin(ctx context.Context, key Key) Result
 	// Finish records the response of a request that ran.
 	Finish(ctx context.Context, key Key, response Response)
--- a/process/claim/options.go
+++ b/process/claim/options.go
@@ -4,20 +4,20 @@
 
 // Options bound the platform calls, memory and waiting times of claims.
 type Options struct {
-	Shards           int           // number of shard objects on the platform; must be equal on all hosts
+	Shards           int           // shard objects on the platform; must be equal on all hosts
 	Retention        time.Duration // time for which the platform keeps a claim
-	WriteInterval    time.Duration // minimum time between updates of a shard: all hosts together write at most Shards/WriteInterval times a second
+	WriteInterval    time.Duration // minimum time between updates of a shard; Shards/WriteInterval bounds the writes of all hosts
 	SealThreshold    int           // number of open claims at which they move from a shard's object to a sealed part
-	WritesPerSecond  float64       // limit of this host's own updates; it applies when hosts disagree about a shard's writer
+	WritesPerSecond  float64       // limit of this host's updates, for when hosts disagree about a shard's writer
 	WriteBurst       int           // updates that may be sent at once before WritesPerSecond limits them
-	CommitTimeout    time.Duration // for one batch, with all attempts
+	CommitTimeout    time.Duration // timeout for one batch, with all attempts
 	StoreBackoff     time.Duration // time after a platform failure in which claims are refused without a call
 	MaxKeys          int           // maximum number of keys held in memory
-	MaxResponseBytes int64         // bytes of response bodies cached for resends
+	MaxResponseBytes int64         // total size of the response bodies cached for resends
 	ResponseTTL      time.Duration // time for which a response is cached
 	TicketTTL        time.Duration // time from minting a ticket to its latest first use
-	CallTimeout      time.Duration // for one call to another host
-	PollInterval     time.Duration // between status requests about a running request
+	CallTimeout      time.Duration // timeout for one call to another host
+	PollInterval     time.Duration // time between status requests about a running request
 	WriterBackoff    time.Duration // time for which a host that failed to write for others is not used as a writer
 }
 
--- a/process/claim/queue.go
+++ b/process/claim/queue.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// waitWriteInterval flushed until WriteInterval has passed since the shard's last
+// waitWriteInterval waits until WriteInterval has passed since the shard's last
 // update, so that claims collect into batches: the number of shards then bounds
 // the writes per second on the platform, whatever the number of requests and
 // hosts. After an idle period the next update is sent at once.
--- a/process/claim/ticket.go
+++ b/process/claim/ticket.go
@@ -20,7 +20,7 @@
 // ticket.
 const TicketPrefix = "bt1."
 
-// maxTicket bounds the text of a ticket, in bytes.
+// maxTicketBytes bounds the text of a ticket, in bytes.
 const maxTicketBytes = 256
 
 const macBytes = 16 // length of the truncated HMAC-SHA256
@@ -60,8 +60,8 @@
 	seq    atomic.Uint64
 }
 
-func newTicketMinter(self Owner, clk clock.Clock, life time.Duration) *ticketMinter {
-	m := &ticketMinter{self: self, clock: clk, ttl: life}
+func newTicketMinter(self Owner, clk clock.Clock, ttl time.Duration) *ticketMinter {
+	m := &ticketMinter{self: self, clock: clk, ttl: ttl}
 	_, _ = rand.Read(m.secret[:]) // does not fail: crypto/rand aborts the process instead
 	return m
 }
