--- a/process/member/heartbeat.go
+++ b/process/member/heartbeat.go
@@ -9,20 +9,21 @@
 	"bilberrydale/process/peer"
 )
 
-// heartbeat is the message and the answer of one exchange.
+// heartbeat is both the request and the response of one exchange.
 type heartbeat struct {
-	Draining bool
-	Hash     uint64 // of everyone the sender knows to be alive
-	News     []news
-	Parts    []part
+	Draining    bool
+	Hash        uint64 // of the hosts that are not gone for the sender
+	Updates     []memberUpdate
+	Attachments []attachedData
 }
 
-// part is one attached summary.
-type part struct {
+// attachedData is the data of one attachment.
+type attachedData struct {
 	Name string
 	Data []byte
 }
 
+// attachment is a registered source and consumer of attached data.
 type attachment struct {
 	name    string
 	produce func() []byte
@@ -30,162 +31,165 @@
 }
 
 const (
-	// maxPart bounds an attached summary in bytes; larger ones are not sent.
-	maxPart = 2 << 10
-	maxNews = 8192
+	// maxAttachmentBytes bounds the data of one attachment; larger ones are not
+	// sent.
+	maxAttachmentBytes = 2 << 10
+	maxUpdates         = 8192
 )
 
-// Attach lets a small summary ride on every heartbeat and on its answer.
-// produce returns nil when there is nothing to say; consume must return soon
-// and not keep data. Attach is called before Run.
+// Attach adds a small payload to every heartbeat and heartbeat response. Other
+// hosts pass it to the consume function of the same name. produce returns nil if
+// there is nothing to send; data above 2 KiB is not sent. consume must return
+// soon and must not retain data. Attach must be called before Run.
 func (m *Monitor) Attach(name string, produce func() []byte, consume func(from peer.Identity, data []byte)) {
-	m.attached = append(m.attached, attachment{name, produce, consume})
+	m.attachments = append(m.attachments, attachment{name, produce, consume})
 }
 
-func (m *Monitor) compose() *heartbeat {
+func (m *Monitor) buildHeartbeat() *heartbeat {
 	s := m.current.Load()
-	hb := &heartbeat{Hash: s.hash, News: m.takeNews(newsAHeartbeat)}
+	hb := &heartbeat{Hash: s.hash, Updates: m.pendingUpdates(updatesPerHeartbeat)}
 	if m.opts.Draining != nil {
 		hb.Draining = m.opts.Draining()
 	}
-	for _, a := range m.attached {
-		if data := a.produce(); len(data) > 0 && len(data) <= maxPart {
-			hb.Parts = append(hb.Parts, part{a.name, data})
+	for _, a := range m.attachments {
+		if data := a.produce(); len(data) > 0 && len(data) <= maxAttachmentBytes {
+			hb.Attachments = append(hb.Attachments, attachedData{a.name, data})
 		}
 	}
 	return hb
 }
 
-// exchange sends a heartbeat to host and takes the answer in.
-func (m *Monitor) exchange(host string) error {
+// exchangeHeartbeat sends a heartbeat to host and applies the response.
+func (m *Monitor) exchangeHeartbeat(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
-	var answer heartbeat
+	var response heartbeat
 	began := time.Now()
-	hb := m.compose()
+	hb := m.buildHeartbeat()
 	m.Counters.BusyNanos.Add(int64(time.Since(began)))
 	m.Counters.Sent.Add(1)
-	if err := m.opts.Link.Call(ctx, host, MethodHeartbeat, hb, &answer); err != nil {
+	if err := m.opts.Link.Call(ctx, host, MethodHeartbeat, hb, &response); err != nil {
 		return err
 	}
 	p, ok := m.Lookup(host)
 	if !ok {
 		return nil
 	}
-	m.take(p.Identity, &answer)
+	m.applyHeartbeat(p.Identity, &response)
 	return nil
 }
 
-func (m *Monitor) onHeartbeat(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
+func (m *Monitor) handleHeartbeat(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var hb heartbeat
 	if err := peer.Unmarshal(payload, &hb); err != nil {
 		return nil, fmt.Errorf("decode heartbeat: %w", err)
 	}
 	if known, ok := m.Lookup(from.Host); ok && from.Incarnation < known.Incarnation {
-		return nil, errOld
+		return nil, errOldIncarnation
 	}
 	m.Counters.Received.Add(1)
-	m.take(from, &hb)
-	return peer.Marshal(m.compose())
+	m.applyHeartbeat(from, &hb)
+	return peer.Marshal(m.buildHeartbeat())
 }
 
-// take uses what a heartbeat or its answer says.
-func (m *Monitor) take(from peer.Identity, hb *heartbeat) {
+// applyHeartbeat records the contents of a heartbeat or of its response.
+func (m *Monitor) applyHeartbeat(from peer.Identity, hb *heartbeat) {
 	began := time.Now()
 	defer func() { m.Counters.BusyNanos.Add(int64(time.Since(began))) }()
 	now := m.opts.Clock.Now()
 	m.opts.Link.AddPeer(from)
-	m.heard(from, hb.Draining, now)
-	m.takeHearsay(hb.News, now)
-	for _, p := range hb.Parts {
-		for _, a := range m.attached {
+	m.recordContact(from, hb.Draining, now)
+	m.applyUpdates(hb.Updates, now)
+	for _, p := range hb.Attachments {
+		for _, a := range m.attachments {
 			if a.name == p.Name {
 				a.consume(from, p.Data)
 			}
 		}
 	}
-	if m.pull.due(hb.Hash == m.current.Load().hash, now, m.opts.Interval) {
-		m.start(func() { m.pullFrom(from.Host) })
+	if m.pull.shouldPull(hb.Hash == m.current.Load().hash, now, m.opts.Interval) {
+		m.startTask(func() { m.pullMembers(from.Host) })
 	}
 }
 
-func (m *Monitor) takeHearsay(list []news, now time.Time) {
-	if len(list) > maxNews {
-		list = list[:maxNews]
+func (m *Monitor) applyUpdates(list []memberUpdate, now time.Time) {
+	if len(list) > maxUpdates {
+		list = list[:maxUpdates]
 	}
 	for _, n := range list {
-		if !n.Silent {
+		if !n.Unresponsive {
 			m.opts.Link.AddPeer(n.Identity)
 		}
 	}
-	for _, host := range m.gossip(list, now, 2*m.opts.Interval) {
-		m.start(func() { m.check(host) })
+	for _, host := range m.applyGossip(list, now, 2*m.opts.Interval) {
+		m.startTask(func() { m.check(host) })
 	}
 }
 
-func (m *Monitor) onMembers(context.Context, peer.Identity, []byte) ([]byte, error) {
-	return peer.Marshal(m.everyone())
+func (m *Monitor) handleMembers(context.Context, peer.Identity, []byte) ([]byte, error) {
+	return peer.Marshal(m.liveMembers())
 }
 
-// members asks host for everyone it knows to be alive.
-func (m *Monitor) members(host string) error {
+// fetchMembers requests the list of live hosts from host and applies it.
+func (m *Monitor) fetchMembers(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
-	var list []news
+	var list []memberUpdate
 	if err := m.opts.Link.Call(ctx, host, MethodMembers, nil, &list); err != nil {
 		return err
 	}
 	m.Counters.Pulls.Add(1)
-	m.takeHearsay(list, m.opts.Clock.Now())
+	m.applyUpdates(list, m.opts.Clock.Now())
 	return nil
 }
 
-func (m *Monitor) pullFrom(host string) {
+func (m *Monitor) pullMembers(host string) {
 	before := m.current.Load().hash
-	err := m.members(host)
-	m.pull.done(err == nil && m.current.Load().hash != before, m.opts.Clock.Now(), m.opts.Interval)
+	err := m.fetchMembers(host)
+	m.pull.recordPull(err == nil && m.current.Load().hash != before, m.opts.Clock.Now(), m.opts.Interval)
 }
 
-// pullState decides when to ask a peer for its whole list. Heartbeats carry
-// only news; a host that missed some, such as after a cut, sees another hash
-// for several heartbeats. Hosts whose links differ may disagree for hours, so
-// a pull without effect doubles the wait before the next.
+// pullState decides when to request a peer's full member list. Heartbeats carry
+// only recent updates; a host that missed some, for example in a network
+// partition, sees a different hash in several heartbeats in a row. Hosts with
+// different reachability may disagree for hours, so a pull without effect
+// doubles the backoff before the next one.
 type pullState struct {
-	mu       sync.Mutex
-	differed int
-	notUntil time.Time
-	wait     time.Duration
+	mu         sync.Mutex
+	mismatches int
+	nextPull   time.Time
+	backoff    time.Duration
 }
 
 const (
-	pullAfter        = 5   // heartbeats with another hash
-	firstPullWait    = 5   // intervals
-	maxPullIntervals = 300 // between pulls without effect
+	mismatchesBeforePull = 5   // consecutive heartbeats with a different hash
+	minPullIntervals     = 5   // heartbeat intervals between pulls
+	maxPullIntervals     = 300 // upper bound after pulls without effect
 )
 
-func (p *pullState) due(same bool, now time.Time, interval time.Duration) bool {
+func (p *pullState) shouldPull(same bool, now time.Time, interval time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if same {
-		p.differed = 0
+		p.mismatches = 0
 		return false
 	}
-	p.differed++
-	if p.differed < pullAfter || now.Before(p.notUntil) {
+	p.mismatches++
+	if p.mismatches < mismatchesBeforePull || now.Before(p.nextPull) {
 		return false
 	}
-	p.notUntil = now.Add(max(p.wait, firstPullWait*interval))
+	p.nextPull = now.Add(max(p.backoff, minPullIntervals*interval))
 	return true
 }
 
-func (p *pullState) done(useful bool, now time.Time, interval time.Duration) {
+func (p *pullState) recordPull(useful bool, now time.Time, interval time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.differed = 0
+	p.mismatches = 0
 	if useful {
-		p.wait = firstPullWait * interval
+		p.backoff = minPullIntervals * interval
 	} else {
-		p.wait = min(max(2*p.wait, firstPullWait*interval), maxPullIntervals*interval)
+		p.backoff = min(max(2*p.backoff, minPullIntervals*interval), maxPullIntervals*interval)
 	}
-	p.notUntil = now.Add(p.wait)
+	p.nextPull = now.Add(p.backoff)
 }
--- a/process/member/links.go
+++ b/process/member/links.go
@@ -11,33 +11,33 @@
 )
 
 // Rank orders hosts for a key by rendezvous hashing: every host that knows the
-// same hosts gets the same order, and a host that comes or goes moves only the
-// keys it is first for. hosts is sorted in place and returned.
+// same hosts computes the same order, and a host that joins or leaves moves only
+// the keys for which it is first. hosts is sorted in place and returned.
 func Rank(key string, hosts []string) []string {
-	sort.Slice(hosts, func(i, j int) bool { return before(key, hosts[i], hosts[j]) })
+	sort.Slice(hosts, func(i, j int) bool { return ranksBefore(key, hosts[i], hosts[j]) })
 	return hosts
 }
 
-// Place returns the index that host has in Rank, without sorting.
+// RankIndex returns the index of host in Rank(key, hosts) without sorting.
 func RankIndex(key, host string, hosts []string) int {
-	place := 0
+	index := 0
 	for _, other := range hosts {
-		if other != host && before(key, other, host) {
-			place++
+		if other != host && ranksBefore(key, other, host) {
+			index++
 		}
 	}
-	return place
+	return index
 }
 
-func before(key, a, b string) bool {
+func ranksBefore(key, a, b string) bool {
 	if sa, sb := score(key, a), score(key, b); sa != sb {
 		return sa > sb
 	}
 	return a < b
 }
 
-// score hashes both halves by themselves first, so that no key and host can be
-// taken for another pair.
+// score hashes key and host separately first, so that different pairs with the
+// same concatenation get different scores.
 func score(key, host string) uint64 {
 	var pair [16]byte
 	binary.BigEndian.PutUint64(pair[:8], xxhash.Sum64String(key))
@@ -45,8 +45,8 @@
 	return xxhash.Sum64(pair[:])
 }
 
-// Domain returns the names of the hosts of domain that are not gone, with self
-// if it stands there.
+// HostsInDomain returns the names of the hosts of a failure domain that are not
+// gone, including self if it belongs to the domain.
 func HostsInDomain(v View, self peer.Identity, domain string) []string {
 	var out []string
 	if self.Domain == domain {
@@ -60,52 +60,56 @@
 	return out
 }
 
-// First reports whether self is among the first n of its domain for key.
+// IsOwner reports whether self is one of the n owners of key: the first n hosts
+// of its failure domain in the order of Rank.
 func IsOwner(v View, self peer.Identity, key string, n int) bool {
 	return RankIndex(key, self.Host, HostsInDomain(v, self, self.Domain)) < n
 }
 
-// targets returns whom self sends heartbeats to: a few hosts at fixed distances
-// on the hashed ring of its domain, and a few links to each other domain. The number does
-// not grow with the hosts of a domain, and every host of a domain with at
-// least two is watched by its predecessors.
-func targets(self peer.Identity, peers []Peer, successors, links int) []string {
+// heartbeatTargets returns the hosts to which self sends heartbeats: a few at
+// fixed distances on the hash ring of its domain and, if self is one of the
+// hosts that link two domains, one in the other domain. Their number does not
+// grow with the hosts of a domain, and every host of a domain with at least two
+// gets heartbeats from its predecessors on the ring.
+func heartbeatTargets(self peer.Identity, peers []Peer, successors, links int) []string {
 	domains := map[string][]string{self.Domain: {self.Host}}
 	for _, p := range peers {
 		if p.State != Gone {
 			domains[p.Domain] = append(domains[p.Domain], p.Host)
 		}
 	}
-	out := ring(self.Host, domains[self.Domain], successors)
+	out := ringTargets(self.Host, domains[self.Domain], successors)
 	for domain, hosts := range domains {
 		if domain == self.Domain {
 			continue
 		}
-		out = append(out, across(self, domain, domains[self.Domain], hosts, links)...)
+		out = append(out, crossDomainTarget(self, domain, domains[self.Domain], hosts, links)...)
 	}
 	return out
 }
 
-func ring(self string, hosts []string, n int) []string {
+// ringTargets returns up to n successors of self on the ring of hosts, which it
+// sorts by hash.
+func ringTargets(self string, hosts []string, n int) []string {
 	sort.Slice(hosts, func(i, j int) bool { return xxhash.Sum64String(hosts[i]) < xxhash.Sum64String(hosts[j]) })
-	at := 0
+	position := 0
 	for i, h := range hosts {
 		if h == self {
-			at = i
+			position = i
 		}
 	}
 	var out []string
-	for _, step := range steps(len(hosts), n) {
-		out = append(out, hosts[(at+step)%len(hosts)])
+	for _, step := range ringSteps(len(hosts), n) {
+		out = append(out, hosts[(position+step)%len(hosts)])
 	}
 	return out
 }
 
-// steps returns the n distances on a ring of size hosts at which a host's
-// targets stand: 1 and roughly equal powers up to size. Neighbours alone would
-// pass news on along the ring, in rounds that grow with its size; with powers
-// they grow with its logarithm.
-func steps(size, n int) []int {
+// ringSteps returns the up to n distances between a host and its targets on a
+// ring of size hosts: 1 and roughly geometric steps up to size. With neighbours
+// only, the rounds that an update needs to reach all hosts would grow with the
+// size of the ring; with geometric steps they grow with its logarithm.
+func ringSteps(size, n int) []int {
 	var out []int
 	last := 0
 	for i := range n {
@@ -118,14 +122,14 @@
 	return out
 }
 
-// across returns the target in another domain, if self is one of the hosts
-// that keep the links between the two domains.
-func across(self peer.Identity, domain string, own, theirs []string, links int) []string {
+// crossDomainTarget returns the target in another domain, if self is one of the
+// hosts that link the two domains, else nil.
+func crossDomainTarget(self peer.Identity, domain string, ownHosts, otherHosts []string, links int) []string {
 	pair := self.Domain + "\x00" + domain
 	if domain < self.Domain {
 		pair = domain + "\x00" + self.Domain
 	}
-	sources, sinks := Rank(pair, append([]string(nil), own...)), Rank(pair, theirs)
+	sources, sinks := Rank(pair, append([]string(nil), ownHosts...)), Rank(pair, otherHosts)
 	for i, s := range sources {
 		if i >= links {
 			break
--- a/process/member/member.go
+++ b/process/member/member.go
@@ -1,20 +1,21 @@
-// Package member knows which entry hosts and backend servers are alive, from
-// the platform's lagging list and from this host's own evidence.
+// Package member tracks which entry hosts are alive, by heartbeats and gossip
+// between the hosts. A host declares another one gone only after its own new
+// connections to it failed.
 package member
 
 import "bilberrydale/process/peer"
 
-// State is what is believed of an entry host.
+// State is the state of an entry host as seen by this host.
 type State int
 
 // States of an entry host.
 const (
 	Alive   State = iota
-	Suspect       // silent on a connection; not yet judged
-	Gone
+	Suspect       // a call failed; checked on a new connection now
+	Gone          // new connections failed as well
 )
 
-// String returns the state's name.
+// String returns the name of the state: alive, suspect or gone.
 func (s State) String() string {
 	switch s {
 	case Alive:
@@ -26,23 +27,24 @@
 	}
 }
 
-// MarshalText implements encoding.TextMarshaler.
+// MarshalText implements encoding.TextMarshaler with the name of the state.
 func (s State) MarshalText() ([]byte, error) { return []byte(s.String()), nil }
 
-// Peer is one other entry host.
+// Peer is the membership entry of one other entry host.
 type Peer struct {
 	peer.Identity
 	State    State
-	Draining bool
+	Draining bool // takes no new requests
 }
 
-// View is the present membership. Implementations are safe for concurrent use
+// View is the current membership. Implementations are safe for concurrent use
 // and return immutable values.
 type View interface {
 	// Peers returns the other entry hosts, sorted by name.
 	Peers() []Peer
 	// Lookup returns the peer called host.
 	Lookup(host string) (Peer, bool)
-	// OnChange registers f, which is called after each change, one at a time.
+	// OnChange registers f, which is called after each change. Calls do not run
+	// concurrently.
 	OnChange(f func())
 }
--- a/process/member/member_test.go
+++ b/process/member/member_test.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	interval = 20 * time.Millisecond
-	patience = 10 * time.Second
+	interval          = 20 * time.Millisecond
+	eventuallyTimeout = 10 * time.Second
 )
 
-// fleet is a set of monitors on an in-memory network.
+// fleet is a set of running monitors on an in-memory network.
 type fleet struct {
-	t        *testing.T
-	g        Gomega
-	net      *peertest.Network
-	started  uint64
-	draining sync.Map // by host
-	hosts    map[string]*host
+	t               *testing.T
+	g               Gomega
+	net             *peertest.Network
+	lastIncarnation uint64
+	draining        sync.Map // by host
+	hosts           map[string]*host
 }
 
 type host struct {
@@ -42,13 +42,13 @@
 
 func address(name string) string { return name + ":1" }
 
-// start runs one host that knows the seed hosts; with the name of a running
-// host it is a restart.
+// start runs one host with the given seed hosts. The name of a host that is
+// running or was stopped makes it a restart: the incarnation is higher.
 func (f *fleet) start(name, domain string, attach func(*member.Monitor), seeds ...string) *host {
-	f.started++
-	link := f.net.Join(peer.Identity{Host: name, Incarnation: f.started, Domain: domain, Region: "r", Address: address(name)})
+	f.lastIncarnation++
+	link := f.net.Join(peer.Identity{Host: name, Incarnation: f.lastIncarnation, Domain: domain, Region: "r", Address: address(name)})
 	m := member.New(member.Options{
-		Link: link, Clock: clock.System{}, Rand: clock.NewSeeded(f.started), Interval: interval, SeedInterval: 10 * interval,
+		Link: link, Clock: clock.System{}, Rand: clock.NewSeeded(f.lastIncarnation), Interval: interval, SeedInterval: 10 * interval,
 		Draining: func() bool { _, ok := f.draining.Load(name); return ok },
 		Seeds: func() []string {
 			var out []string
@@ -73,7 +73,7 @@
 	return h
 }
 
-// domain starts n hosts d-0, d-1, ... whose seed is the given host.
+// domain starts n hosts d-0, d-1, ... with the given seed hosts.
 func (f *fleet) domain(d string, n int, seeds ...string) []string {
 	var names []string
 	for i := range n {
@@ -97,8 +97,9 @@
 	return out
 }
 
-// see waits until every running host but except holds want of host.
-func (f *fleet) see(want member.State, hosts ...string) {
+// expectState waits until every running host has all others of hosts in state
+// want.
+func (f *fleet) expectState(want member.State, hosts ...string) {
 	f.t.Helper()
 	for name, h := range f.hosts {
 		for _, other := range hosts {
@@ -106,13 +107,14 @@
 				f.g.Eventually(func() any {
 					p, ok := h.Lookup(other)
 					return []any{ok, p.State}
-				}, patience, interval).Should(Equal([]any{true, want}), "%s of %s", name, other)
+				}, eventuallyTimeout, interval).Should(Equal([]any{true, want}), "%s of %s", name, other)
 			}
 		}
 	}
 }
 
-func (f *fleet) cut(as, bs []string, do func(a, b string)) {
+// forEachPair calls do for each host of as with each host of bs.
+func (f *fleet) forEachPair(as, bs []string, do func(a, b string)) {
 	for _, a := range as {
 		for _, b := range bs {
 			do(a, b)
@@ -120,10 +122,10 @@
 	}
 }
 
-// All hosts are replaced at once, as in a roll-out gone wrong. They know one
-// seed each and nothing else. Every host has to find all others of the new
-// incarnation, in its own domain and the others.
-func TestHostsFindEachOtherAlsoAfterAllRestartAtOnce(t *testing.T) {
+// All hosts restart at once, as in a failed roll-out, and know one seed each and
+// nothing else. Every host has to discover the new incarnation of all others, in
+// its own domain and in the other one.
+func TestDiscoveryAfterSimultaneousRestart(t *testing.T) {
 	f := newFleet(t)
 	for range 2 {
 		for name, h := range f.hosts {
@@ -131,23 +133,23 @@
 			f.net.Leave(name)
 		}
 		all := append(f.domain("a", 5, "a-0"), f.domain("b", 4, "a-0")...)
-		f.see(member.Alive, all...)
+		f.expectState(member.Alive, all...)
 		for _, h := range f.hosts {
 			for _, p := range h.Peers() {
-				f.g.Eventually(func() uint64 { x, _ := h.Lookup(p.Host); return x.Incarnation }, patience).Should(BeNumerically(">", f.started-9))
+				f.g.Eventually(func() uint64 { x, _ := h.Lookup(p.Host); return x.Incarnation }, eventuallyTimeout).Should(BeNumerically(">", f.lastIncarnation-9))
 			}
 		}
 	}
 }
 
-// A connection between two hosts goes silent for good while new ones work. A
-// host that judged its peer by the connection would take it for dead and hand
-// its work to another. It has to try a fresh connection first: the peer may be
-// suspect for a moment and is never gone.
-func TestForgottenConnectionDoesNotMakeAPeerGone(t *testing.T) {
+// A connection between two hosts stops delivering while new ones work. A host
+// that declared its peer gone because of the connection would move the peer's
+// work elsewhere. It has to try a new connection first: the peer may be suspect
+// for a moment but must never be gone.
+func TestStaleConnectionDoesNotMakePeerGone(t *testing.T) {
 	f := newFleet(t)
 	f.domain("a", 2, "a-0")
-	f.see(member.Alive, "a-0", "a-1")
+	f.expectState(member.Alive, "a-0", "a-1")
 	var gone atomic.Int64
 	h := f.hosts["a-0"]
 	h.OnChange(func() {
@@ -158,37 +160,38 @@
 	for range 3 {
 		checks := h.Counters.Checks.Load()
 		f.net.BreakConnection("a-0", "a-1")
-		f.g.Eventually(h.Counters.Checks.Load, patience).Should(BeNumerically(">", checks))
-		f.see(member.Alive, "a-1")
+		f.g.Eventually(h.Counters.Checks.Load, eventuallyTimeout).Should(BeNumerically(">", checks))
+		f.expectState(member.Alive, "a-1")
 	}
 	f.g.Expect(gone.Load()).To(BeZero())
 }
 
-// One host of nine dies without a word. Only its three predecessors send it
-// heartbeats; the others hear of it from them, check it on a connection of
-// their own, and agree. When it restarts everybody takes the new incarnation.
-func TestKilledHostIsGoneForEveryoneAndItsSuccessorAlive(t *testing.T) {
+// One host of nine is killed. Only its three predecessors send it heartbeats;
+// the others learn of the failure by gossip, check it on connections of their
+// own, and declare it gone as well. After a restart all hosts have the new
+// incarnation alive.
+func TestKilledHostIsGoneOnAllHostsUntilRestart(t *testing.T) {
 	f := newFleet(t)
 	names := f.domain("a", 9, "a-0")
-	f.see(member.Alive, names...)
+	f.expectState(member.Alive, names...)
 	f.kill("a-4")
-	f.see(member.Gone, "a-4")
+	f.expectState(member.Gone, "a-4")
 	f.start("a-4", "a", nil, "a-0")
-	f.see(member.Alive, "a-4")
+	f.expectState(member.Alive, "a-4")
 }
 
-// A domain is cut off from the others for a while. Each side goes on with the
-// hosts it reaches, holds the others for gone, and takes them back after the
-// heal without a restart or an order.
-func TestCutDomainIsGoneAndComesBack(t *testing.T) {
+// A failure domain is partitioned from another one for a while. Each side keeps
+// the hosts that it reaches, declares the others gone, and marks them alive
+// again after the partition heals, without a restart or an operator's action.
+func TestPartitionedDomainIsGoneUntilHealed(t *testing.T) {
 	f := newFleet(t)
 	as, bs := f.domain("a", 3, "a-0"), f.domain("b", 3, "a-0")
-	f.see(member.Alive, append(as, bs...)...)
-	f.cut(as, bs, f.net.Partition)
+	f.expectState(member.Alive, append(as, bs...)...)
+	f.forEachPair(as, bs, f.net.Partition)
 	for _, a := range as {
 		for _, b := range bs {
-			f.g.Eventually(func() member.State { p, _ := f.hosts[a].Lookup(b); return p.State }, patience).Should(Equal(member.Gone))
-			f.g.Eventually(func() member.State { p, _ := f.hosts[b].Lookup(a); return p.State }, patience).Should(Equal(member.Gone))
+			f.g.Eventually(func() member.State { p, _ := f.hosts[a].Lookup(b); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
+			f.g.Eventually(func() member.State { p, _ := f.hosts[b].Lookup(a); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
 		}
 		for _, other := range as {
 			if a != other {
@@ -197,17 +200,17 @@
 			}
 		}
 	}
-	f.cut(as, bs, f.net.Heal)
-	f.see(member.Alive, append(as, bs...)...)
+	f.forEachPair(as, bs, f.net.Heal)
+	f.expectState(member.Alive, append(as, bs...)...)
 }
 
-// One host cannot reach another that everyone else reaches. It tells its peers
-// that the other is silent. If they believed it, one bad link would take a
-// healthy host out everywhere; each checks by itself and keeps it.
-func TestOneHostsEvidenceDoesNotJudgeForOthers(t *testing.T) {
+// One host cannot reach a peer that all others reach, and gossips that it is
+// unresponsive. If the others trusted this report, one broken link would remove
+// a healthy host everywhere; each checks the peer itself and keeps it alive.
+func TestOneUnreachableLinkDoesNotMakePeerGoneElsewhere(t *testing.T) {
 	f := newFleet(t)
 	names := f.domain("a", 4, "a-0")
-	f.see(member.Alive, names...)
+	f.expectState(member.Alive, names...)
 	gone := atomic.Int64{}
 	for _, n := range []string{"a-2", "a-3"} {
 		h := f.hosts[n]
@@ -218,13 +221,13 @@
 		})
 	}
 	f.net.Partition("a-0", "a-1")
-	f.g.Eventually(func() member.State { p, _ := f.hosts["a-0"].Lookup("a-1"); return p.State }, patience).Should(Equal(member.Gone))
+	f.g.Eventually(func() member.State { p, _ := f.hosts["a-0"].Lookup("a-1"); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
 	received := f.hosts["a-2"].Counters.Received.Load()
-	f.g.Eventually(f.hosts["a-2"].Counters.Received.Load, patience).Should(BeNumerically(">", received+20))
+	f.g.Eventually(f.hosts["a-2"].Counters.Received.Load, eventuallyTimeout).Should(BeNumerically(">", received+20))
 	f.g.Expect(gone.Load()).To(BeZero())
 }
 
-func TestDrainingAndAttachedSummariesSpread(t *testing.T) {
+func TestDrainingAndAttachmentsSpread(t *testing.T) {
 	f := newFleet(t)
 	var got sync.Map
 	f.start("a-0", "a", func(m *member.Monitor) {
@@ -234,12 +237,12 @@
 		m.Attach("release", func() []byte { return nil }, func(from peer.Identity, data []byte) { got.Store(from.Host, string(data)) })
 	}, "a-0")
 	f.domain("b", 2, "a-0")
-	f.see(member.Alive, "a-0", "a-1", "b-0", "b-1")
-	f.g.Eventually(func() any { v, _ := got.Load("a-0"); return v }, patience).Should(Equal("42"))
+	f.expectState(member.Alive, "a-0", "a-1", "b-0", "b-1")
+	f.g.Eventually(func() any { v, _ := got.Load("a-0"); return v }, eventuallyTimeout).Should(Equal("42"))
 	f.draining.Store("a-0", true)
 	for name, h := range f.hosts {
 		if name != "a-0" {
-			f.g.Eventually(func() bool { p, _ := h.Lookup("a-0"); return p.Draining }, patience).Should(BeTrue(), name)
+			f.g.Eventually(func() bool { p, _ := h.Lookup("a-0"); return p.Draining }, eventuallyTimeout).Should(BeTrue(), name)
 		}
 	}
 	f.g.Expect(states(f.hosts["b-0"])).To(HaveKeyWithValue("a-0", member.Alive))
--- a/process/member/monitor.go
+++ b/process/member/monitor.go
@@ -12,49 +12,55 @@
 	"bilberrydale/process/peer"
 )
 
-// Methods of the membership on the link.
+// Methods that a Monitor registers on its link.
 const (
-	MethodHeartbeat peer.Method = "hb"
-	MethodMembers   peer.Method = "members"
+	MethodHeartbeat peer.Method = "hb"      // exchanges heartbeats
+	MethodMembers   peer.Method = "members" // returns the live hosts
 )
 
-// Transport is the link with what membership needs beside calls.
+// Transport is a link that also manages the connections to peers. peer.Mesh
+// implements it.
 type Transport interface {
 	peer.Link
+	// AddPeer makes a host known to the link; older incarnations are ignored.
 	AddPeer(id peer.Identity)
+	// RemovePeer closes the connections to host and removes it.
 	RemovePeer(host string)
-	// Fresh returns nil when host proved itself on a new connection.
+	// Reconnect returns nil when host authenticated itself on a new connection.
 	Reconnect(ctx context.Context, host string) error
-	// Meet opens a connection to an address and returns who answers there.
+	// DialAddress opens a connection to an address (host:port) and returns the
+	// identity of the entry host that answers there.
 	DialAddress(ctx context.Context, address string) (peer.Identity, error)
 }
 
-// Options configure a Monitor; zero values get the defaults.
+// Options configure a Monitor. Zero durations and counts get the defaults.
 type Options struct {
 	Link  Transport
 	Clock clock.Clock
 	Rand  clock.Rand
-	// Seeds returns addresses where entry hosts may be found, such as those of
-	// the settings and of the platform's list. May be nil.
+	// Seeds returns addresses at which entry hosts may run, for example from the
+	// settings and from the platform's host list. May be nil.
 	Seeds func() []string
 	// Draining reports whether this host takes no new requests. May be nil.
 	Draining func() bool
 
 	Interval         time.Duration // between heartbeats; default 1 s
-	Timeout          time.Duration // of one heartbeat or fresh connection; default 800 ms
-	SeedInterval     time.Duration // between visits of the seeds; default 10 s
-	RemoveGoneAfter  time.Duration // after which a gone host is forgotten; default 2 h
-	Successors       int           // heartbeat targets in the domain; default 3
-	CrossDomainLinks int           // hosts that keep links to each other domain; default 2
-	MaxPeers         int           // default 4096
+	Timeout          time.Duration // of one heartbeat or new connection; default 800 ms
+	SeedInterval     time.Duration // between contacts of the seeds; default 10 s
+	RemoveGoneAfter  time.Duration // time after which a gone host is removed; default 2 h
+	Successors       int           // heartbeat targets in the host's own domain; default 3
+	CrossDomainLinks int           // hosts that send heartbeats to each other domain; default 2
+	MaxPeers         int           // bound of the table of hosts; default 4096
 }
 
 const (
-	firstProbeIntervals = 2  // of a gone host, then doubling
-	maxProbeIntervals   = 30 // bounds the time to notice a heal
-	probesATick         = 3
-	newsAHeartbeat      = 8
-	checkTries          = 2 // fresh connections before a host is judged gone
+	// Heartbeat intervals between probes of a gone host: they double from the
+	// first to the maximum, which bounds the time to detect a healed partition.
+	firstProbeIntervals = 2
+	maxProbeIntervals   = 30
+	probesPerRound      = 3
+	updatesPerHeartbeat = 8
+	checkAttempts       = 2 // failed new connections before a host is declared gone
 )
 
 func (o *Options) setDefaults() {
@@ -73,60 +79,66 @@
 	}
 }
 
-// Counters count a Monitor's work since the start.
+// Counters count the work of a Monitor since its start. Sent, Received and
+// Failed are heartbeats, Checks the checks of hosts on new connections,
+// DeclaredGone the hosts that this host declared gone, and Pulls the member
+// lists fetched from peers.
 type Counters struct {
 	Sent, Received, Failed, Checks, DeclaredGone, Pulls atomic.Int64
-	BusyNanos                                           atomic.Int64 // nanoseconds spent on making and reading heartbeats
+	BusyNanos                                           atomic.Int64 // nanoseconds spent on building and applying heartbeats
 }
 
-// Monitor exchanges heartbeats and keeps the View of the other entry hosts.
+// Monitor exchanges heartbeats with other entry hosts and maintains the View of
+// them. It is safe for concurrent use.
 type Monitor struct {
 	*table
 	Counters Counters
 
-	opts     Options
-	attached []attachment
-	kick     chan struct{}
-	work     background.Group
-	pull     pullState
-	seedMu   sync.Mutex
-	seedAt   time.Time
-	ctx      context.Context // ends with Run; handlers use it before Run too
-	cancel   context.CancelFunc
+	opts            Options
+	attachments     []attachment
+	wake            chan struct{}
+	tasks           background.Group
+	pull            pullState
+	seedMu          sync.Mutex
+	nextSeedContact time.Time
+	ctx             context.Context // cancelled when Run ends; handlers use it before Run too
+	cancel          context.CancelFunc
 }
 
 var _ View = (*Monitor)(nil)
 
-// New returns a monitor and registers its handlers on the link.
+// New returns a monitor and registers its handlers on the link. It must be
+// called before the link starts.
 func New(opts Options) *Monitor {
 	opts.setDefaults()
-	m := &Monitor{table: newTable(opts.Link.Self(), opts.MaxPeers), opts: opts, kick: make(chan struct{}, 1)}
+	m := &Monitor{table: newTable(opts.Link.Self(), opts.MaxPeers), opts: opts, wake: make(chan struct{}, 1)}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
-	opts.Link.Handle(MethodHeartbeat, m.onHeartbeat)
-	opts.Link.Handle(MethodMembers, m.onMembers)
+	opts.Link.Handle(MethodHeartbeat, m.handleHeartbeat)
+	opts.Link.Handle(MethodMembers, m.handleMembers)
 	return m
 }
 
-// Run exchanges heartbeats until ctx ends.
+// Run sends heartbeats, checks and probes until ctx is cancelled. It always
+// returns nil.
 func (m *Monitor) Run(ctx context.Context) error {
-	defer m.work.Close()
+	defer m.tasks.Close()
 	defer context.AfterFunc(ctx, m.cancel)()
 	for {
-		m.round()
+		m.runRound()
 		select {
 		case <-m.ctx.Done():
 			return nil
-		case <-m.kick:
-			// News spread at once, but no faster than ten times an interval.
-			if !m.wait(m.opts.Interval / 10) {
+		case <-m.wake:
+			// Updates spread at once, but at most ten times per interval.
+			if !m.sleep(m.opts.Interval / 10) {
 				return nil
 			}
-		case <-m.opts.Clock.After(m.jittered(m.opts.Interval)):
+		case <-m.opts.Clock.After(m.withJitter(m.opts.Interval)):
 		}
 	}
 }
 
-func (m *Monitor) wait(d time.Duration) bool {
+func (m *Monitor) sleep(d time.Duration) bool {
 	select {
 	case <-m.ctx.Done():
 		return false
@@ -135,59 +147,61 @@
 	}
 }
 
-// jittered spreads d by a tenth, so that hosts started together do not stay in
-// step.
-func (m *Monitor) jittered(d time.Duration) time.Duration {
+// withJitter varies d by up to a tenth, so that hosts that started together do
+// not stay synchronized.
+func (m *Monitor) withJitter(d time.Duration) time.Duration {
 	return time.Duration((0.9 + 0.2*m.opts.Rand.Float64()) * float64(d))
 }
 
-// Kick sends the next heartbeats now, for news that should not wait.
+// HeartbeatNow sends the next heartbeats without waiting for the end of the
+// interval, for updates that are urgent. It does not block.
 func (m *Monitor) HeartbeatNow() {
 	select {
-	case m.kick <- struct{}{}:
+	case m.wake <- struct{}{}:
 	default:
 	}
 }
 
-func (m *Monitor) round() {
+func (m *Monitor) runRound() {
 	if m.opts.Draining != nil && m.opts.Draining() {
 		m.setDraining()
 	}
 	now := m.opts.Clock.Now()
-	for _, host := range targets(m.self, m.current.Load().peers, m.opts.Successors, m.opts.CrossDomainLinks) {
-		m.start(func() { m.beat(host) })
+	for _, host := range heartbeatTargets(m.self, m.current.Load().peers, m.opts.Successors, m.opts.CrossDomainLinks) {
+		m.startTask(func() { m.sendOrCheck(host) })
 	}
-	for _, host := range m.probes(now, probesATick) {
-		m.start(func() { m.check(host) })
+	for _, host := range m.dueProbes(now, probesPerRound) {
+		m.startTask(func() { m.check(host) })
 	}
-	for _, host := range m.forget(now, m.opts.RemoveGoneAfter) {
+	for _, host := range m.removeGone(now, m.opts.RemoveGoneAfter) {
 		m.opts.Link.RemovePeer(host)
 	}
-	m.visitSeeds(now)
+	m.contactSeeds(now)
 }
 
-// start runs f beside the loop; nothing starts once the loop is to end.
-func (m *Monitor) start(f func()) {
+// startTask runs f in its own goroutine, unless Run is about to end.
+func (m *Monitor) startTask(f func()) {
 	if m.ctx.Err() == nil {
-		m.work.Go(f)
+		m.tasks.Go(f)
 	}
 }
 
-// Hint tells that host may be dead, such as after a failed call. It is checked
-// on a fresh connection before it is judged.
-func (m *Monitor) CheckHost(host string) { m.start(func() { m.check(host) }) }
+// CheckHost checks host on a new connection because it may be dead, for example
+// after a failed call. It does not block.
+func (m *Monitor) CheckHost(host string) { m.startTask(func() { m.check(host) }) }
 
-// beat exchanges one heartbeat. A failure is about the connection until a
-// fresh one has failed too.
-func (m *Monitor) beat(host string) {
-	if err := m.exchange(host); err != nil && m.ctx.Err() == nil {
+// sendOrCheck exchanges one heartbeat with host. If it fails, it checks host on
+// a new connection: only the current connection may be broken.
+func (m *Monitor) sendOrCheck(host string) {
+	if err := m.exchangeHeartbeat(host); err != nil && m.ctx.Err() == nil {
 		m.Counters.Failed.Add(1)
 		m.check(host)
 	}
 }
 
-// check asks host on fresh connections. Only when they fail as well is it
-// judged gone: a forgotten connection fails while the host lives.
+// check probes host on new connections and declares it gone only if they fail
+// as well: a connection whose state a middlebox has dropped fails while the host
+// is alive.
 func (m *Monitor) check(host string) {
 	if !m.beginCheck(host) {
 		return
@@ -195,11 +209,11 @@
 	m.Counters.Checks.Add(1)
 	began := m.opts.Clock.Now()
 	alive := false
-	for try := range checkTries {
-		if try > 0 && !m.wait(m.opts.Interval/4) {
+	for try := range checkAttempts {
+		if try > 0 && !m.sleep(m.opts.Interval/4) {
 			break
 		}
-		if m.fresh(host) == nil {
+		if m.reconnect(host) == nil {
 			alive = true
 			break
 		}
@@ -210,24 +224,25 @@
 	now := m.opts.Clock.Now()
 	before, _ := m.Lookup(host)
 	if alive {
-		m.heard(before.Identity, false, now)
+		m.recordContact(before.Identity, false, now)
 	}
-	m.endCheck(host, began, now, alive, firstProbeIntervals*m.opts.Interval, maxProbeIntervals*m.opts.Interval)
+	m.finishCheck(host, began, now, alive, firstProbeIntervals*m.opts.Interval, maxProbeIntervals*m.opts.Interval)
 	if after, _ := m.Lookup(host); after.State == Gone && before.State != Gone {
 		m.Counters.DeclaredGone.Add(1)
 		m.HeartbeatNow()
 	}
 }
 
-func (m *Monitor) fresh(host string) error {
+func (m *Monitor) reconnect(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
 	return m.opts.Link.Reconnect(ctx, host)
 }
 
-// visitSeeds opens connections to seeds at which no live peer is known: at
-// every interval while this host knows nobody, and rarely after that.
-func (m *Monitor) visitSeeds(now time.Time) {
+// contactSeeds opens connections to the seeds at which no live peer is known:
+// at every heartbeat interval while this host knows no live peer, and every
+// SeedInterval after that.
+func (m *Monitor) contactSeeds(now time.Time) {
 	if m.opts.Seeds == nil {
 		return
 	}
@@ -239,31 +254,32 @@
 			alive[p.Address] = true
 		}
 	}
-	if len(alive) > 1 && now.Before(m.seedAt) {
+	if len(alive) > 1 && now.Before(m.nextSeedContact) {
 		return
 	}
-	m.seedAt = now.Add(m.jittered(m.opts.SeedInterval))
+	m.nextSeedContact = now.Add(m.withJitter(m.opts.SeedInterval))
 	for _, address := range m.opts.Seeds() {
 		if !alive[address] {
-			m.start(func() { m.meet(address) })
+			m.startTask(func() { m.contactSeed(address) })
 		}
 	}
 }
 
-func (m *Monitor) meet(address string) {
+func (m *Monitor) contactSeed(address string) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
 	id, err := m.opts.Link.DialAddress(ctx, address)
 	if err != nil || id.Host == m.self.Host {
 		return
 	}
-	m.heard(id, false, m.opts.Clock.Now())
-	_ = m.members(id.Host)
+	m.recordContact(id, false, m.opts.Clock.Now())
+	_ = m.fetchMembers(id.Host)
 	m.HeartbeatNow()
 }
 
-// errOld is the answer to a heartbeat of an incarnation that has a successor.
-var errOld = errors.New("member: a newer incarnation is known")
+// errOldIncarnation is the response to a heartbeat of an incarnation that was
+// replaced by a newer one.
+var errOldIncarnation = errors.New("member: a newer incarnation is known")
 
-// Seen records that an incarnation proved itself on a connection.
-func (m *Monitor) RecordAlive(id peer.Identity) { m.heard(id, false, m.opts.Clock.Now()) }
+// RecordAlive records that an incarnation authenticated itself on a connection.
+func (m *Monitor) RecordAlive(id peer.Identity) { m.recordContact(id, false, m.opts.Clock.Now()) }
--- a/process/member/table.go
+++ b/process/member/table.go
@@ -12,41 +12,41 @@
 	"bilberrydale/process/peer"
 )
 
-// record is what the table keeps of one other entry host.
-type record struct {
+// peerRecord is the table's state of one other entry host.
+type peerRecord struct {
 	Peer
-	heard     time.Time // last direct evidence of life; zero: gossip only
-	gone      time.Time // when it was judged gone
-	probeAt   time.Time // next probe of a gone host
-	probeWait time.Duration
-	checking  bool // a fresh connection is being tried
-	announce  int  // heartbeats that still carry this news
+	lastContact       time.Time // last direct evidence that it is alive; zero: gossip only
+	goneAt            time.Time // when it was declared gone
+	nextProbe         time.Time // next probe of a gone host
+	probeBackoff      time.Duration
+	checking          bool // a check on a new connection is in progress
+	pendingHeartbeats int  // heartbeats that still carry this update
 }
 
 // snapshot is one immutable state of the membership.
 type snapshot struct {
 	peers  []Peer // by host
 	byHost map[string]Peer
-	hash   uint64 // of everyone not gone, this host included
+	hash   uint64 // of all hosts not gone, including this one
 }
 
-// table holds the records. Readers load the snapshot; writers take the lock,
-// change records and publish the next snapshot.
+// table implements View. Readers load the current snapshot; writers modify the
+// records under the lock and publish the next snapshot.
 type table struct {
-	self peer.Identity
-	max  int
+	self     peer.Identity
+	maxPeers int
 
 	mu       sync.Mutex
-	records  map[string]*record
+	records  map[string]*peerRecord
 	draining bool
 
 	current  atomic.Pointer[snapshot]
-	changeMu sync.Mutex // one notification at a time
+	changeMu sync.Mutex // serializes notifications
 	onChange []func()
 }
 
 func newTable(self peer.Identity, maxPeers int) *table {
-	t := &table{self: self, max: maxPeers, records: map[string]*record{}}
+	t := &table{self: self, maxPeers: maxPeers, records: map[string]*peerRecord{}}
 	t.publish()
 	return t
 }
@@ -75,8 +75,8 @@
 	}
 }
 
-// update runs f under the lock; when f reports a change, the next snapshot is
-// published and the listeners run.
+// update runs f under the lock. If f reports a change, it publishes the next
+// snapshot and calls the listeners.
 func (t *table) update(f func() bool) {
 	t.mu.Lock()
 	changed := f()
@@ -91,19 +91,19 @@
 
 func (t *table) publish() {
 	s := &snapshot{byHost: make(map[string]Peer, len(t.records))}
-	s.hash = fingerprint(t.self, t.draining)
+	s.hash = hashMember(t.self, t.draining)
 	for host, r := range t.records {
 		s.peers = append(s.peers, r.Peer)
 		s.byHost[host] = r.Peer
 		if r.State != Gone {
-			s.hash ^= fingerprint(r.Identity, r.Draining)
+			s.hash ^= hashMember(r.Identity, r.Draining)
 		}
 	}
 	sort.Slice(s.peers, func(i, j int) bool { return s.peers[i].Host < s.peers[j].Host })
 	t.current.Store(s)
 }
 
-func fingerprint(id peer.Identity, draining bool) uint64 {
+func hashMember(id peer.Identity, draining bool) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(id.Host)
 	var tail [9]byte
@@ -115,10 +115,10 @@
 	return d.Sum64()
 }
 
-// find returns the record for the incarnation, making or renewing it when id
-// is news. It returns nil for an older incarnation, this host, or a full
-// table.
-func (t *table) find(id peer.Identity) (r *record, isNew bool) {
+// findOrAdd returns the record of id. It adds one for an unknown host and
+// replaces that of an older incarnation; isNew reports both. It returns nil if
+// id is an older incarnation or this host, or if the table is full.
+func (t *table) findOrAdd(id peer.Identity) (r *peerRecord, isNew bool) {
 	if id.Host == "" || id.Host == t.self.Host {
 		return nil, false
 	}
@@ -129,17 +129,18 @@
 	if r != nil && id.Incarnation == r.Incarnation {
 		return r, false
 	}
-	if r == nil && len(t.records) >= t.max {
+	if r == nil && len(t.records) >= t.maxPeers {
 		return nil, false
 	}
-	r = &record{Peer: Peer{Identity: id}, announce: t.rounds()}
+	r = &peerRecord{Peer: Peer{Identity: id}, pendingHeartbeats: t.gossipHeartbeats()}
 	t.records[id.Host] = r
 	return r, true
 }
 
-// rounds is how many heartbeats carry a piece of news: enough to reach all
-// hosts with high probability when each passes it on as often.
-func (t *table) rounds() int {
+// gossipHeartbeats returns the number of heartbeats that carry an update. It
+// grows with the logarithm of the number of hosts: enough to reach all of them
+// with high probability if each host repeats the update as often.
+func (t *table) gossipHeartbeats() int {
 	n := 4
 	for size := len(t.records) + 1; size > 1; size >>= 1 {
 		n += 2
@@ -147,62 +148,65 @@
 	return n
 }
 
-// heard records direct evidence: the peer's process proved itself or answered.
-func (t *table) heard(id peer.Identity, draining bool, now time.Time) {
+// recordContact records direct evidence that a peer is alive: it authenticated
+// itself on a connection or responded to a call.
+func (t *table) recordContact(id peer.Identity, draining bool, now time.Time) {
 	t.update(func() bool {
-		r, changed := t.find(id)
+		r, changed := t.findOrAdd(id)
 		if r == nil {
 			return false
 		}
-		r.heard = now
+		r.lastContact = now
 		if r.State == Gone {
-			t.probeDomain(r.Domain, now)
+			t.scheduleDomainProbes(r.Domain, now)
 		}
 		if r.State != Alive {
 			r.State, changed = Alive, true
-			r.announce = t.rounds()
+			r.pendingHeartbeats = t.gossipHeartbeats()
 		}
 		if draining && !r.Draining {
 			r.Draining, changed = true, true
-			r.announce = t.rounds()
+			r.pendingHeartbeats = t.gossipHeartbeats()
 		}
 		return changed
 	})
 }
 
-// probeDomain brings forward the probes of a domain of which one host came
-// back: most likely a cut has healed.
-func (t *table) probeDomain(domain string, now time.Time) {
+// scheduleDomainProbes makes the probes of all gone hosts of a domain due. It
+// is called when one of them is reachable again: most likely a network partition
+// has healed.
+func (t *table) scheduleDomainProbes(domain string, now time.Time) {
 	for _, r := range t.records {
 		if r.Domain == domain && r.State == Gone {
-			r.probeAt = now
+			r.nextProbe = now
 		}
 	}
 }
 
-// gossip records what another host said. It returns hosts whose life should
-// be checked on a fresh connection: no host is judged on gossip.
-func (t *table) gossip(list []news, now time.Time, fresh time.Duration) (check []string) {
+// applyGossip records updates of another host. It returns the hosts to check on
+// a new connection: no host is declared gone on gossip alone. Contact within
+// recent outweighs a report that the host is unresponsive.
+func (t *table) applyGossip(list []memberUpdate, now time.Time, recent time.Duration) (check []string) {
 	t.update(func() bool {
 		changed := false
 		for _, n := range list {
-			if n.Silent {
-				if r := t.records[n.Identity.Host]; r != nil && r.Incarnation == n.Identity.Incarnation && r.State == Alive && now.Sub(r.heard) > fresh {
+			if n.Unresponsive {
+				if r := t.records[n.Identity.Host]; r != nil && r.Incarnation == n.Identity.Incarnation && r.State == Alive && now.Sub(r.lastContact) > recent {
 					check = append(check, n.Identity.Host)
 				}
 				continue
 			}
-			r, isNew := t.find(n.Identity)
+			r, isNew := t.findOrAdd(n.Identity)
 			if r == nil {
 				continue
 			}
 			changed = changed || isNew
 			if n.Draining && !r.Draining {
 				r.Draining, changed = true, true
-				r.announce = t.rounds()
+				r.pendingHeartbeats = t.gossipHeartbeats()
 			}
-			if r.State == Gone && now.Sub(r.gone) > fresh {
-				r.probeAt = now
+			if r.State == Gone && now.Sub(r.goneAt) > recent {
+				r.nextProbe = now
 			}
 		}
 		return changed
@@ -210,8 +214,8 @@
 	return check
 }
 
-// beginCheck marks host as suspect and reports whether the caller is to check
-// it on a fresh connection.
+// beginCheck marks host as suspect and reports whether the caller has to check
+// it on a new connection; false if it is unknown or another check is running.
 func (t *table) beginCheck(host string) bool {
 	begin := false
 	t.update(func() bool {
@@ -229,39 +233,41 @@
 	return begin
 }
 
-// endCheck records a check's outcome. Direct evidence that arrived during the
-// check outweighs its failure: the heartbeat came on another connection.
-func (t *table) endCheck(host string, began, now time.Time, alive bool, firstProbe, maxProbe time.Duration) {
+// finishCheck records the outcome of a check that started at began. Direct
+// evidence that arrived since then outweighs a failure: the host reached this
+// one on another connection.
+func (t *table) finishCheck(host string, began, now time.Time, alive bool, firstProbe, maxProbe time.Duration) {
 	t.update(func() bool {
 		r := t.records[host]
 		if r == nil {
 			return false
 		}
 		r.checking = false
-		if alive || r.heard.After(began) {
+		if alive || r.lastContact.After(began) {
 			changed := r.State != Alive
 			r.State = Alive
 			return changed
 		}
-		r.probeWait = min(max(2*r.probeWait, firstProbe), maxProbe)
-		r.probeAt = now.Add(r.probeWait)
+		r.probeBackoff = min(max(2*r.probeBackoff, firstProbe), maxProbe)
+		r.nextProbe = now.Add(r.probeBackoff)
 		if r.State == Gone {
 			return false
 		}
-		r.State, r.gone, r.probeWait = Gone, now, firstProbe
-		r.announce = t.rounds()
+		r.State, r.goneAt, r.probeBackoff = Gone, now, firstProbe
+		r.pendingHeartbeats = t.gossipHeartbeats()
 		return true
 	})
 }
 
-// probes returns at most limit gone hosts that are due, one a domain.
-func (t *table) probes(now time.Time, limit int) []string {
+// dueProbes returns up to limit gone hosts whose probe is due, at most one per
+// domain.
+func (t *table) dueProbes(now time.Time, limit int) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []string
 	domains := map[string]bool{}
 	for host, r := range t.records {
-		if len(out) < limit && r.State == Gone && !r.checking && !domains[r.Domain] && !r.probeAt.After(now) {
+		if len(out) < limit && r.State == Gone && !r.checking && !domains[r.Domain] && !r.nextProbe.After(now) {
 			out = append(out, host)
 			domains[r.Domain] = true
 		}
@@ -269,12 +275,13 @@
 	return out
 }
 
-// forget drops hosts that have been gone for long, and returns them.
-func (t *table) forget(now time.Time, after time.Duration) []string {
+// removeGone removes the hosts that have been gone for longer than after and
+// returns their names.
+func (t *table) removeGone(now time.Time, after time.Duration) []string {
 	var out []string
 	t.update(func() bool {
 		for host, r := range t.records {
-			if r.State == Gone && now.Sub(r.gone) > after {
+			if r.State == Gone && now.Sub(r.goneAt) > after {
 				delete(t.records, host)
 				out = append(out, host)
 			}
@@ -284,35 +291,36 @@
 	return out
 }
 
-// news is what one host tells another of a third.
-type news struct {
-	Identity peer.Identity
-	Draining bool
-	Silent   bool // the teller found it silent on a fresh connection
+// memberUpdate is the state of one host, as gossip carries it.
+type memberUpdate struct {
+	Identity     peer.Identity
+	Draining     bool
+	Unresponsive bool // new connections of the sender to the host failed
 }
 
-// takeNews returns up to limit pieces of news that still have to spread.
-func (t *table) takeNews(limit int) []news {
+// pendingUpdates returns up to limit updates that still have to spread, and
+// counts down their remaining heartbeats.
+func (t *table) pendingUpdates(limit int) []memberUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var out []news
+	var out []memberUpdate
 	for _, r := range t.records {
-		if r.announce > 0 && len(out) < limit {
-			r.announce--
-			out = append(out, news{r.Identity, r.Draining, r.State == Gone})
+		if r.pendingHeartbeats > 0 && len(out) < limit {
+			r.pendingHeartbeats--
+			out = append(out, memberUpdate{r.Identity, r.Draining, r.State == Gone})
 		}
 	}
 	return out
 }
 
-// everyone returns all hosts not gone, this one included.
-func (t *table) everyone() []news {
+// liveMembers returns all hosts that are not gone, including this one.
+func (t *table) liveMembers() []memberUpdate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := []news{{t.self, t.draining, false}}
+	out := []memberUpdate{{t.self, t.draining, false}}
 	for _, r := range t.records {
 		if r.State != Gone {
-			out = append(out, news{Identity: r.Identity, Draining: r.Draining})
+			out = append(out, memberUpdate{Identity: r.Identity, Draining: r.Draining})
 		}
 	}
 	return out
--- a/process/peer/codec.go
+++ b/process/peer/codec.go
@@ -6,9 +6,10 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Marshal encodes v as msgpack with structs as arrays: heartbeats are most of
-// the peers' traffic and field names would be most of their bytes. A newer
-// struct may only add fields at its end.
+// Marshal encodes v as msgpack, with structs as arrays: most traffic between
+// peers is heartbeats, and field names would be most of their bytes. Because
+// the position of a field is the format, a struct may only be extended by
+// fields at its end.
 func Marshal(v any) ([]byte, error) {
 	var buf bytes.Buffer
 	enc := msgpack.NewEncoder(&buf)
@@ -20,5 +21,5 @@
 	return buf.Bytes(), nil
 }
 
-// Unmarshal decodes what Marshal, or any msgpack encoder, wrote.
+// Unmarshal decodes data that Marshal or any other msgpack encoder produced.
 func Unmarshal(data []byte, v any) error { return msgpack.Unmarshal(data, v) }
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -10,32 +10,39 @@
 	"bilberrydale/process/clock"
 )
 
-// Conn is one proven connection to one incarnation of a peer.
+// Conn is an authenticated connection to one incarnation of a peer.
 type Conn interface {
+	// Peer returns the identity that the peer proved in the handshake.
 	Peer() Identity
-	// Call returns ErrUnreachable, ErrNoAnswer or ErrRefused on failure.
+	// Call sends a request and returns the payload of the response. Failures are
+	// ErrUnreachable, ErrNoResponse or ErrRefused.
 	Call(ctx context.Context, m Method, payload []byte) ([]byte, error)
+	// Done is closed when the connection ends.
 	Done() <-chan struct{}
+	// Err returns why the connection ended; nil while it is open.
 	Err() error
+	// Close ends the connection.
 	Close()
 }
 
-// Dispatch answers the calls that arrive on a connection.
+// Dispatch executes the calls that arrive on a connection.
 type Dispatch func(ctx context.Context, from Identity, m Method, payload []byte) ([]byte, error)
 
-// Dial opens and proves a connection to address.
+// Dial opens and authenticates a connection to address (host:port). Calls that
+// arrive on it go to serve.
 type Dial func(ctx context.Context, address string, serve Dispatch) (Conn, error)
 
-// MeshOptions configure a Mesh; zero values get the defaults.
+// MeshOptions configure a Mesh. Zero durations and bounds get the defaults.
 type MeshOptions struct {
 	Self  Identity
 	Dial  Dial
 	Clock clock.Clock
 	Rand  clock.Rand
-	// MinBackoff and MaxBackoff bound the wait after failed dials; defaults
+	// MinBackoff and MaxBackoff bound the backoff after failed dials; defaults
 	// 100 ms and 5 s.
 	MinBackoff, MaxBackoff time.Duration
-	// MaxPeers bounds what is remembered; default 4096.
+	// MaxPeers bounds the number of known peers; further ones are ignored.
+	// Default 4096.
 	MaxPeers int
 }
 
@@ -51,33 +58,34 @@
 	}
 }
 
-// Mesh is the Link over connections: it dials on demand, keeps one connection
-// a peer and direction, and knows peers by what Learn and arrivals told it.
+// Mesh implements Link over connections. It dials on demand, keeps one
+// connection per peer and direction, and knows the peers that were passed to
+// AddPeer or that connected to this host.
 type Mesh struct {
 	opts MeshOptions
 
-	mu       sync.Mutex
-	handlers map[Method]Handler
-	peers    map[string]*remote
-	list     []Identity // of peers, in order; nil: to be made anew
-	onSeen   func(Identity)
-	closed   bool
+	mu          sync.Mutex
+	handlers    map[Method]Handler
+	peers       map[string]*peerState
+	sortedPeers []Identity // peers sorted by host; nil: has to be rebuilt
+	onConnect   func(Identity)
+	closed      bool
 }
 
-// remote is what a Mesh keeps of one peer.
-type remote struct {
-	identity Identity
-	dialed   Conn // opened by this end
-	accepted Conn // opened by the peer
-	dialing  chan struct{}
-	failures int
-	notUntil time.Time // no dial before, after failures
+// peerState is the state of a Mesh for one peer.
+type peerState struct {
+	identity    Identity
+	dialed      Conn // opened by this host
+	accepted    Conn // opened by the peer
+	dialing     chan struct{}
+	failedDials int
+	nextDialAt  time.Time // end of the backoff after failed dials
 }
 
 // NewMesh returns a mesh without connections.
 func NewMesh(opts MeshOptions) *Mesh {
 	opts.setDefaults()
-	return &Mesh{opts: opts, handlers: map[Method]Handler{}, peers: map[string]*remote{}}
+	return &Mesh{opts: opts, handlers: map[Method]Handler{}, peers: map[string]*peerState{}}
 }
 
 var _ Link = (*Mesh)(nil)
@@ -85,28 +93,28 @@
 // Self implements Link.
 func (m *Mesh) Self() Identity { return m.opts.Self }
 
-// Peers implements Link. The list is made when a peer comes, goes or restarts, not
-// for each call: requests with stages ask for it.
+// Peers implements Link. The list is rebuilt when a peer is added, removed or
+// restarts, not for each call: requests with stages read it.
 func (m *Mesh) Peers() []Identity {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.list == nil {
-		m.list = make([]Identity, 0, len(m.peers))
+	if m.sortedPeers == nil {
+		m.sortedPeers = make([]Identity, 0, len(m.peers))
 		for _, r := range m.peers {
-			m.list = append(m.list, r.identity)
+			m.sortedPeers = append(m.sortedPeers, r.identity)
 		}
-		sort.Slice(m.list, func(i, j int) bool { return m.list[i].Host < m.list[j].Host })
+		sort.Slice(m.sortedPeers, func(i, j int) bool { return m.sortedPeers[i].Host < m.sortedPeers[j].Host })
 	}
-	return m.list
+	return m.sortedPeers
 }
 
-// Connected returns the peers to which there is a live connection, in order.
+// Connected returns the names of the peers with an open connection, sorted.
 func (m *Mesh) Connected() []string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
 	for host, r := range m.peers {
-		if r.live() != nil {
+		if r.liveConn() != nil {
 			out = append(out, host)
 		}
 	}
@@ -121,11 +129,12 @@
 	m.handlers[method] = h
 }
 
-// OnSeen registers f, which is called with each incarnation that proved itself
-// on a connection. It is called before the mesh starts.
-func (m *Mesh) OnConnect(f func(Identity)) { m.onSeen = f }
+// OnConnect registers f, which is called with the identity of the peer of each
+// new authenticated connection. It must be called before the mesh starts.
+func (m *Mesh) OnConnect(f func(Identity)) { m.onConnect = f }
 
-// Dispatch answers calls that arrive; connections are given it.
+// Dispatch executes a call from a peer with the handler of its method. It is
+// the Dispatch function of the mesh's connections.
 func (m *Mesh) Dispatch(ctx context.Context, from Identity, method Method, payload []byte) ([]byte, error) {
 	m.mu.Lock()
 	h := m.handlers[method]
@@ -136,15 +145,15 @@
 	return h(ctx, from, payload)
 }
 
-// Learn remembers a peer that somebody told of. An older incarnation than the
-// known one is ignored: it is news that travelled slowly.
+// AddPeer adds or updates a peer that another source reported. An older
+// incarnation than the known one is ignored: the report is outdated.
 func (m *Mesh) AddPeer(id Identity) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.learn(id)
+	m.addPeerLocked(id)
 }
 
-func (m *Mesh) learn(id Identity) *remote {
+func (m *Mesh) addPeerLocked(id Identity) *peerState {
 	if id.Host == "" || id.Host == m.opts.Self.Host {
 		return nil
 	}
@@ -153,24 +162,24 @@
 		if len(m.peers) >= m.opts.MaxPeers {
 			return nil
 		}
-		r = &remote{identity: id}
+		r = &peerState{identity: id}
 		m.peers[id.Host] = r
-		m.list = nil
+		m.sortedPeers = nil
 	}
 	if id.Incarnation > r.identity.Incarnation {
 		r.identity = id
-		m.list = nil
-		r.failures, r.notUntil = 0, time.Time{}
+		m.sortedPeers = nil
+		r.failedDials, r.nextDialAt = 0, time.Time{}
 	}
 	return r
 }
 
-// Forget drops a peer and its connections.
+// RemovePeer removes a peer and closes its connections.
 func (m *Mesh) RemovePeer(host string) {
 	m.mu.Lock()
 	r := m.peers[host]
 	delete(m.peers, host)
-	m.list = nil
+	m.sortedPeers = nil
 	m.mu.Unlock()
 	if r != nil {
 		closeConn(r.dialed)
@@ -184,29 +193,30 @@
 	}
 }
 
-// Accepted takes a proven connection that a peer opened.
-func (m *Mesh) AddAccepted(c Conn) { m.install(c, func(r *remote) *Conn { return &r.accepted }) }
+// AddAccepted adds an authenticated connection that a peer opened.
+func (m *Mesh) AddAccepted(c Conn) { m.installConn(c, func(r *peerState) *Conn { return &r.accepted }) }
 
-// install puts c in the place of an earlier connection of the same direction.
-// The peer opened the newer one because it gave up the older.
-func (m *Mesh) install(c Conn, slot func(*remote) *Conn) bool {
+// installConn replaces and closes the earlier connection of the same direction:
+// a peer opens a new one because it abandoned the older. It reports whether c
+// was installed; connections of older incarnations are closed.
+func (m *Mesh) installConn(c Conn, slot func(*peerState) *Conn) bool {
 	id := c.Peer()
 	m.mu.Lock()
-	r := m.learn(id)
+	r := m.addPeerLocked(id)
 	if r == nil || m.closed || id.Incarnation < r.identity.Incarnation {
 		m.mu.Unlock()
 		c.Close()
 		return false
 	}
-	at := slot(r)
-	old := *at
-	*at = c
-	r.failures, r.notUntil = 0, time.Time{}
-	seen := m.onSeen
+	current := slot(r)
+	old := *current
+	*current = c
+	r.failedDials, r.nextDialAt = 0, time.Time{}
+	onConnect := m.onConnect
 	m.mu.Unlock()
 	closeConn(old)
-	if seen != nil {
-		seen(id)
+	if onConnect != nil {
+		onConnect(id)
 	}
 	return true
 }
@@ -217,23 +227,23 @@
 	if err != nil {
 		return fmt.Errorf("encode %s: %w", method, err)
 	}
-	c, err := m.conn(ctx, host)
+	c, err := m.connect(ctx, host)
 	if err != nil {
 		return err
 	}
-	answer, err := c.Call(ctx, method, payload)
+	response, err := c.Call(ctx, method, payload)
 	if err != nil {
 		return fmt.Errorf("%s to %s: %w", method, host, err)
 	}
 	if out == nil {
 		return nil
 	}
-	return Unmarshal(answer, out)
+	return Unmarshal(response, out)
 }
 
-// conn returns a live connection to the newest known incarnation of host,
-// dialing if there is none.
-func (m *Mesh) conn(ctx context.Context, host string) (Conn, error) {
+// connect returns an open connection to the newest known incarnation of host.
+// It dials if there is none, or waits for a dial in progress.
+func (m *Mesh) connect(ctx context.Context, host string) (Conn, error) {
 	for {
 		m.mu.Lock()
 		r := m.peers[host]
@@ -241,31 +251,31 @@
 			m.mu.Unlock()
 			return nil, fmt.Errorf("%w: %s is not known", ErrUnreachable, host)
 		}
-		if c := r.live(); c != nil {
+		if c := r.liveConn(); c != nil {
 			m.mu.Unlock()
 			return c, nil
 		}
-		if wait := r.notUntil.Sub(m.opts.Clock.Now()); wait > 0 {
+		if wait := r.nextDialAt.Sub(m.opts.Clock.Now()); wait > 0 {
 			m.mu.Unlock()
 			return nil, fmt.Errorf("%w: %s: next dial in %s", ErrUnreachable, host, wait)
 		}
-		other := r.dialing
-		if other == nil {
+		pending := r.dialing
+		if pending == nil {
 			r.dialing = make(chan struct{})
 		}
 		m.mu.Unlock()
-		if other == nil {
-			return m.dial(ctx, r)
+		if pending == nil {
+			return m.dialForWaiters(ctx, r)
 		}
 		select {
-		case <-other:
+		case <-pending:
 		case <-ctx.Done():
 			return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, host, ctx.Err())
 		}
 	}
 }
 
-func (r *remote) live() Conn {
+func (r *peerState) liveConn() Conn {
 	for _, c := range []Conn{r.dialed, r.accepted} {
 		if c == nil || c.Peer().Incarnation != r.identity.Incarnation {
 			continue
@@ -279,54 +289,55 @@
 	return nil
 }
 
-// dial opens the one connection that other callers wait for.
-func (m *Mesh) dial(ctx context.Context, r *remote) (Conn, error) {
+// dialForWaiters dials r and then wakes the callers that wait for this dial.
+func (m *Mesh) dialForWaiters(ctx context.Context, r *peerState) (Conn, error) {
 	defer func() {
 		m.mu.Lock()
 		close(r.dialing)
 		r.dialing = nil
 		m.mu.Unlock()
 	}()
-	return m.open(ctx, r)
+	return m.dialPeer(ctx, r)
 }
 
-func (m *Mesh) open(ctx context.Context, r *remote) (Conn, error) {
+func (m *Mesh) dialPeer(ctx context.Context, r *peerState) (Conn, error) {
 	m.mu.Lock()
 	want := r.identity
 	m.mu.Unlock()
 	c, err := m.opts.Dial(ctx, want.Address, m.Dispatch)
 	if err != nil {
-		m.failed(r)
+		m.recordFailedDial(r)
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, want.Host, err)
 	}
 	if got := c.Peer().Host; got != want.Host {
-		// The address now belongs to another entry host.
-		m.install(c, func(r *remote) *Conn { return &r.dialed })
-		m.failed(r)
+		// The address was reassigned to another entry host.
+		m.installConn(c, func(r *peerState) *Conn { return &r.dialed })
+		m.recordFailedDial(r)
 		return nil, fmt.Errorf("%w: %s: %s answers at %s", ErrUnreachable, want.Host, got, want.Address)
 	}
-	if !m.install(c, func(r *remote) *Conn { return &r.dialed }) {
+	if !m.installConn(c, func(r *peerState) *Conn { return &r.dialed }) {
 		return nil, fmt.Errorf("%w: %s: an older incarnation answers", ErrUnreachable, want.Host)
 	}
 	return c, nil
 }
 
-// failed sets the wait before the next dial. It doubles, so that a dead peer
-// costs little, and is spread at random, so that a peer that comes back is not
-// met by every other at once.
-func (m *Mesh) failed(r *remote) {
+// recordFailedDial sets the backoff before the next dial. It doubles with each
+// failure, which limits the cost of a dead peer, and is jittered, so that the
+// other hosts do not all dial a recovered peer at once.
+func (m *Mesh) recordFailedDial(r *peerState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r.failures++
-	wait := m.opts.MinBackoff << min(r.failures-1, 10)
+	r.failedDials++
+	wait := m.opts.MinBackoff << min(r.failedDials-1, 10)
 	wait = min(wait, m.opts.MaxBackoff)
 	wait = time.Duration((0.5 + m.opts.Rand.Float64()/2) * float64(wait))
-	r.notUntil = m.opts.Clock.Now().Add(wait)
+	r.nextDialAt = m.opts.Clock.Now().Add(wait)
 }
 
-// Fresh opens a new connection to host whatever the state of the present one,
-// and returns nil when the peer proved itself on it. The proof is an answer of
-// the peer's process, so nil is evidence that the host lives.
+// Reconnect opens a new connection to host regardless of the state of the
+// current one, and returns nil when the peer authenticated itself on it. The
+// handshake is a response of the peer's process, so nil is evidence that the
+// host is alive.
 func (m *Mesh) Reconnect(ctx context.Context, host string) error {
 	m.mu.Lock()
 	r := m.peers[host]
@@ -334,11 +345,13 @@
 	if r == nil {
 		return fmt.Errorf("%w: %s is not known", ErrUnreachable, host)
 	}
-	_, err := m.open(ctx, r)
+	_, err := m.dialPeer(ctx, r)
 	return err
 }
 
-// Meet opens a connection to an address whose entry host is not yet known.
+// DialAddress opens a connection to an address whose entry host is not yet
+// known and returns the identity of the host that answers. An address of this
+// host itself is no error; the connection is closed.
 func (m *Mesh) DialAddress(ctx context.Context, address string) (Identity, error) {
 	c, err := m.opts.Dial(ctx, address, m.Dispatch)
 	if err != nil {
@@ -349,7 +362,7 @@
 		c.Close()
 		return id, nil
 	}
-	m.install(c, func(r *remote) *Conn { return &r.dialed })
+	m.installConn(c, func(r *peerState) *Conn { return &r.dialed })
 	return id, nil
 }
 
@@ -357,12 +370,12 @@
 func (m *Mesh) Close() {
 	m.mu.Lock()
 	m.closed = true
-	var all []Conn
+	var conns []Conn
 	for _, r := range m.peers {
-		all = append(all, r.dialed, r.accepted)
+		conns = append(conns, r.dialed, r.accepted)
 	}
 	m.mu.Unlock()
-	for _, c := range all {
+	for _, c := range conns {
 		closeConn(c)
 	}
 }
--- a/process/peer/peer.go
+++ b/process/peer/peer.go
@@ -1,6 +1,7 @@
-// Package peer is what entry hosts say to each other: msgpack frames over TCP
-// between processes that proved a shared secret. It carries heartbeats,
-// releases, suspects and hand-overs of claims.
+// Package peer defines the calls between entry hosts and keeps the
+// connections that carry them: msgpack frames over TCP between processes that
+// authenticated each other with a shared secret. Heartbeats, releases,
+// quarantine reports and transfers of claims go over them.
 package peer
 
 import (
@@ -8,31 +9,33 @@
 	"errors"
 )
 
-// Errors of the link. Use errors.Is.
+// Errors of Link.Call. Compare with errors.Is.
 var (
-	// ErrUnreachable: no byte of the call can have been read by the peer.
+	// ErrUnreachable means that the peer cannot have read any byte of the call.
 	ErrUnreachable = errors.New("peer: unreachable")
-	// ErrNoAnswer: the call was sent and its answer did not come.
+	// ErrNoResponse means that the call was sent and no response arrived; the
+	// peer may have executed it.
 	ErrNoResponse = errors.New("peer: no answer")
-	// ErrRefused: the peer's handler returned an error.
+	// ErrRefused means that the peer's handler returned an error.
 	ErrRefused = errors.New("peer: refused")
 )
 
-// Identity names one incarnation of one entry host.
+// Identity identifies one process of an entry host.
 type Identity struct {
 	Host        string // name of the entry host
-	Incarnation uint64 // differs at every start of the process
+	Incarnation uint64 // increases with every start of the process
 	Domain      string // failure domain
 	Region      string
 	Address     string // peer address, host:port
-	// Cores is the processor time of the host in cores; 0: not known. Work for
-	// other hosts goes to a strong one.
+	// Cores is the processor time available to the host, in cores; 0: unknown.
+	// Hosts with more of it are preferred for work on behalf of others.
 	Cores float64 `json:"Share"`
 }
 
-// Before tells whether a comes before b as the host that works for others: the
-// stronger, then the one that has run for longer, which is most likely to stay
-// and keeps the work when others come.
+// Outranks reports whether a is preferred to b for work on behalf of other
+// hosts. The host with more cores is preferred, then the one that started
+// first: it is more likely to stay, and it keeps the work when others join.
+// Equal ones are ordered by name, so that all hosts compute the same order.
 func Outranks(a, b Identity) bool {
 	if a.Cores != b.Cores {
 		return a.Cores > b.Cores
@@ -43,22 +46,25 @@
 	return a.Host < b.Host
 }
 
-// Method names a kind of call.
+// Method is the name of a call, as sent on the wire.
 type Method string
 
-// Handler answers a call. payload and the result are msgpack. It must not
-// keep payload.
+// Handler executes a call from another host. payload and the result are
+// msgpack. The handler must not retain payload after it returns.
 type Handler func(ctx context.Context, from Identity, payload []byte) ([]byte, error)
 
-// Link connects this entry host with the others. Implementations are safe for
-// concurrent use.
+// Link sends calls to the other entry hosts and receives theirs.
+// Implementations are safe for concurrent use.
 type Link interface {
+	// Self returns the identity of this entry host.
 	Self() Identity
-	// Peers returns the peers known now, reachable or not, by name. The caller must
-	// not change the slice.
+	// Peers returns the known peers, reachable or not, sorted by host name. The
+	// caller must not modify the slice.
 	Peers() []Identity
-	// Handle registers h; it is called before the link starts.
+	// Handle registers h for calls of method m. It must be called before the
+	// link starts.
 	Handle(m Method, h Handler)
-	// Call sends in to host and decodes its answer into out (nil: none).
+	// Call sends in to host and decodes the response into out; nil discards it.
+	// It returns ErrUnreachable, ErrNoResponse or ErrRefused if the call failed.
 	Call(ctx context.Context, host string, m Method, in, out any) error
 }
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -1,5 +1,5 @@
-// Package peertest is an in-memory network of peer links for tests, with cuts
-// between hosts and between groups of hosts.
+// Package peertest provides an in-memory network of peer links for tests, with
+// injected faults between pairs of hosts.
 package peertest
 
 import (
@@ -13,36 +13,38 @@
 	"bilberrydale/process/peer"
 )
 
-// Network connects the links that joined it.
+// Network delivers calls between the links that joined it. It is safe for
+// concurrent use.
 type Network struct {
-	mu    sync.Mutex
-	links map[string]*Link
-	cuts  map[[2]string]cut
-	bytes map[string]int64
-	calls map[string]int64
+	mu     sync.Mutex
+	links  map[string]*Link
+	faults map[[2]string]fault // by caller and callee
+	bytes  map[string]int64    // payloads, by host
+	calls  map[string]int64    // by calling host
 }
 
-type cut int
+// fault is the way in which calls from one host to another fail.
+type fault int
 
 const (
-	cutBefore     cut = iota + 1 // calls do not reach the peer
-	cutAfter                     // calls reach the peer, answers are lost
-	cutConnection                // calls get lost until a fresh connection is opened
+	dropRequests    fault = iota + 1 // calls do not reach the callee
+	dropResponses                    // calls are executed, responses are lost
+	staleConnection                  // calls are lost until Reconnect
 )
 
 // NewNetwork returns an empty network.
 func NewNetwork() *Network {
-	return &Network{links: map[string]*Link{}, cuts: map[[2]string]cut{}, bytes: map[string]int64{}, calls: map[string]int64{}}
+	return &Network{links: map[string]*Link{}, faults: map[[2]string]fault{}, bytes: map[string]int64{}, calls: map[string]int64{}}
 }
 
-// Link is one host's end; it implements peer.Link.
+// Link implements peer.Link and member.Transport for one host of a Network.
 type Link struct {
 	net      *Network
 	self     peer.Identity
 	handlers map[peer.Method]peer.Handler
 }
 
-// Join adds a host; a host of the same name is replaced, as by a restart.
+// Join adds a host. It replaces a host of the same name, as a restart does.
 func (n *Network) Join(self peer.Identity) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -51,29 +53,34 @@
 	return l
 }
 
-// Leave removes a host, as by kill.
+// Leave removes a host, as if its process was killed.
 func (n *Network) Leave(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.links, host)
 }
 
-// Cut stops calls from a to b and from b to a.
-func (n *Network) Partition(a, b string) { n.set(a, b, cutBefore); n.set(b, a, cutBefore) }
+// Partition makes calls between a and b fail before they are delivered, in both
+// directions.
+func (n *Network) Partition(a, b string) {
+	n.setFault(a, b, dropRequests)
+	n.setFault(b, a, dropRequests)
+}
 
-// LoseAnswers lets calls from a reach b but loses b's answers.
-func (n *Network) LoseResponses(a, b string) { n.set(a, b, cutAfter) }
+// LoseResponses delivers calls from a to b but drops b's responses.
+func (n *Network) LoseResponses(a, b string) { n.setFault(a, b, dropResponses) }
 
-// Heal undoes Cut and LoseAnswers between a and b.
-func (n *Network) Heal(a, b string) { n.set(a, b, 0); n.set(b, a, 0) }
+// Heal removes all faults between a and b, in both directions.
+func (n *Network) Heal(a, b string) { n.setFault(a, b, 0); n.setFault(b, a, 0) }
 
-func (n *Network) set(a, b string, c cut) {
+func (n *Network) setFault(a, b string, c fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}] = c
+	n.faults[[2]string{a, b}] = c
 }
 
-// Traffic returns the calls a host made and the payload bytes it sent and got.
+// Traffic returns the number of calls that host made and the payload bytes that
+// it sent and received.
 func (n *Network) Traffic(host string) (calls, bytes int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -111,25 +118,25 @@
 		return fmt.Errorf("encode %s: %w", m, err)
 	}
 	l.net.mu.Lock()
-	to, c := l.net.links[host], l.net.cuts[[2]string{l.self.Host, host}]
+	to, c := l.net.links[host], l.net.faults[[2]string{l.self.Host, host}]
 	var h peer.Handler
 	if to != nil {
 		h = to.handlers[m]
 	}
 	l.net.calls[l.self.Host]++
 	l.net.mu.Unlock()
-	if to == nil || c == cutBefore {
+	if to == nil || c == dropRequests {
 		return peer.ErrUnreachable
 	}
-	if c == cutConnection {
+	if c == staleConnection {
 		return peer.ErrNoResponse
 	}
 	if h == nil {
 		return fmt.Errorf("%w: no handler for %s", peer.ErrRefused, m)
 	}
-	answer, err := h(ctx, l.self, payload)
-	l.net.count(l.self.Host, host, len(payload)+len(answer))
-	if c == cutAfter || ctx.Err() != nil {
+	response, err := h(ctx, l.self, payload)
+	l.net.countBytes(l.self.Host, host, len(payload)+len(response))
+	if c == dropResponses || ctx.Err() != nil {
 		return peer.ErrNoResponse
 	}
 	if err != nil {
@@ -138,10 +145,10 @@
 	if out == nil {
 		return nil
 	}
-	return msgpack.Unmarshal(answer, out)
+	return msgpack.Unmarshal(response, out)
 }
 
-func (n *Network) count(a, b string, size int) {
+func (n *Network) countBytes(a, b string, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.bytes[a] += int64(size)
--- a/process/peer/peertest/transport.go
+++ b/process/peer/peertest/transport.go
@@ -6,27 +6,28 @@
 	"bilberrydale/process/peer"
 )
 
-// Learn does nothing: every link knows the whole network.
+// AddPeer does nothing: every link knows the whole network.
 func (l *Link) AddPeer(peer.Identity) {}
 
-// Forget does nothing, as Learn.
+// RemovePeer does nothing, for the same reason as AddPeer.
 func (l *Link) RemovePeer(string) {}
 
-// Fresh succeeds when host has joined and no cut is in between. A lost answer
-// fails it too: the proof would not arrive.
+// Reconnect succeeds if host has joined and no fault but a stale connection is
+// set; it removes that one. Lost responses make it fail, because the handshake
+// needs a response.
 func (l *Link) Reconnect(_ context.Context, host string) error {
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	pair := [2]string{l.self.Host, host}
-	c := l.net.cuts[pair]
-	if l.net.links[host] == nil || (c != 0 && c != cutConnection) {
+	c := l.net.faults[pair]
+	if l.net.links[host] == nil || (c != 0 && c != staleConnection) {
 		return peer.ErrUnreachable
 	}
-	delete(l.net.cuts, pair)
+	delete(l.net.faults, pair)
 	return nil
 }
 
-// Meet finds the host by its address.
+// DialAddress returns the identity of the host with the given address.
 func (l *Link) DialAddress(ctx context.Context, address string) (peer.Identity, error) {
 	l.net.mu.Lock()
 	var found *Link
@@ -42,10 +43,10 @@
 	return found.self, nil
 }
 
-// Break makes calls from a to b fail while fresh connections work, as on a
-// connection that something in between has forgotten. Heal undoes it.
+// BreakConnection makes calls from a to b fail until a reconnects, as on a
+// connection whose state a middlebox has dropped. Heal undoes it.
 func (n *Network) BreakConnection(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cuts[[2]string{a, b}] = cutConnection
+	n.faults[[2]string{a, b}] = staleConnection
 }
