--- a/process/report/report.go
+++ b/process/report/report.go
@@ -1,6 +1,6 @@
-// Package report knows how backend servers fare: it polls their load reports,
-// each from two hosts of their domain, shares what it learns, and keeps new
-// work away from servers that leave or are dead.
+// Package report polls the load reports of the backend servers, each server
+// from two hosts of its failure domain, shares the results between the entry
+// hosts, and keeps new work away from servers that are leaving or dead.
 package report
 
 import (
@@ -20,55 +20,56 @@
 	"bilberrydale/process/server"
 )
 
-// Errors of a poll. Use errors.Is.
+// Errors of a poll. Compare with errors.Is.
 var (
-	// ErrNoReport: the server answered, but not with a load report.
+	// ErrNoReport means that the server responded, but not with a load report.
 	ErrNoReport = errors.New("report: the server gives no load report")
-	// ErrNoConnection: no connection to the server could be opened.
+	// ErrNoConnection means that no connection to the server could be opened.
 	ErrNoConnection = errors.New("report: no connection to the server")
 )
 
-// Report is a backend server's own account.
+// Report is the load report of a backend server.
 type Report struct {
-	Running int
-	Queued  int
-	Slots   int
-	Models  []string
+	Running int      // requests being executed
+	Queued  int      // requests waiting
+	Slots   int      // requests that it executes concurrently
+	Models  []string // loaded models, as model/adapter@version
 	Role    string
-	Leaving bool
+	Leaving bool // the server is shutting down and takes no new work
 }
 
-// Prober asks backend servers.
+// Prober polls backend servers. Implementations are safe for concurrent use.
 type Prober interface {
-	// Report polls address, on a fresh connection if fresh is set. It returns
-	// ErrNoReport, ErrNoConnection, or another error when no answer came.
+	// Poll fetches the load report of the server at address (host:port). If fresh
+	// is set it opens a new connection. It returns ErrNoReport, ErrNoConnection, or
+	// another error if no response arrived.
 	Poll(ctx context.Context, address string, fresh bool) (Report, error)
-	// Forget drops kept connections.
+	// CloseIdleConnections closes the connections kept from earlier polls.
 	CloseIdleConnections()
 }
 
-// Target is one backend server of the tables in force.
+// Target is a backend server of the tables in force.
 type Target struct {
 	State  *server.State
-	Domain string
+	Domain string // failure domain
 }
 
-// Options configure a Watcher; zero values get the defaults.
+// Options configure a Poller. Zero durations and counts get the defaults.
 type Options struct {
 	Link    peer.Link
 	View    member.View
-	Monitor *member.Monitor // carries signs on its heartbeats; may be nil
+	Monitor *member.Monitor // its heartbeats carry server statuses; may be nil
 	Clock   clock.Clock
 	Rand    clock.Rand
 	Prober  Prober
 	// Targets returns the backend servers of all domains.
 	Targets func() []Target
-	// Hosts reads the platform's list; may be nil.
+	// ListHosts reads the platform's host list. May be nil.
 	ListHosts func(ctx context.Context) ([]objectapi.Host, error)
 
 	Interval            time.Duration // between polls; default 1 s
-	Owners              int           // hosts of the domain that poll one server; default 2
-	ShareBytesPerSecond int           // bytes a second for sharing load with peers; default 750
+	Owners              int           // hosts of the domain that poll each server; default 2
+	ShareBytesPerSecond int           // limit for sharing load with peers; default 750
 }
 
 func (o *Options) setDefaults() {
@@ -83,206 +84,217 @@
 	}
 }
 
-// Polls in a row that open no connection before a server is taken for dead: a
-// refused connection says that no process listens, a lost one may be a full
-// queue. A server that takes connections and answers late or never is not
-// taken out here: an overloaded one does that too, and taking it out would
-// overload the others in turn. Requests to it decide (version/pick ejects).
+// Consecutive polls that cannot connect before a server counts as down. A
+// refused connection means that no process listens; a timeout may be a full
+// accept queue and needs more evidence. A server that accepts connections but
+// responds late or never is not marked down here: an overloaded server does the
+// same, and removing it would overload the others in turn. Its requests decide
+// (version/pick ejects servers).
 const (
-	refusedPolls = 2
-	lostPolls    = 3
+	maxRefusedConnects = 2
+	maxFailedConnects  = 3
 )
 
-// Counters count a Watcher's work.
+// Counters count the work of a Poller since its start: rounds, polls of servers,
+// reads of the host list, and the calls and bytes that share loads with peers.
 type Counters struct{ Rounds, Polls, HostListReads, LoadsShared, LoadsSharedBytes atomic.Int64 }
 
-// Watcher polls, shares and applies reports.
+// Poller polls the backend servers of its domain, shares their loads and
+// statuses with other hosts, and applies both to the server states. It is safe
+// for concurrent use.
 type Poller struct {
 	Counters Counters
 
 	opts Options
 	mu   sync.Mutex
-	// known is by server address; servers of older releases are dropped.
-	known   map[string]*known
-	byRow   map[uint32]*known // by the key of shared loads
-	seeds   []string          // addresses of listed hosts that are no backend servers
-	shareAt time.Time
-	sends   int
-	rounds  int
-	present map[string]uint64 // incarnations of the hosts not gone
-	joined  atomic.Bool       // a host came since signs were last repeated
-	work    background.Group
+	// servers is keyed by address. Servers that the tables no longer have are
+	// dropped.
+	servers       map[string]*serverRecord
+	byAddressHash map[uint32]*serverRecord // by the hash that shared loads carry
+	seeds         []string                 // addresses of listed hosts that are not backend servers
+	nextShare     time.Time
+	shares        int // calls of loadRows that were due
+	rounds        int
+	incarnations  map[string]uint64 // of the hosts that are not gone
+	hostJoined    atomic.Bool       // a host joined since statuses were last repeated
+	tasks         background.Group
 }
 
-// known is what this host holds of one backend server.
-type known struct {
-	target  Target
-	sign    sign
-	spread  int  // heartbeats that still carry the sign
-	down    bool // by this host's own probes
-	checkAt time.Time
-	missed  int
-	busy    bool
-	report  Report
-	first   bool // this host is the first owner and shares the load
-	polled  bool // by this host since the last share
-	detail  bool // models or role changed since the last share
+// serverRecord is the state of a Poller for one backend server.
+type serverRecord struct {
+	target            Target
+	status            serverStatus
+	pendingHeartbeats int  // heartbeats that still carry the status
+	down              bool // according to this host's own polls
+	nextCheck         time.Time
+	failedConnects    int
+	polling           bool
+	report            Report
+	primaryOwner      bool // this host is the first owner and shares the load
+	unshared          bool // polled by this host since the last share
+	detailsChanged    bool // models, role or slots changed since the last share
 }
 
-// New returns a watcher and registers it on the link and the heartbeats.
+// New returns a poller and registers it on the link and the heartbeats. It must
+// be called before the link and the monitor start.
 func New(opts Options) *Poller {
 	opts.setDefaults()
-	w := &Poller{opts: opts, known: map[string]*known{}}
-	opts.Link.Handle(MethodLoads, w.onLoads)
-	opts.View.OnChange(w.noteJoined)
+	p := &Poller{opts: opts, servers: map[string]*serverRecord{}}
+	opts.Link.Handle(MethodLoads, p.handleLoads)
+	opts.View.OnChange(p.detectJoinedHosts)
 	if opts.Monitor != nil {
-		opts.Monitor.Attach("signs", w.produceSigns, w.consumeSigns)
+		opts.Monitor.Attach("signs", p.encodeStatuses, p.applyPeerStatuses)
 	}
-	return w
+	return p
 }
 
-// Run polls and shares until ctx ends.
-func (w *Poller) Run(ctx context.Context) error {
-	defer w.work.Close()
+// Run polls servers and shares their loads until ctx is cancelled. It always
+// returns nil.
+func (p *Poller) Run(ctx context.Context) error {
+	defer p.tasks.Close()
 	for {
-		w.round(ctx)
-		wait := time.Duration((0.9 + 0.2*w.opts.Rand.Float64()) * float64(w.opts.Interval))
+		p.runRound(ctx)
+		wait := time.Duration((0.9 + 0.2*p.opts.Rand.Float64()) * float64(p.opts.Interval))
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-w.opts.Clock.After(wait):
+		case <-p.opts.Clock.After(wait):
 		}
 	}
 }
 
-func (w *Poller) round(ctx context.Context) {
-	w.refresh()
-	w.Counters.Rounds.Add(1)
-	if w.joined.Swap(false) {
-		w.repeatSigns()
+func (p *Poller) runRound(ctx context.Context) {
+	p.updateTargets()
+	p.Counters.Rounds.Add(1)
+	if p.hostJoined.Swap(false) {
+		p.repeatStatuses()
 	}
-	self := w.opts.Link.Self()
-	hosts := member.HostsInDomain(w.opts.View, self, self.Domain)
-	now := w.opts.Clock.Now()
-	for _, k := range w.due(self, hosts, now) {
-		w.work.Go(func() { w.poll(ctx, k) })
+	self := p.opts.Link.Self()
+	hosts := member.HostsInDomain(p.opts.View, self, self.Domain)
+	now := p.opts.Clock.Now()
+	for _, rec := range p.duePolls(self, hosts, now) {
+		p.tasks.Go(func() { p.poll(ctx, rec) })
 	}
-	if w.opts.ListHosts != nil && member.IsOwner(w.opts.View, self, "platform host list", w.opts.Owners) {
-		w.work.Go(func() { w.list(ctx) })
+	if p.opts.ListHosts != nil && member.IsOwner(p.opts.View, self, "platform host list", p.opts.Owners) {
+		p.tasks.Go(func() { p.readHostList(ctx) })
 	}
-	w.work.Go(func() { w.share(ctx, hosts, now) })
+	p.tasks.Go(func() { p.shareLoads(ctx, hosts, now) })
 }
 
-// refresh takes in the servers of the tables in force.
-func (w *Poller) refresh() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	next := make(map[string]*known, len(w.known))
-	for _, t := range w.opts.Targets() {
-		k := w.known[t.State.Address]
-		if k == nil || k.target != t {
-			k = &known{target: t}
-			w.apply(k) // forget what was known before the tables left it out
+// updateTargets replaces the polled servers by those of the tables in force.
+func (p *Poller) updateTargets() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	next := make(map[string]*serverRecord, len(p.servers))
+	for _, t := range p.opts.Targets() {
+		rec := p.servers[t.State.Address]
+		if rec == nil || rec.target != t {
+			rec = &serverRecord{target: t}
+			p.applyStatus(rec) // reset the state from before the tables dropped it
 		}
-		next[t.State.Address] = k
+		next[t.State.Address] = rec
 	}
-	if w.known != nil && maps.Equal(next, w.known) {
+	if p.servers != nil && maps.Equal(next, p.servers) {
 		return
 	}
-	w.known, w.byRow = next, make(map[uint32]*known, len(next))
-	for address, k := range next {
-		w.byRow[rowKey(address)] = k
+	p.servers, p.byAddressHash = next, make(map[uint32]*serverRecord, len(next))
+	for address, rec := range next {
+		p.byAddressHash[addressHash(address)] = rec
 	}
 }
 
-// due returns the servers to poll now: those that this host owns, and those
-// that it holds for dead, rarely, in case the owners cannot reach them.
-func (w *Poller) due(self peer.Identity, hosts []string, now time.Time) []*known {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.rounds++
-	var out []*known
-	for address, k := range w.known {
+// duePolls returns the servers to poll now and marks them as being polled: those
+// that this host owns, and, less often, those that it considers down, in case
+// their owners cannot reach them.
+func (p *Poller) duePolls(self peer.Identity, hosts []string, now time.Time) []*serverRecord {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.rounds++
+	var out []*serverRecord
+	for address, rec := range p.servers {
 		owned := false
-		k.first = false
-		if k.target.Domain == self.Domain {
-			place := member.RankIndex(address, self.Host, hosts)
-			k.first = place == 0
-			owned = k.first || (place < w.opts.Owners && w.rounds%standbyEvery == 0)
+		rec.primaryOwner = false
+		if rec.target.Domain == self.Domain {
+			rank := member.RankIndex(address, self.Host, hosts)
+			rec.primaryOwner = rank == 0
+			owned = rec.primaryOwner || (rank < p.opts.Owners && p.rounds%standbyPollRounds == 0)
 		}
-		if k.busy {
+		if rec.polling {
 			continue
 		}
-		recheck := k.down && !now.Before(k.checkAt)
+		recheck := rec.down && !now.Before(rec.nextCheck)
 		if owned || recheck {
-			k.busy = true
-			out = append(out, k)
+			rec.polling = true
+			out = append(out, rec)
 		}
 	}
 	return out
 }
 
-// standbyEvery is how often owners after the first poll, in intervals. They
-// matter only while the first is stopped or cut off, and what is left of the
-// three seconds has to do for spreading the sign.
-const standbyEvery = 2
+// standbyPollRounds is the number of rounds between the polls of owners after
+// the first. They matter only while the first owner is stopped or partitioned,
+// and the rest of the three seconds that a status change may take has to suffice
+// for spreading it.
+const standbyPollRounds = 2
 
-// recheckIntervals is how often a host that does not own a dead server looks
-// at it by itself.
+// recheckIntervals is the number of intervals between polls of a down server by
+// a host that does not own it.
 const recheckIntervals = 10
 
-// poll asks one server. A failure on a kept connection counts only when a
-// fresh connection fails too: the kept one may have been forgotten by
-// something in between while the server lives.
-func (w *Poller) poll(ctx context.Context, k *known) {
-	address := k.target.State.Address
-	w.Counters.Polls.Add(1)
-	r, err := w.opts.Prober.Poll(ctx, address, false)
+// poll polls one server and records the result. A failure on a kept connection
+// counts only if a new connection fails as well: a middlebox may have dropped the
+// state of the kept one while the server is alive.
+func (p *Poller) poll(ctx context.Context, rec *serverRecord) {
+	address := rec.target.State.Address
+	p.Counters.Polls.Add(1)
+	r, err := p.opts.Prober.Poll(ctx, address, false)
 	if err != nil && !errors.Is(err, ErrNoReport) && ctx.Err() == nil {
-		w.opts.Prober.CloseIdleConnections()
-		r, err = w.opts.Prober.Poll(ctx, address, true)
+		p.opts.Prober.CloseIdleConnections()
+		r, err = p.opts.Prober.Poll(ctx, address, true)
 	}
 	if ctx.Err() != nil {
 		return
 	}
 	switch {
 	case err == nil:
-		w.reported(k, r)
+		p.recordReport(rec, r)
 	case errors.Is(err, ErrNoReport):
-		w.answered(k)
+		p.recordNoReport(rec)
 	default:
-		w.failed(k, err)
+		p.recordFailure(rec, err)
 	}
 }
 
-func (w *Poller) reported(k *known, r Report) {
-	now := w.opts.Clock.Now()
-	w.mu.Lock()
-	k.detail = k.detail || r.Role != k.report.Role || !equal(r.Models, k.report.Models) || r.Slots != k.report.Slots
-	k.report, k.polled = r, true
-	w.mu.Unlock()
-	k.target.State.SetLoad(&server.Load{
+func (p *Poller) recordReport(rec *serverRecord, r Report) {
+	now := p.opts.Clock.Now()
+	p.mu.Lock()
+	rec.detailsChanged = rec.detailsChanged || r.Role != rec.report.Role || !equal(r.Models, rec.report.Models) || r.Slots != rec.report.Slots
+	rec.report, rec.unshared = r, true
+	p.mu.Unlock()
+	rec.target.State.SetLoad(&server.Load{
 		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: now,
 	})
-	w.observe(k, func(s *sign) { s.Down, s.Reported = false, r.Leaving })
+	p.updateStatus(rec, func(s *serverStatus) { s.Down, s.ReportedLeaving = false, r.Leaving })
 }
 
-func (w *Poller) answered(k *known) { w.observe(k, func(s *sign) { s.Down = false }) }
+func (p *Poller) recordNoReport(rec *serverRecord) {
+	p.updateStatus(rec, func(s *serverStatus) { s.Down = false })
+}
 
-func (w *Poller) failed(k *known, err error) {
-	limit := lostPolls
+func (p *Poller) recordFailure(rec *serverRecord, err error) {
+	limit := maxFailedConnects
 	if errors.Is(err, syscall.ECONNREFUSED) {
-		limit = refusedPolls
+		limit = maxRefusedConnects
 	}
-	w.mu.Lock()
-	k.busy = false
+	p.mu.Lock()
+	rec.polling = false
 	if errors.Is(err, ErrNoConnection) {
-		k.missed++
+		rec.failedConnects++
 	}
-	dead := k.missed >= limit
-	w.mu.Unlock()
+	dead := rec.failedConnects >= limit
+	p.mu.Unlock()
 	if dead {
-		w.observe(k, func(s *sign) { s.Down = true })
+		p.updateStatus(rec, func(s *serverStatus) { s.Down = true })
 	}
 }
 
--- a/process/server/health.go
+++ b/process/server/health.go
@@ -7,109 +7,116 @@
 	"bilberrydale/process/estimate"
 )
 
-// Outcome is how an attempt on a backend server ended.
+// Outcome is the result of an attempt on a backend server.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of an attempt.
 const (
 	Succeeded   Outcome = iota
-	Failed              // a reset, silence or a server error
-	Unreachable         // no connection could be made
-	Overloaded          // refused as not started; the server is well but full
+	Failed              // connection reset, timeout or server error
+	Unreachable         // no connection could be opened
+	Overloaded          // refused before execution; the server is healthy but full
 )
 
-// Ejection: after failures in a row the server is passed over, but for one
-// trial each time a period that doubles is over.
+// Ejection: after ejectAfterFailures consecutive failures a server gets no
+// requests for firstEjection, then one trial request. The period doubles each
+// time, up to the given number of doublings.
 const (
-	ejectAfter = 3
-	ejectFirst = time.Second
-	maxDoubles = 2
-	// A lost server's own load report tells when it is back; trials, which cost
-	// the stages before them, are left for servers without reports.
-	maxDoublesLost = 5
+	ejectAfterFailures   = 3
+	firstEjection        = time.Second
+	maxEjectionDoublings = 2
+	// The load report of a disconnected server shows when it is back. Trial
+	// requests are needed only for servers without reports, and a failed one wastes
+	// the work of the stages before it, so they are rarer.
+	maxDisconnectedDoublings = 5
 )
 
-// health is the evidence of attempts about a server.
+// health is the state of a server derived from the outcomes of attempts.
 type health struct {
-	streak      atomic.Int64 // failures in a row
-	unreachable atomic.Bool  // the last failure was that of the connection
-	periods     atomic.Int64 // of ejection, without a success between
-	until       atomic.Int64 // unix nanoseconds of the next trial
-	failedAt    atomic.Int64 // unix nanoseconds of the last failure
-	latency     estimate.Latency
+	consecutiveFailures atomic.Int64 // Failed adds 1, Unreachable adds ejectAfterFailures
+	unreachable         atomic.Bool  // the last failure was Unreachable
+	ejections           atomic.Int64 // ejection periods since the last success
+	ejectedUntil        atomic.Int64 // unix nanoseconds of the next trial
+	lastFailureAt       atomic.Int64 // unix nanoseconds of the last failure
+	latency             estimate.Latency
 }
 
-// Record notes the end of an attempt.
+// RecordOutcome records the outcome of an attempt that ended at now and took the
+// given time.
 //
-// A single failure proves little: one request may crash the server or a link
-// may drop one connection. Several in a row, with no success between, mean that
-// the next attempt is likely lost as well, so the server is passed over. A
-// connection that cannot be made counts as several: a dead server fails at once
-// and looks idle, and would draw all work until it is ejected. A success ends
-// the ejection.
+// A single failure is weak evidence: one request may crash the server, or the
+// network may drop one connection. After several consecutive ones the next
+// attempt is likely to fail as well, so the server is ejected. Unreachable ejects
+// at once: attempts on a dead server fail immediately, it appears idle, and would
+// attract all work. A success ends the ejection.
 func (s *State) RecordOutcome(now time.Time, o Outcome, took time.Duration) {
 	h := &s.health
 	switch o {
 	case Succeeded:
-		h.streak.Store(0)
-		h.periods.Store(0)
-		h.until.Store(0)
+		h.consecutiveFailures.Store(0)
+		h.ejections.Store(0)
+		h.ejectedUntil.Store(0)
 		h.latency.Observe(now, took)
 	case Failed:
 		h.unreachable.Store(false)
-		h.failed(now, 1)
+		h.recordFailure(now, 1)
 	case Unreachable:
 		h.unreachable.Store(true)
-		h.failed(now, ejectAfter)
+		h.recordFailure(now, ejectAfterFailures)
 	case Overloaded:
 	}
 }
 
-func (h *health) failed(now time.Time, weight int64) {
-	h.failedAt.Store(now.UnixNano())
-	if h.streak.Add(weight) >= ejectAfter {
-		h.extend(now, h.until.Load())
+func (h *health) recordFailure(now time.Time, weight int64) {
+	h.lastFailureAt.Store(now.UnixNano())
+	if h.consecutiveFailures.Add(weight) >= ejectAfterFailures {
+		h.startEjection(now, h.ejectedUntil.Load())
 	}
 }
 
-// extend starts a period of ejection unless one runs or another goroutine does.
-func (h *health) extend(now time.Time, old int64) bool {
+// startEjection starts an ejection period unless one is in progress or another
+// goroutine starts one. It reports whether it did. old is the end of the
+// previous period in unix nanoseconds.
+func (h *health) startEjection(now time.Time, old int64) bool {
 	if now.UnixNano() < old {
 		return false
 	}
-	most := int64(maxDoubles)
+	most := int64(maxEjectionDoublings)
 	if h.unreachable.Load() {
-		most = maxDoublesLost
+		most = maxDisconnectedDoublings
 	}
-	doubles := min(h.periods.Load(), most)
-	if !h.until.CompareAndSwap(old, now.Add(ejectFirst<<doubles).UnixNano()) {
+	doubles := min(h.ejections.Load(), most)
+	if !h.ejectedUntil.CompareAndSwap(old, now.Add(firstEjection<<doubles).UnixNano()) {
 		return false
 	}
-	h.periods.Add(1)
+	h.ejections.Add(1)
 	return true
 }
 
-// Health is what recent attempts say of a server.
+// Health is the health of a server according to recent attempts.
 type Health uint8
 
 // Values of Health.
 const (
+	// Healthy servers are not ejected.
 	Healthy Health = iota
-	// OnTrial: the period of ejection is over; Trial decides who may try.
+	// TrialDue means that the ejection period is over. The request that gets true
+	// from ClaimTrial may try the server.
 	TrialDue
-	// Outlier: attempts fail on it while it can be reached.
+	// Outlier means that the server is ejected although connections to it open.
 	Outlier
-	// Lost: no connection can be made to it.
+	// Disconnected means that the server is ejected because no connection to it
+	// could be opened.
 	Disconnected
 )
 
-// Health returns the state at now.
+// Health returns the health of the server at now.
 func (s *State) Health(now time.Time) Health {
 	h := &s.health
 	switch {
-	case h.streak.Load() < ejectAfter:
+	case h.consecutiveFailures.Load() < ejectAfterFailures:
 		return Healthy
-	case now.UnixNano() >= h.until.Load():
+	case now.UnixNano() >= h.ejectedUntil.Load():
 		return TrialDue
 	case h.unreachable.Load():
 		return Disconnected
@@ -118,20 +125,23 @@
 	}
 }
 
-// reachable notes that the server answered something else than a request. A
-// server that was lost is back; one more failure ejects it again.
-func (h *health) reachable(at time.Time) {
-	if h.unreachable.Load() && at.UnixNano() > h.failedAt.Load() {
+// recordReachable records that the server responded to something other than a
+// request at the given time. If it was disconnected, the ejection ends, and one
+// more failure ejects it again.
+func (h *health) recordReachable(at time.Time) {
+	if h.unreachable.Load() && at.UnixNano() > h.lastFailureAt.Load() {
 		h.unreachable.Store(false)
-		h.streak.Store(ejectAfter - 1)
-		h.until.Store(0)
+		h.consecutiveFailures.Store(ejectAfterFailures - 1)
+		h.ejectedUntil.Store(0)
 	}
 }
 
-// Trial claims the one trial of a server whose period of ejection is over. One
-// request finds out whether the server is back; the others are kept from being
-// lost on it at the same time.
-func (s *State) ClaimTrial(now time.Time) bool { return s.health.extend(now, s.health.until.Load()) }
+// ClaimTrial reports whether the caller may send the trial request to a server
+// whose ejection period is over. Only one caller gets true per period, so that
+// at most one request fails if the server is still down.
+func (s *State) ClaimTrial(now time.Time) bool {
+	return s.health.startEjection(now, s.health.ejectedUntil.Load())
+}
 
-// Latency returns the estimate over successful attempts.
+// Latency returns the latency estimate over successful attempts.
 func (s *State) Latency() *estimate.Latency { return &s.health.latency }
--- a/process/server/load.go
+++ b/process/server/load.go
@@ -5,59 +5,62 @@
 	"time"
 )
 
-// reported is the last load report, taken apart once so that the request path
-// reads two numbers.
-type reported struct {
-	load     atomic.Pointer[Load]
-	others   atomic.Int64 // requests on the server that other hosts sent
-	own      atomic.Int64 // requests that this host had on it then
-	received atomic.Int64 // unix nanoseconds
+// loadReport is the last load report, split when it arrives, so that the request
+// path reads only two numbers.
+type loadReport struct {
+	load          atomic.Pointer[Load]
+	otherRequests atomic.Int64 // requests of other hosts on the server
+	ownRequests   atomic.Int64 // requests of this host in flight when the report arrived
+	receivedAt    atomic.Int64 // unix nanoseconds
 }
 
-// reportHalfLife is the age at which a report counts for half. A report says
-// less and less about the present; trusting a stale one sends every host to the
-// server that was least loaded when it was made.
+// reportHalfLife is the age at which a report has half its weight. Without the
+// decay, a stale report would send the requests of every host to the server that
+// was least loaded when the report was made.
 const reportHalfLife = 5 * time.Second
 
-// SetLoad stores a report. What this host has in flight is taken out of it: it
-// is known exactly at any time and needs no report.
+// SetLoad stores a load report. It subtracts the requests that this host has in
+// flight: their number is known exactly without a report. A report that arrives
+// after the last failure ends the ejection of a disconnected server.
 func (s *State) SetLoad(l *Load) {
 	own := s.InFlight()
-	s.reported.own.Store(own)
-	s.reported.others.Store(max(0, int64(l.Running+l.Queued)-own))
-	s.reported.received.Store(l.Received.UnixNano())
-	s.reported.load.Store(l)
-	s.health.reachable(l.Received)
+	s.report.ownRequests.Store(own)
+	s.report.otherRequests.Store(max(0, int64(l.Running+l.Queued)-own))
+	s.report.receivedAt.Store(l.Received.UnixNano())
+	s.report.load.Store(l)
+	s.health.recordReachable(l.Received)
 }
 
-// Load returns the last report, or nil.
-func (s *State) Load() *Load { return s.reported.load.Load() }
+// Load returns the last load report; nil if there was none.
+func (s *State) Load() *Load { return s.report.load.Load() }
 
-// Busy estimates the requests on the server now: those of this host, and those
-// of others by the last report, weighted by its age.
+// EstimatedRequests returns an estimate of the requests on the server at now:
+// those of this host, plus those of other hosts from the last report, weighted
+// by its age.
 func (s *State) EstimatedRequests(now time.Time) float64 {
 	return s.EstimatedRequestsAt(now.UnixNano())
 }
 
-// BusyAt is Busy for a time in unix nanoseconds.
+// EstimatedRequestsAt is EstimatedRequests for a time in unix nanoseconds.
 func (s *State) EstimatedRequestsAt(now int64) float64 {
 	own := float64(max(0, s.InFlight()))
-	others := s.reported.others.Load()
+	others := s.report.otherRequests.Load()
 	if others == 0 {
 		return own
 	}
-	age := float64(now - s.reported.received.Load())
+	age := float64(now - s.report.receivedAt.Load())
 	return own + float64(others)/(1+max(0, age)/float64(reportHalfLife))
 }
 
-// Reported returns the requests on the server at its last report, and how many
-// of them this host had sent.
+// ReportedRequests returns the requests on the server according to its last
+// report, and how many of them are of this host.
 func (s *State) ReportedRequests() (all, own float64) {
-	o := s.reported.own.Load()
-	return float64(o + s.reported.others.Load()), float64(o)
+	n := s.report.ownRequests.Load()
+	return float64(n + s.report.otherRequests.Load()), float64(n)
 }
 
-// ReportAge returns the age of the last report; without one it is very old.
+// ReportAge returns the age of the last report at now, in unix nanoseconds.
+// Without a report it is the time since 1970.
 func (s *State) ReportAge(now int64) time.Duration {
-	return time.Duration(now - s.reported.received.Load())
+	return time.Duration(now - s.report.receivedAt.Load())
 }
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -1,7 +1,7 @@
-// Package server keeps what an entry host knows of each backend server for as
-// long as the process lives: requests in flight, evidence of health, the last
-// load report. Snapshots of the tables point at these states, so that a new
-// release does not forget them. All reads on the request path are atomic.
+// Package server holds the state of each backend server as seen by an entry
+// host, for the lifetime of the process: requests in flight, health, and the
+// last load report. Snapshots of the tables point to these states, so that they
+// survive a new release. All reads on the request path are atomic.
 package server
 
 import (
@@ -12,63 +12,69 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// State is the knowledge about one backend server. Its address is fixed: a
-// server that moves gets a new State.
+// State is the state of one backend server. Its address is fixed: a server that
+// moves gets a new State. It is safe for concurrent use.
 type State struct {
 	Name    string
 	Address string
 	hash    uint64 // of the address, for rendezvous hashing
 
-	inflight atomic.Int64
-	down     atomic.Bool
-	leaving  atomic.Bool
-	since    atomic.Int64 // unix nanoseconds of the first sight, for slow start
+	inFlight  atomic.Int64
+	down      atomic.Bool
+	leaving   atomic.Bool
+	firstSeen atomic.Int64 // unix nanoseconds, for slow start
 
-	reported reported
-	health   health
+	report loadReport
+	health health
 }
 
-// Load is a backend server's own report; it lags by up to its reporting period.
+// Load is the last load report of a backend server. It lags by up to the
+// reporting period.
 type Load struct {
-	Running  int
-	Queued   int
-	Slots    int
-	Models   []string // model/adapter@version loaded
-	Role     string
-	Received time.Time
+	Running  int       // requests being executed
+	Queued   int       // requests waiting
+	Slots    int       // requests that the server executes concurrently
+	Models   []string  // loaded models, as model/adapter@version
+	Role     string    // as reported by the server
+	Received time.Time // when this entry host received the report
 }
 
 // Hash returns a hash of the address that is the same on every entry host.
 func (s *State) Hash() uint64 { return s.hash }
 
-// Begin counts a request as in flight; End must follow once.
-func (s *State) BeginRequest() { s.inflight.Add(1) }
+// BeginRequest counts a request as in flight. Each call must be followed by one
+// EndRequest.
+func (s *State) BeginRequest() { s.inFlight.Add(1) }
 
-// End undoes Begin.
-func (s *State) EndRequest() { s.inflight.Add(-1) }
+// EndRequest ends a request that BeginRequest counted.
+func (s *State) EndRequest() { s.inFlight.Add(-1) }
 
-// Inflight returns the requests this entry host has running on the server.
-func (s *State) InFlight() int64 { return s.inflight.Load() }
+// InFlight returns the number of requests that this entry host has in flight on
+// the server.
+func (s *State) InFlight() int64 { return s.inFlight.Load() }
 
-// SetDown records whether the server is believed dead.
+// SetDown records whether polls of the server fail to connect.
 func (s *State) SetDown(down bool) { s.down.Store(down) }
 
-// SetLeaving records the first sign, from any source, that the server leaves.
+// SetLeaving records whether the server, or the platform's host list, reports
+// that it is leaving.
 func (s *State) SetLeaving(leaving bool) { s.leaving.Store(leaving) }
 
-// Leaving reports whether the server is known to leave.
+// Leaving reports whether the server is leaving.
 func (s *State) Leaving() bool { return s.leaving.Load() }
 
-// Usable reports whether the server may get new work.
+// Usable reports whether the server may get new work: it is neither down nor
+// leaving.
 func (s *State) Usable() bool { return !s.down.Load() && !s.leaving.Load() }
 
-// FirstSeen returns when this entry host first heard of the server.
-func (s *State) FirstSeen() time.Time { return time.Unix(0, s.since.Load()) }
+// FirstSeen returns when this entry host created the state of the server.
+func (s *State) FirstSeen() time.Time { return time.Unix(0, s.firstSeen.Load()) }
 
-// Age returns how long this host has known the server.
-func (s *State) Age(now int64) time.Duration { return time.Duration(now - s.since.Load()) }
+// Age returns the time from FirstSeen to now, in unix nanoseconds.
+func (s *State) Age(now int64) time.Duration { return time.Duration(now - s.firstSeen.Load()) }
 
-// Registry holds the states by server name and address.
+// Registry holds the states by server name and address. It is safe for
+// concurrent use.
 type Registry struct {
 	mu     sync.Mutex
 	states map[string]*State
@@ -77,8 +83,8 @@
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{states: map[string]*State{}} }
 
-// Get returns the state of the server, making one at first sight. It takes a
-// lock and is called when a snapshot is built, never for a request.
+// Get returns the state of a server and creates it on the first call. It takes a
+// lock: it is called when a snapshot is built, never for a request.
 func (r *Registry) Get(name, address string, now time.Time) *State {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -86,21 +92,22 @@
 	s, ok := r.states[key]
 	if !ok {
 		s = &State{Name: name, Address: address, hash: xxhash.Sum64String(address)}
-		s.since.Store(now.UnixNano())
+		s.firstSeen.Store(now.UnixNano())
 		r.states[key] = s
 	}
 	return s
 }
 
-// Each calls f for every state.
+// Each calls f for every state, in no particular order, without holding the
+// lock.
 func (r *Registry) Each(f func(*State)) {
 	r.mu.Lock()
-	all := make([]*State, 0, len(r.states))
+	states := make([]*State, 0, len(r.states))
 	for _, s := range r.states {
-		all = append(all, s)
+		states = append(states, s)
 	}
 	r.mu.Unlock()
-	for _, s := range all {
+	for _, s := range states {
 		f(s)
 	}
 }
--- a/process/server/server_test.go
+++ b/process/server/server_test.go
@@ -9,13 +9,13 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func state() *State { return NewRegistry().Get("a", "10.0.0.1:80", start) }
+func newState() *State { return NewRegistry().Get("a", "10.0.0.1:80", start) }
 
-// A report that nobody renews must lose its say: a server that looked idle a
-// minute ago would draw the work of every host.
-func TestOldReportsCountForLess(t *testing.T) {
+// Guards against stale reports: a server that was idle a minute ago would attract
+// the work of every host if its report kept its weight.
+func TestReportWeightDecaysWithAge(t *testing.T) {
 	g := NewWithT(t)
-	s := state()
+	s := newState()
 	s.BeginRequest()
 	s.SetLoad(&Load{Running: 9, Received: start})
 	g.Expect(s.EstimatedRequests(start)).To(BeNumerically("~", 9, 1e-9))
@@ -23,12 +23,12 @@
 	g.Expect(s.EstimatedRequests(start.Add(time.Hour))).To(BeNumerically("~", 1, .1))
 }
 
-// A caller sees errors for a minute after a server came back: its ejections had
-// doubled. Its own report, newer than the last failure, brings it back at once;
-// an older one proves nothing.
-func TestReportBringsALostServerBack(t *testing.T) {
+// Guards against a long ejection of a server that is back, because the ejection
+// periods had doubled. A load report newer than the last failure ends the
+// ejection at once; an older one does not.
+func TestNewReportEndsEjectionOfDisconnectedServer(t *testing.T) {
 	g := NewWithT(t)
-	s := state()
+	s := newState()
 	s.RecordOutcome(start, Unreachable, 0)
 	g.Expect(s.Health(start)).To(Equal(Disconnected))
 	s.SetLoad(&Load{Received: start.Add(-time.Second)})
@@ -39,21 +39,21 @@
 	g.Expect(s.Health(start.Add(300 * time.Millisecond))).NotTo(Equal(Healthy))
 }
 
-// A server that answers reports but fails requests stays ejected: its report is
-// no evidence about requests.
-func TestReportDoesNotClearAnOutlier(t *testing.T) {
+// A server that serves load reports but fails requests stays ejected: the report
+// is no evidence about requests.
+func TestReportDoesNotEndEjectionOfOutlier(t *testing.T) {
 	g := NewWithT(t)
-	s := state()
-	for range ejectAfter {
+	s := newState()
+	for range ejectAfterFailures {
 		s.RecordOutcome(start, Failed, 0)
 	}
 	s.SetLoad(&Load{Received: start.Add(time.Millisecond)})
 	g.Expect(s.Health(start.Add(2 * time.Millisecond))).To(Equal(Outlier))
 }
 
-func TestPeriodsOfEjectionDoubleWithinABound(t *testing.T) {
+func TestEjectionPeriodsDouble(t *testing.T) {
 	g := NewWithT(t)
-	s := state()
+	s := newState()
 	now := start
 	var periods []time.Duration
 	for range 5 {
@@ -67,9 +67,9 @@
 	g.Expect(periods).To(Equal([]time.Duration{1 * time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 16 * time.Second}))
 }
 
-func TestFullQueueIsNoFault(t *testing.T) {
+func TestOverloadDoesNotEject(t *testing.T) {
 	g := NewWithT(t)
-	s := state()
+	s := newState()
 	for range 100 {
 		s.RecordOutcome(start, Overloaded, 0)
 	}
