--- a/process/objectapi/backoff.go
+++ b/process/objectapi/backoff.go
@@ -9,74 +9,80 @@
 	"bilberrydale/process/clock"
 )
 
+// Bounds of the pause after a rate-limited call.
 const (
-	firstHold = 100 * time.Millisecond
-	maxHold   = 2 * time.Second
+	minPause = 100 * time.Millisecond
+	maxPause = 2 * time.Second
 )
 
-// pace holds a client's calls back after the platform refused one for its rate.
-// Without it every part of every host goes on calling at its own retry rate, and
-// those calls are what keeps the budget spent. The jitter parts the hosts.
-type pace struct {
+// rateBackoff pauses the calls of a client after the platform rate-limited one.
+// Without it every component of every host would continue at its own retry rate,
+// and those calls alone would keep the budget spent. The jitter spreads the calls
+// of the hosts.
+type rateBackoff struct {
 	clock clock.Clock
 	rand  clock.Rand
 
-	mu    sync.Mutex
-	until time.Time
-	hold  time.Duration
+	mu          sync.Mutex
+	pausedUntil time.Time
+	pause       time.Duration // before jitter
 }
 
-func (p *pace) allowed() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return !p.clock.Now().Before(p.until)
+// allowed reports whether calls may be sent now.
+func (b *rateBackoff) allowed() bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return !b.clock.Now().Before(b.pausedUntil)
 }
 
-func (p *pace) answered(err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// recordResult doubles the pause if the call was rate-limited and resets it after
+// a success.
+func (b *rateBackoff) recordResult(err error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if !errors.Is(err, ErrRateLimited) {
 		if err == nil {
-			p.hold = 0
+			b.pause = 0
 		}
 		return
 	}
-	p.hold = min(max(2*p.hold, firstHold), maxHold)
-	p.until = p.clock.Now().Add(time.Duration((0.5 + 0.5*p.rand.Float64()) * float64(p.hold)))
+	b.pause = min(max(2*b.pause, minPause), maxPause)
+	b.pausedUntil = b.clock.Now().Add(time.Duration((0.5 + 0.5*b.rand.Float64()) * float64(b.pause)))
 }
 
-type counts struct {
-	reads, writes, watches, retried, held, limited, unavailable, unknown atomic.Int64
+type counters struct {
+	reads, writes, watches, retriedReads, notSent, rateLimited, unavailable, unknownOutcome atomic.Int64
 }
 
-func (c *counts) failed(err error) {
+// recordError counts the outcome err of a call.
+func (c *counters) recordError(err error) {
 	switch {
 	case errors.Is(err, ErrRateLimited):
-		c.limited.Add(1)
+		c.rateLimited.Add(1)
 	case errors.Is(err, ErrUnknownOutcome):
-		c.unknown.Add(1)
+		c.unknownOutcome.Add(1)
 	case errors.Is(err, ErrUnavailable):
 		c.unavailable.Add(1)
 	}
 }
 
-// Counts are a client's calls since it was made.
+// Counts are the calls of a Client since it was created.
 type Counts struct {
 	Reads          int64 `json:"reads"`
 	Writes         int64 `json:"writes"`
 	Watches        int64 `json:"watches"`
-	Retried        int64 `json:"retried"`     // reads repeated on a new connection
-	NotSent        int64 `json:"held"`        // calls not sent after a refusal for the rate
-	RateLimited    int64 `json:"limited"`     // calls the platform refused for their rate
-	Unavailable    int64 `json:"unavailable"` // calls refused or without an answer
-	UnknownOutcome int64 `json:"unknown"`     // writes without an answer
+	Retried        int64 `json:"retried"`     // reads retried on a new connection
+	NotSent        int64 `json:"held"`        // calls not sent because of a preceding rate limit
+	RateLimited    int64 `json:"limited"`     // calls that the platform rate-limited
+	Unavailable    int64 `json:"unavailable"` // calls refused or without a response
+	UnknownOutcome int64 `json:"unknown"`     // writes with an unknown outcome
 }
 
-// Counts returns the calls since the client was made.
+// Counts returns the calls since the client was created.
 func (c *Client) Counts() Counts {
-	n := &c.counts
+	n := &c.counters
 	return Counts{
-		Reads: n.reads.Load(), Writes: n.writes.Load(), Watches: n.watches.Load(), Retried: n.retried.Load(),
-		NotSent: n.held.Load(), RateLimited: n.limited.Load(), Unavailable: n.unavailable.Load(), UnknownOutcome: n.unknown.Load(),
+		Reads: n.reads.Load(), Writes: n.writes.Load(), Watches: n.watches.Load(), Retried: n.retriedReads.Load(),
+		NotSent: n.notSent.Load(), RateLimited: n.rateLimited.Load(), Unavailable: n.unavailable.Load(), UnknownOutcome: n.unknownOutcome.Load(),
 	}
 }
--- a/process/objectapi/client_test.go
+++ b/process/objectapi/client_test.go
@@ -20,18 +20,18 @@
 	return objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(url, "")), opts)
 }
 
-// The connection to the platform goes silent: a read on it gets no answer,
-// while new connections work. The read is sent once more and succeeds; a write
-// is not, because it may have taken effect.
-func TestReadIsRepeatedOnceWriteIsNot(t *testing.T) {
+// A connection to the platform stops delivering responses while new ones work. A
+// read is retried once and succeeds; a write is not retried, because it may have
+// taken effect.
+func TestReadIsRetriedOnceWriteIsNot(t *testing.T) {
 	g := NewWithT(t)
 	objects := standin.New()
-	var silent, calls atomic.Int32
+	var unresponsive, calls atomic.Int32
 	ctx := t.Context()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		objects.Handler().ServeHTTP(w, r)
-		if silent.Add(-1) >= 0 {
+		if unresponsive.Add(-1) >= 0 {
 			<-r.Context().Done()
 		}
 	}))
@@ -40,22 +40,22 @@
 	_, err := h.Put(ctx, "a/b", []byte("1"), 0)
 	g.Expect(err).NotTo(HaveOccurred())
 
-	silent.Store(1)
+	unresponsive.Store(1)
 	obj, err := h.Get(ctx, "a/b")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(obj.Value).To(BeEquivalentTo("1"))
 	g.Expect(calls.Load()).To(BeEquivalentTo(3))
 
-	silent.Store(1)
+	unresponsive.Store(1)
 	_, err = h.Put(ctx, "a/b", []byte("2"), obj.Version)
 	g.Expect(err).To(MatchError(objectapi.ErrUnknownOutcome))
 	g.Expect(calls.Load()).To(BeEquivalentTo(4))
 	g.Expect(h.Counts()).To(Equal(objectapi.Counts{Reads: 2, Writes: 2, Retried: 1, Unavailable: 1, UnknownOutcome: 1}))
 }
 
-// The platform's call budget is spent. After its first refusal the client sends
-// nothing until its hold is over, so that the budget can recover.
-func TestRefusalForTheRateHoldsCallsBack(t *testing.T) {
+// The call budget of the platform is spent. After the first refusal the client
+// sends no calls until its backoff has passed, so that the budget can recover.
+func TestRateLimitPausesCalls(t *testing.T) {
 	g := NewWithT(t)
 	var calls atomic.Int32
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/process/objectapi/objectapi.go
+++ b/process/objectapi/objectapi.go
@@ -1,6 +1,7 @@
-// Package platform is the client side of the users' platform: its object API
-// with versions, conditional updates and watches, and its lagging host list.
-// Everything that must outlive a process is kept there and nowhere else.
+// Package objectapi defines the object API of the users' platform: versioned
+// objects with conditional updates and watches, and the lagging host list. All
+// state that must outlive a process is stored there and nowhere else. Client and
+// RetryingStore add timeouts, backoff and retries to an implementation.
 package objectapi
 
 import (
@@ -9,45 +10,48 @@
 	"time"
 )
 
-// MaxValue is the largest value the object API takes, in bytes: the platform's
-// object of 1 MiB holds it in base64, with its name and revisions.
+// MaxValueBytes is the size limit of a value. The platform stores it in base64,
+// with its name and revisions, in an object of at most 1 MiB.
 const MaxValueBytes = 760 << 10
 
-// Errors of the object API. Use errors.Is.
+// Errors of the object API. Compare with errors.Is.
 var (
-	// ErrNotFound: the key has no value.
+	// ErrNotFound means that the key has no value.
 	ErrNotFound = errors.New("platform: no such object")
-	// ErrConflict: the conditional update's expected version was not the
-	// current one. Nothing was written.
+	// ErrConflict means that the expected version of a conditional update was not
+	// the current one. Nothing was written.
 	ErrConflict = errors.New("platform: version conflict")
-	// ErrUnavailable: the platform refused or could not be reached before the
-	// call was sent. Nothing was written.
+	// ErrUnavailable means that the platform refused the call, that the call could
+	// not be sent, or that a read got no response. Nothing was written.
 	ErrUnavailable = errors.New("platform: unavailable")
-	// ErrUnknownOutcome: a write was sent and its answer lost. The caller has
-	// to read to learn whether it took effect.
+	// ErrUnknownOutcome means that a write was sent and no conclusive response
+	// arrived. The caller has to read the key to find out whether the write took
+	// effect.
 	ErrUnknownOutcome = errors.New("platform: outcome of the write unknown")
-	// ErrTooLarge: the value is over MaxValue.
+	// ErrTooLarge means that the value exceeds MaxValueBytes.
 	ErrTooLarge = errors.New("platform: value too large")
-	// ErrNoAnswer marks a call that got no answer at all.
+	// ErrNoResponse marks calls that got no response at all. It is wrapped together
+	// with ErrUnavailable.
 	ErrNoResponse = errors.New("platform: no answer")
-	// ErrRateLimited: the call budget is spent; nothing was written.
+	// ErrRateLimited means that the call rate limit is exceeded. Nothing was
+	// written.
 	ErrRateLimited = errors.New("platform: call rate exceeded")
 )
 
-// Object is one stored value. Version is a store-wide revision: it rises with
-// every write of any key, so versions of different keys can be compared.
+// Object is one stored value. Version is a store-wide revision: it increases
+// with every write of any key, so versions of different keys are comparable.
 type Object struct {
 	Key     string
 	Value   []byte
 	Version uint64
 }
 
-// Host is a row of the platform's lagging host list.
+// Host is an entry of the platform's lagging host list.
 type Host struct {
 	Name    string `json:"name"`
-	Address string `json:"address"`
-	Domain  string `json:"domain"`
-	State   string `json:"state"` // HostLive or HostLeaving
+	Address string `json:"address"` // host:port
+	Domain  string `json:"domain"`  // failure domain
+	State   string `json:"state"`   // HostLive or HostLeaving
 }
 
 // States of a listed host.
@@ -56,19 +60,23 @@
 	HostLeaving = "leaving"
 )
 
-// Store is the object API. Every method is one counted call. Implementations
-// are safe for concurrent use and honour the context's deadline.
+// Store is the object API. Every method is one call that counts towards the rate
+// limit of the platform. Implementations are safe for concurrent use and honour
+// the deadline of the context.
 type Store interface {
+	// Get returns the object with the given key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
-	// List returns the objects whose key starts with prefix, by key.
+	// List returns the objects whose key starts with prefix, sorted by key.
 	List(ctx context.Context, prefix string) ([]Object, error)
-	// Put writes value if the key's current version is expect (0: the key
-	// must not exist) and returns the new version.
+	// Put writes value if the current version of the key is expect (0: the key
+	// must not exist) and returns the new version. Otherwise it returns
+	// ErrConflict.
 	Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error)
-	// Delete removes the key under the same condition.
+	// Delete removes the key under the same condition as Put.
 	Delete(ctx context.Context, key string, expect uint64) error
-	// Watch waits until an object under prefix has a version above after, or
-	// until wait has passed, and returns the changed objects (none: timeout).
+	// Watch waits until an object whose key starts with prefix has a version above
+	// after, or until wait has passed. It returns the changed objects; none after a
+	// timeout.
 	Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]Object, error)
 	// Hosts returns the lagging list of live and leaving hosts.
 	Hosts(ctx context.Context) ([]Host, error)
--- a/process/objectapi/retry.go
+++ b/process/objectapi/retry.go
@@ -8,73 +8,76 @@
 	"bilberrydale/process/clock"
 )
 
-// Patient is a Store that repeats calls which the platform refused for their
-// rate, after a random wait that grows. Nothing was written by such a call, so
-// repeating it is safe. It is for operators' commands: a procedure of several
-// calls goes on where it was, and does not start again and spend the budget on
-// the calls that it has done already.
+// RetryingStore is a Store that retries rate-limited calls with jittered
+// exponential backoff. Such a call wrote nothing, so a retry is safe. It is meant
+// for the operators' commands: a procedure of several calls continues where it
+// was, and does not start again and spend the budget on calls that it has already
+// made. Watch and Hosts are not retried.
 type RetryingStore struct {
 	Store
 	Clock clock.Clock
 	Rand  clock.Rand
-	// Tries bounds the calls; default 30, about half a minute of waiting.
+	// MaxAttempts bounds the attempts of each call; default 30, about half a minute
+	// of backoff.
 	MaxAttempts int
 }
 
 const (
-	defaultTries = 30
-	firstWait    = 100 * time.Millisecond
-	longestWait  = 2 * time.Second
+	defaultMaxAttempts = 30
+	minRetryWait       = 100 * time.Millisecond
+	maxRetryWait       = 2 * time.Second
 )
 
-func (p RetryingStore) repeat(ctx context.Context, call func() error) error {
-	tries := p.MaxAttempts
-	if tries <= 0 {
-		tries = defaultTries
+// retry calls call until it is not rate-limited, the attempts are used up or ctx
+// is done.
+func (s RetryingStore) retry(ctx context.Context, call func() error) error {
+	attempts := s.MaxAttempts
+	if attempts <= 0 {
+		attempts = defaultMaxAttempts
 	}
 	var err error
-	for try := range tries {
+	for attempt := range attempts {
 		if err = call(); !errors.Is(err, ErrRateLimited) {
 			return err
 		}
-		limit := min(firstWait<<min(try, 8), longestWait)
+		limit := min(minRetryWait<<min(attempt, 8), maxRetryWait)
 		select {
 		case <-ctx.Done():
 			return err
-		case <-p.Clock.After(time.Duration((0.1 + 0.9*p.Rand.Float64()) * float64(limit))):
+		case <-s.Clock.After(time.Duration((0.1 + 0.9*s.Rand.Float64()) * float64(limit))):
 		}
 	}
 	return err
 }
 
 // Get implements Store.
-func (p RetryingStore) Get(ctx context.Context, key string) (obj Object, err error) {
-	err = p.repeat(ctx, func() error {
-		obj, err = p.Store.Get(ctx, key)
+func (s RetryingStore) Get(ctx context.Context, key string) (obj Object, err error) {
+	err = s.retry(ctx, func() error {
+		obj, err = s.Store.Get(ctx, key)
 		return err
 	})
 	return obj, err
 }
 
 // List implements Store.
-func (p RetryingStore) List(ctx context.Context, prefix string) (objs []Object, err error) {
-	err = p.repeat(ctx, func() error {
-		objs, err = p.Store.List(ctx, prefix)
+func (s RetryingStore) List(ctx context.Context, prefix string) (objs []Object, err error) {
+	err = s.retry(ctx, func() error {
+		objs, err = s.Store.List(ctx, prefix)
 		return err
 	})
 	return objs, err
 }
 
 // Put implements Store.
-func (p RetryingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (version uint64, err error) {
-	err = p.repeat(ctx, func() error {
-		version, err = p.Store.Put(ctx, key, value, expect)
+func (s RetryingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (version uint64, err error) {
+	err = s.retry(ctx, func() error {
+		version, err = s.Store.Put(ctx, key, value, expect)
 		return err
 	})
 	return version, err
 }
 
 // Delete implements Store.
-func (p RetryingStore) Delete(ctx context.Context, key string, expect uint64) error {
-	return p.repeat(ctx, func() error { return p.Store.Delete(ctx, key, expect) })
+func (s RetryingStore) Delete(ctx context.Context, key string, expect uint64) error {
+	return s.retry(ctx, func() error { return s.Store.Delete(ctx, key, expect) })
 }
--- a/process/telemetry/telemetry.go
+++ b/process/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry sets up the process's structured log and its spans, one a
-// hop of a request.
+// Package telemetry sets up the structured log and the tracing of a process. A
+// request gets one span per hop.
 package telemetry
 
 import (
@@ -20,28 +20,30 @@
 	"go.opentelemetry.io/otel/trace/noop"
 )
 
-// Exporters of spans.
+// Names of span exporters.
 const (
 	ExportNone   = "none"
 	ExportStdout = "stdout"
 	ExportOTLP   = "otlp"
 )
 
-// Options configure telemetry.
+// Options configure the logger and the tracer of a process.
 type Options struct {
-	Service      string
-	Host         string
-	LogLevel     string
-	LogJSON      bool
-	ExporterName string  // ExportNone, ExportStdout or ExportOTLP
-	Endpoint     string  // OTLP: host:port
-	SampleRatio  float64 // share of requests traced, 0 to 1
-	LogOutput    io.Writer
-	// Exporter gets each span at once, in place of Export.
+	Service      string    // name of the service in log lines and spans
+	Host         string    // name of the host in log lines and spans
+	LogLevel     string    // debug, info, warn or error
+	LogJSON      bool      // JSON lines instead of logfmt
+	ExporterName string    // ExportNone, ExportStdout or ExportOTLP; empty: ExportNone
+	Endpoint     string    // host:port of the OTLP collector; plain HTTP
+	SampleRatio  float64   // share of traced requests, 0 to 1
+	LogOutput    io.Writer // default standard error
+	// SpanExporter, if set, gets each span synchronously instead of the exporter
+	// that ExporterName names.
 	SpanExporter sdktrace.SpanExporter
 }
 
-// NewLog returns the process's logger.
+// NewLog returns a logger that adds the service and the host to each line. It
+// returns an error if LogLevel is unknown.
 func NewLog(o Options) (*log.Logger, error) {
 	level, err := log.ParseLevel(o.LogLevel)
 	if err != nil {
@@ -59,11 +61,13 @@
 	return l.With("service", o.Service, "host", o.Host), nil
 }
 
-// NewTracer returns the process's tracer and a function that flushes it.
+// NewTracer returns a tracer and a function that flushes its spans and shuts it
+// down. It sets the W3C trace context as the global propagator. It returns an
+// error if ExporterName is unknown or the exporter cannot be created.
 func NewTracer(ctx context.Context, o Options) (trace.Tracer, func(context.Context) error, error) {
 	otel.SetTextMapPropagator(propagation.TraceContext{})
 	if o.SpanExporter != nil {
-		return provider(o, sdktrace.WithSyncer(o.SpanExporter))
+		return newTracer(o, sdktrace.WithSyncer(o.SpanExporter))
 	}
 	var exp sdktrace.SpanExporter
 	var err error
@@ -80,17 +84,18 @@
 	if err != nil {
 		return nil, nil, fmt.Errorf("span exporter: %w", err)
 	}
-	return provider(o, sdktrace.WithBatcher(exp))
+	return newTracer(o, sdktrace.WithBatcher(exp))
 }
 
-func provider(o Options, export sdktrace.TracerProviderOption) (trace.Tracer, func(context.Context) error, error) {
+func newTracer(o Options, export sdktrace.TracerProviderOption) (trace.Tracer, func(context.Context) error, error) {
 	res := resource.NewSchemaless(attribute.String("service.name", o.Service), attribute.String("host.name", o.Host))
 	tp := sdktrace.NewTracerProvider(export, sdktrace.WithResource(res),
 		sdktrace.WithSampler(sdktrace.ParentBased(sdktrace.TraceIDRatioBased(o.SampleRatio))))
 	return tp.Tracer(o.Service), tp.Shutdown, nil
 }
 
-// TraceID returns the trace id of the span in ctx as text; empty: none.
+// TraceID returns the trace ID of the span in ctx in hexadecimal; empty if there
+// is no span.
 func TraceID(ctx context.Context) string {
 	sc := trace.SpanContextFromContext(ctx)
 	if !sc.HasTraceID() {
--- a/process/telemetry/telemetry_test.go
+++ b/process/telemetry/telemetry_test.go
@@ -25,7 +25,7 @@
 	))
 }
 
-func TestUnknownNamesAreFaults(t *testing.T) {
+func TestUnknownNamesAreRejected(t *testing.T) {
 	g := NewWithT(t)
 	_, err := NewLog(Options{LogLevel: "loud"})
 	g.Expect(err).To(MatchError(ContainSubstring("debug, info, warn or error")))
@@ -33,7 +33,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("none, stdout or otlp")))
 }
 
-func TestTraceIDIsThatOfTheSpan(t *testing.T) {
+func TestTraceIDMatchesSpan(t *testing.T) {
 	g := NewWithT(t)
 	g.Expect(TraceID(context.Background())).To(BeEmpty())
 	spans := tracetest.NewInMemoryExporter()
@@ -46,7 +46,7 @@
 	g.Expect(flush(t.Context())).To(Succeed())
 }
 
-func TestTheSampledShareIsKept(t *testing.T) {
+func TestSampleRatioApplies(t *testing.T) {
 	g := NewWithT(t)
 	spans := tracetest.NewInMemoryExporter()
 	tracer, _, err := NewTracer(t.Context(), Options{Service: "s", SampleRatio: 0, SpanExporter: spans})
