--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -19,19 +19,21 @@
 	"bilberrydale/version/snapshot"
 )
 
-// affinityBytes of a stage's input choose the server that has them cached.
+// affinityBytes is the length of the input prefix that is hashed for server affinity, so
+// that inputs with a common prefix reach the server that has it cached.
 const affinityBytes = 64
 
-// attempt is one sending of a stage to one backend server.
+// attempt is one call of a stage on a backend server.
 type attempt struct {
-	server *pick.Server
-	number int
-	alone  bool // a suspect of crashing servers
+	server   *pick.Server
+	number   int
+	isolated bool // suspected of crashing servers: no other suspect runs on the server
 }
 
-// choose picks the server of the next attempt, if the request may still run.
-func (x *run) choose(ctx context.Context, st *snapshot.Stage, in []byte) (*attempt, *kind.Error) {
-	if err := x.expired(ctx); err != nil {
+// newAttempt picks the server of the next attempt. It fails if the deadline has passed,
+// the request is in quarantine or no server is available.
+func (x *execution) newAttempt(ctx context.Context, st *snapshot.Stage, in []byte) (*attempt, *kind.Error) {
+	if err := x.contextError(ctx); err != nil {
 		return nil, err
 	}
 	verdict, wait := x.Quarantine.Check(x.req.Fingerprint)
@@ -40,25 +42,26 @@
 		e.RetryAfter = wait
 		return nil, e
 	}
-	alone := verdict == quarantine.Isolated && x.Isolator != nil
+	isolated := verdict == quarantine.Isolated && x.Isolator != nil
 	info := pick.Info{
-		Now: x.Clock.Now(), Rand: x.Rand, Bytes: len(in), Exclude: x.tried,
+		Now: x.Clock.Now(), Rand: x.Rand, Bytes: len(in), Exclude: x.triedServers,
 		Class: x.req.Route.Class, Affinity: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
 	}
-	srv, err := x.pickServer(ctx, st, &info, alone)
+	srv, err := x.pickServer(ctx, st, &info, isolated)
 	if err != nil {
 		return nil, err
 	}
-	x.tried = append(x.tried, srv.State)
-	x.number++
+	x.triedServers = append(x.triedServers, srv.State)
+	x.attempts++
 	x.req.Admitted.MayHaveQueued = !srv.Free(info.Now)
-	return &attempt{server: srv, number: x.number, alone: alone}, nil
+	return &attempt{server: srv, number: x.attempts, isolated: isolated}, nil
 }
 
-// pickServer asks the picker. A suspect runs on a server where no other
-// suspect runs, so that a crash tells which of them caused it.
-func (x *run) pickServer(ctx context.Context, st *snapshot.Stage, info *pick.Info, alone bool) (*pick.Server, *kind.Error) {
-	if !alone {
+// pickServer picks a server of the stage's pool. An isolated request gets a server on
+// which no other suspect runs, so that a crash can be attributed to it; it waits until
+// one is free.
+func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, info *pick.Info, isolated bool) (*pick.Server, *kind.Error) {
+	if !isolated {
 		srv, err := st.Pool.Picker.Pick(info)
 		if err != nil {
 			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
@@ -66,26 +69,26 @@
 		return srv, nil
 	}
 	for {
-		free := x.Isolator.Released()
-		try := *info
-		try.Exclude = append(x.busy(st), info.Exclude...)
-		srv, err := st.Pool.Picker.Pick(&try)
+		released := x.Isolator.Released()
+		query := *info
+		query.Exclude = append(x.serversWithSuspects(st), info.Exclude...)
+		srv, err := st.Pool.Picker.Pick(&query)
 		if err == nil && x.Isolator.Acquire(srv.Name, x.req.Fingerprint) {
 			return srv, nil
 		}
-		if err != nil && len(try.Exclude) == len(info.Exclude) {
+		if err != nil && len(query.Exclude) == len(info.Exclude) {
 			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
 		}
 		select {
-		case <-free:
+		case <-released:
 		case <-ctx.Done():
-			return nil, x.expired(ctx)
+			return nil, x.contextError(ctx)
 		}
 	}
 }
 
-// busy returns the pool's servers on which a suspect runs.
-func (x *run) busy(st *snapshot.Stage) []*server.State {
+// serversWithSuspects returns the pool's servers on which a suspect request runs.
+func (x *execution) serversWithSuspects(st *snapshot.Stage) []*server.State {
 	var out []*server.State
 	for _, s := range st.Pool.Picker.Servers() {
 		if x.Isolator.HasSuspect(s.Name) {
@@ -95,8 +98,9 @@
 	return out
 }
 
-// do sends one attempt with send and tells the quarantine how it ended.
-func (x *run) do(ctx context.Context, st *snapshot.Stage, a *attempt, send func(context.Context) error) error {
+// sendAttempt calls send for one attempt, in a span of its own, and records the result
+// in the server's state and in the quarantine.
+func (x *execution) sendAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, send func(context.Context) error) error {
 	ctx, span := x.Tracer.Start(ctx, "stage "+st.Name, trace.WithSpanKind(trace.SpanKindClient), trace.WithAttributes(
 		attribute.String("request.id", x.req.ID), attribute.String("pool", st.Pool.Name),
 		attribute.String("server", a.server.Name), attribute.Int("attempt", a.number)))
@@ -104,26 +108,27 @@
 	a.server.State.BeginRequest()
 	defer a.server.State.EndRequest()
 	x.Quarantine.BeginAttempt(x.req.Fingerprint, a.server.Name)
-	began := x.Clock.Now()
+	start := x.Clock.Now()
 	err := send(ctx)
-	x.record(ctx, a, began, err)
-	x.ended(a, err)
+	x.recordServerOutcome(ctx, a, start, err)
+	x.endAttempt(a, err)
 	if err != nil {
 		span.SetStatus(codes.Error, err.Error())
 	}
 	return err
 }
 
-// ended reports the attempt's end to the quarantine. A connection that broke is
-// no proof that the server died: only a fresh connection that fails as well is.
-func (x *run) ended(a *attempt, err error) {
+// endAttempt reports the end of the attempt to the quarantine. A broken connection does
+// not prove that the server crashed: it counts as a crash only if a new connection fails
+// as well.
+func (x *execution) endAttempt(a *attempt, err error) {
 	var be *backend.Error
-	died := errors.As(err, &be) && be.ConnectionFailed && be.Delivery == backend.MaybeSent && !x.alive(a)
-	x.Quarantine.EndAttempt(x.req.Fingerprint, a.server.Name, died)
+	crashed := errors.As(err, &be) && be.ConnectionFailed && be.Delivery == backend.MaybeSent && !x.probe(a)
+	x.Quarantine.EndAttempt(x.req.Fingerprint, a.server.Name, crashed)
 	if x.Isolator == nil {
 		return
 	}
-	if a.alone {
+	if a.isolated {
 		x.Isolator.Release(a.server.Name)
 	}
 	if err == nil {
@@ -131,35 +136,37 @@
 	}
 }
 
-// answers is alive for one that only doubts a connection: doubts about the same
-// server share a probe, so that a slow pool is not flooded with them. A death
-// is judged by a probe of its own, begun after it.
-func (x *run) answers(a *attempt) bool {
-	v, _, _ := x.probes.Do(a.server.Address, func() (any, error) { return x.alive(a), nil })
+// probeShared probes the server of a stalled connection. Concurrent calls for the same
+// server share one probe, so that a slow pool is not flooded with probes. Crash detection
+// uses probe instead, which starts after the connection has failed.
+func (x *execution) probeShared(a *attempt) bool {
+	v, _, _ := x.probes.Do(a.server.Address, func() (any, error) { return x.probe(a), nil })
 	return v.(bool)
 }
 
-// alive asks the server on a fresh connection, whatever became of the request.
-func (x *run) alive(a *attempt) bool {
+// probe reports whether the server responds on a new connection. It does not depend on
+// the request's context.
+func (x *execution) probe(a *attempt) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), x.Options.ProbeTimeout)
 	defer cancel()
 	if err := x.Backend.Probe(ctx, a.server.State); err != nil {
 		x.Counters.ProbesFailed.Add(1)
-		// No answer in time may be load; a refused connection is not.
-		proof := server.Unreachable
+		// A timeout may be due to load; a refused connection cannot be.
+		outcome := server.Unreachable
 		if ctx.Err() != nil {
-			proof = server.Failed
+			outcome = server.Failed
 		}
-		a.server.State.RecordOutcome(x.Clock.Now(), proof, 0)
+		a.server.State.RecordOutcome(x.Clock.Now(), outcome, 0)
 		return false
 	}
-	// The server lives: connections that lost their way to it would each cost
-	// a later request its wait, but they are no mark against the server.
+	// The server responds, so its health is unaffected. Its idle connections may be
+	// dead as well; each would cost a later request a timeout.
 	x.Backend.CloseIdleConnections(a.server.State)
 	return true
 }
 
-func (x *run) call(st *snapshot.Stage, a *attempt, in []byte) *backend.Call {
+// newCall builds the backend call of an attempt.
+func (x *execution) newCall(st *snapshot.Stage, a *attempt, in []byte) *backend.Call {
 	path := st.Path
 	if path == "" {
 		path = "/"
@@ -172,9 +179,9 @@
 	}
 }
 
-// operationKey names the operation to services that check repeats themselves.
-// Two client accounts may choose the same key; known by it alone, one would be
-// given the other's answer.
+// operationKey returns the key by which services detect repeated operations. It includes
+// the client account: two accounts may choose the same key, and one must not get the
+// response of the other.
 func operationKey(account, key string) string {
 	if key == "" {
 		return ""
@@ -182,44 +189,47 @@
 	return url.QueryEscape(account) + "/" + key
 }
 
-// sent notes what the attempt's end proves about execution.
-func (x *run) sent(err error) {
+// recordDispatch records that a backend server may have received the request, unless err
+// proves that it has not.
+func (x *execution) recordDispatch(err error) {
 	var be *backend.Error
 	if !errors.As(err, &be) || be.Delivery != backend.NotSent {
 		x.dispatched = true
 	}
 }
 
-// mayTryAgain reports whether another attempt of the stage may follow err: not
-// after a byte of a stage that must not be repeated may have left, and within
-// the time left and the pool's budget of retries.
-func (x *run) mayTryAgain(st *snapshot.Stage, err error) bool {
+// canRetryAfter reports whether the stage may be attempted again after err, and takes a
+// retry from the pool's budget if it needs one. A non-repeatable stage is not attempted
+// again once a byte of it may have been sent, unless the server did not start it.
+func (x *execution) canRetryAfter(st *snapshot.Stage, err error) bool {
 	var be *backend.Error
 	if !errors.As(err, &be) {
 		return false
 	}
-	if x.number >= maxAttemptNumber || len(x.tried) >= x.Options.MaxAttempts {
+	if x.attempts >= maxAttemptNumber || len(x.triedServers) >= x.Options.MaxAttempts {
 		return false
 	}
-	harmless := be.Delivery == backend.NotSent || be.NotStarted
-	if !harmless && !st.Repeatable {
+	notStarted := be.Delivery == backend.NotSent || be.NotStarted
+	if !notStarted && !st.Repeatable {
 		return false
 	}
 	if be.Delivery == backend.Responded && !be.NotStarted && be.Status < 500 {
 		return false
 	}
 	if be.Delivery == backend.NotSent {
-		return true // it cost no server anything
+		return true // no server was loaded, so it is not charged to the budget
 	}
-	return x.mayRetry(st)
+	return x.acquireRetry(st)
 }
 
-// maxAttemptNumber bounds the attempts of all stages and resumptions together.
+// maxAttemptNumber limits the attempts of a request over all stages and resumptions.
 const maxAttemptNumber = 64
 
-func (x *run) mayRetry(st *snapshot.Stage) bool {
+// acquireRetry takes a retry from the pool's budget. It fails if the budget is used up or
+// the time left is shorter than the pool's mean delay to the first byte.
+func (x *execution) acquireRetry(st *snapshot.Stage) bool {
 	p := x.pool(st)
-	if x.left() < time.Duration(p.firstByte.mean.Load()) || !p.budget.Allow() {
+	if x.timeLeft() < time.Duration(p.firstByteDelay.mean.Load()) || !p.retryBudget.Allow() {
 		x.Counters.RetriesDenied.Add(1)
 		return false
 	}
@@ -227,11 +237,11 @@
 	return true
 }
 
-// classify turns a failed attempt into the error that the caller gets if no
-// other attempt follows.
-func (x *run) classify(ctx context.Context, st *snapshot.Stage, err error) *kind.Error {
-	if gone := x.expired(ctx); gone != nil {
-		return gone
+// classifyError returns the error that the caller gets if no further attempt is made
+// after err.
+func (x *execution) classifyError(ctx context.Context, st *snapshot.Stage, err error) *kind.Error {
+	if ctxErr := x.contextError(ctx); ctxErr != nil {
+		return ctxErr
 	}
 	var be *backend.Error
 	switch {
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -10,8 +10,8 @@
 	"bilberrydale/version/snapshot"
 )
 
-// outcome is the end of one attempt at a whole answer.
-type outcome struct {
+// attemptResult is the result of an attempt with an unstreamed response.
+type attemptResult struct {
 	attempt *attempt
 	output
 	err error
@@ -19,104 +19,107 @@
 
 var errPanic = errors.New("pipeline: attempt panicked")
 
-// launch runs one attempt in the background and sends its outcome to results,
-// which must have room for it.
-func (x *run) launch(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte, doubt func(reused bool) bool, results chan<- outcome) {
-	c := x.call(st, a, in)
+// startAttempt runs an attempt in the background and sends its result to results, whose
+// buffer must have a free slot for it.
+func (x *execution) startAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte, onStall func(reused bool) bool, results chan<- attemptResult) {
+	c := x.newCall(st, a, in)
 	p := x.pool(st)
-	c.FirstByteTimeout = p.firstByte.bound(x.Options.MinStallTimeout, st.Budget.Std())
-	c.IdleTimeout = p.gap.bound(x.Options.MinStallTimeout, x.Options.InitialIdleTimeout)
-	c.OnStall = doubt
+	c.FirstByteTimeout = p.firstByteDelay.timeout(x.Options.MinStallTimeout, st.Budget.Std())
+	c.IdleTimeout = p.chunkInterval.timeout(x.Options.MinStallTimeout, x.Options.InitialIdleTimeout)
+	c.OnStall = onStall
 	start := x.Clock.Now()
 	go func() {
-		o := outcome{attempt: a}
+		o := attemptResult{attempt: a}
 		defer func() {
-			// A panic here would end the process and every other request.
+			// An unrecovered panic in this goroutine would end the process and with it
+			// every other request.
 			if v := recover(); v != nil {
 				o.err = fmt.Errorf("%w: %v", errPanic, v)
 			}
 			results <- o
 		}()
-		o.err = x.do(ctx, st, a, func(ctx context.Context) error {
-			reply, err := x.Backend.Do(ctx, c)
+		o.err = x.sendAttempt(ctx, st, a, func(ctx context.Context) error {
+			response, err := x.Backend.Do(ctx, c)
 			if err == nil {
-				o.output = output{reply.ContentType, reply.Body}
-				p.firstByte.observe(x.Clock.Now().Sub(start))
+				o.output = output{response.ContentType, response.Body}
+				p.firstByteDelay.observe(x.Clock.Now().Sub(start))
 			}
 			return err
 		})
 	}()
 }
 
-// once runs a stage that must not be repeated. Another attempt follows only if
-// the one before it cannot have started. The attempt goes on when the caller
-// has been answered, for a while, so that its outcome is learnt.
-func (x *run) once(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
-	var last *kind.Error
+// runOnce runs a non-repeatable stage. It is attempted again only if the previous attempt
+// is known not to have started. An attempt continues for Options.LateResultTimeout after
+// the deadline, so that its result can be recorded.
+func (x *execution) runOnce(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
+	var lastErr *kind.Error
 	for {
-		a, refusal := x.choose(ctx, st, in)
+		a, refusal := x.newAttempt(ctx, st, in)
 		if refusal != nil {
-			if last != nil && refusal.Kind == kind.NoBackend {
-				return nil, last
+			if lastErr != nil && refusal.Kind == kind.NoBackend {
+				return nil, lastErr
 			}
 			return nil, refusal
 		}
-		o, lost := x.await(ctx, st, a, in)
-		if lost != nil {
-			return nil, lost
+		o, failure := x.awaitAttempt(ctx, st, a, in)
+		if failure != nil {
+			return nil, failure
 		}
-		x.sent(o.err)
+		x.recordDispatch(o.err)
 		if o.err == nil {
-			x.started = true
-			return x.took(o.output), nil
+			x.nonRepeatableMayHaveRun = true
+			return x.nextInput(o.output), nil
 		}
-		x.started = x.started || mayHaveStarted(o.err)
-		last = x.classify(ctx, st, o.err)
-		if !x.mayTryAgain(st, o.err) {
-			return nil, last
+		x.nonRepeatableMayHaveRun = x.nonRepeatableMayHaveRun || mayHaveStarted(o.err)
+		lastErr = x.classifyError(ctx, st, o.err)
+		if !x.canRetryAfter(st, o.err) {
+			return nil, lastErr
 		}
 	}
 }
 
+// mayHaveStarted reports whether an attempt that ended with err may have run.
 func mayHaveStarted(err error) bool {
 	var be *backend.Error
 	return !errors.As(err, &be) || (be.Delivery != backend.NotSent && !be.NotStarted)
 }
 
-// await waits for one attempt until it ends, its connection is judged lost, or
-// the caller's time is over.
-func (x *run) await(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte) (outcome, *kind.Error) {
-	settle, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.left()+x.Options.LateResultTimeout)
-	results := make(chan outcome, 1)
-	doubts := make(chan bool, 1)
-	x.launch(settle, st, a, in, notify(doubts), results)
+// awaitAttempt runs an attempt and waits until it ends, its connection is found dead, or
+// ctx ends. In the last two cases the attempt is detached.
+func (x *execution) awaitAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte) (attemptResult, *kind.Error) {
+	attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.timeLeft()+x.Options.LateResultTimeout)
+	results := make(chan attemptResult, 1)
+	stalls := make(chan bool, 1)
+	x.startAttempt(attemptCtx, st, a, in, notifyStall(stalls), results)
 	alive := false
 	for {
 		select {
 		case o := <-results:
 			cancel()
 			return o, nil
-		case reused := <-doubts:
+		case reused := <-stalls:
 			x.Counters.Stalls.Add(1)
-			// Slow and lost look alike. A server that does not answer a new
-			// connection either, or an old connection that stays silent while
-			// the server answers new ones, is not waited for any longer.
-			lostOnOld := alive && reused
-			alive = x.answers(a)
-			if alive && !lostOnOld {
+			// A slow server and a dead connection look the same. The wait ends if the
+			// server does not respond on a new connection either, or if a reused
+			// connection stays stalled after the server has responded on a new one.
+			stalledOnReused := alive && reused
+			alive = x.probeShared(a)
+			if alive && !stalledOnReused {
 				continue
 			}
-			x.leave(st, results, cancel)
-			return outcome{}, kind.New(kind.OutcomeUnknown, "stage %s: %s makes no progress", st.Name, a.server.Name)
+			x.detachAttempt(st, results, cancel)
+			return attemptResult{}, kind.New(kind.OutcomeUnknown, "stage %s: %s makes no progress", st.Name, a.server.Name)
 		case <-ctx.Done():
-			x.leave(st, results, cancel)
-			return outcome{}, x.expired(ctx)
+			x.detachAttempt(st, results, cancel)
+			return attemptResult{}, x.contextError(ctx)
 		}
 	}
 }
 
-// notify returns a Doubt that reports to ch and never gives the attempt up.
-func notify(ch chan<- bool) func(bool) bool {
+// notifyStall returns an OnStall callback that reports to ch without blocking and never
+// aborts the attempt.
+func notifyStall(ch chan<- bool) func(bool) bool {
 	return func(reused bool) bool {
 		select {
 		case ch <- reused:
@@ -126,17 +129,18 @@
 	}
 }
 
-// leave lets an attempt go on without the caller.
-func (x *run) leave(st *snapshot.Stage, results <-chan outcome, cancel context.CancelFunc) {
-	x.started, x.dispatched = true, true
+// detachAttempt lets an attempt continue after the response to the caller. Its result is
+// sent to x.late.
+func (x *execution) detachAttempt(st *snapshot.Stage, results <-chan attemptResult, cancel context.CancelFunc) {
+	x.nonRepeatableMayHaveRun, x.dispatched = true, true
 	late := make(chan LateResult, 1)
-	x.pending = late
-	whole := x.last(st)
+	x.late = late
+	last := x.isLastStage(st)
 	go func() {
 		defer cancel()
 		o := <-results
 		late <- LateResult{
-			Complete: o.err == nil && whole, ContentType: o.contentType, Body: o.body,
+			Complete: o.err == nil && last, ContentType: o.contentType, Body: o.body,
 			NotStarted: o.err != nil && !mayHaveStarted(o.err),
 		}
 	}()
--- a/request/pipeline/options.go
+++ b/request/pipeline/options.go
@@ -7,22 +7,23 @@
 	"bilberrydale/process/limit"
 )
 
-// Options bound retries and the wait for progress.
+// Options limit retries and set the timeouts of attempts.
 type Options struct {
-	MaxAttempts int     // of one stage
-	RetryRatio  float64 // retries for each first attempt, over a pool
-	RetryBurst  float64 // retries that a quiet pool may have saved up
-	// A connection without progress is doubted after the pool's measured time
-	// to the first byte with its deviation, but never sooner than MinSilence.
+	MaxAttempts int     // per stage
+	RetryRatio  float64 // retries per first attempt, for each pool
+	RetryBurst  float64 // unused retries that a pool may accumulate
+	// MinStallTimeout is the lower bound of the time without progress after which a
+	// connection counts as stalled. The timeout itself follows from the mean and the
+	// deviation of the pool's measured delays.
 	MinStallTimeout    time.Duration
-	InitialIdleTimeout time.Duration // between chunks, before anything is measured
-	ProbeTimeout       time.Duration // for the answer on a fresh connection
-	// Settle is how long a stage that must not be repeated may go on after
-	// its caller was answered, so that its outcome is learnt.
+	InitialIdleTimeout time.Duration // between chunks, until delays have been measured
+	ProbeTimeout       time.Duration // for a health check on a new connection
+	// LateResultTimeout is the time after the deadline for which a non-repeatable stage
+	// may keep running, so that its result can be recorded.
 	LateResultTimeout time.Duration
 }
 
-// DefaultOptions returns the defaults.
+// DefaultOptions returns the default options.
 func DefaultOptions() Options {
 	budget := limit.DefaultRetryBudget()
 	return Options{
@@ -31,12 +32,14 @@
 	}
 }
 
-// Counters count what the runner did beside first attempts.
+// Counters count events other than first attempts. Stalls counts timeouts without
+// progress. LateResponsesUsed counts responses of an attempt that arrived while a later
+// attempt of the same stage was running.
 type Counters struct {
 	Retries, RetriesDenied, Stalls, ProbesFailed, Resumptions, LateResponsesUsed atomic.Int64
 }
 
-// Map returns the counts by name.
+// Map returns the counts by metric name.
 func (c *Counters) Map() map[string]int64 {
 	return map[string]int64{
 		"retries": c.Retries.Load(), "retries_denied": c.RetriesDenied.Load(), "doubted": c.Stalls.Load(),
--- a/request/pipeline/paused_test.go
+++ b/request/pipeline/pause_test.go
@@ -19,30 +19,33 @@
 	"bilberrydale/version/table"
 )
 
-// pausing moves the clock as a paused process sees it: during the first call.
-type pausing struct {
+// pausingClient advances the clock by an hour during each call, like a pause of the
+// process.
+type pausingClient struct {
 	clock *clock.Manual
 	calls []string
 }
 
-func (p *pausing) Do(_ context.Context, c *backend.Call) (*backend.Response, error) {
+func (p *pausingClient) Do(_ context.Context, c *backend.Call) (*backend.Response, error) {
 	p.calls = append(p.calls, c.Stage)
 	p.clock.Advance(time.Hour)
 	return &backend.Response{Status: 200}, nil
 }
 
-func (p *pausing) Stream(context.Context, *backend.Call, func(backend.Chunk) error) error { return nil }
+func (p *pausingClient) Stream(context.Context, *backend.Call, func(backend.Chunk) error) error {
+	return nil
+}
 
-func (p *pausing) Probe(context.Context, *server.State) error { return nil }
-func (p *pausing) CloseIdleConnections(*server.State)         {}
+func (p *pausingClient) Probe(context.Context, *server.State) error { return nil }
+func (p *pausingClient) CloseIdleConnections(*server.State)         {}
 
-// The process is paused for an hour between two stages. It wakes before its
-// timers fire, so the request's context still looks alive; its caller gave up
-// long ago and may have sent the booking again. The booking must not start.
-func TestPausedProcessDoesNotStartABooking(t *testing.T) {
+// Guards against starting a non-repeatable stage after the deadline. The process is paused
+// for an hour between two stages and resumes before its timers fire, so the request's
+// context has not ended yet. The caller has timed out and may have resent the booking.
+func TestStageDoesNotStartAfterDeadlineWhenTimersAreLate(t *testing.T) {
 	g := NewWithT(t)
 	clk := clock.NewManual(time.Now())
-	b := &pausing{clock: clk}
+	b := &pausingClient{clock: clk}
 	state := server.NewRegistry().Get("s", "127.0.0.1:1", clk.Now())
 	pool := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandom([]pick.Server{{State: state}})}
 	stage := func(i int, name string, repeatable bool) snapshot.Stage {
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -1,6 +1,7 @@
-// Package pipeline runs one request through the stages of its route. It lives
-// for that request: it holds the snapshot the request began under, the
-// attempts made and the time left.
+// Package pipeline executes the stages of a request's route in order, with retries,
+// hedged attempts and stream resumption where a stage allows them. The state of an
+// execution belongs to one request: the snapshot it started with, its attempts and its
+// remaining time.
 package pipeline
 
 import (
@@ -20,30 +21,30 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Runner runs requests. It is made once for the process and is safe for
-// concurrent use.
+// Runner executes requests. A process creates one; it is safe for concurrent use and
+// must not be copied.
 type Runner struct {
 	Backend     backend.Client
 	Admission   admission.Admitter
 	Quarantine  quarantine.Guard
-	Isolator    quarantine.Isolator // nil: suspects run like any request
+	Isolator    quarantine.Isolator // nil: requests suspected of crashing servers are not isolated
 	Clock       clock.Clock
 	Rand        clock.Rand
 	Tracer      trace.Tracer
-	Host        string // this entry host's name and incarnation, sent on each hop
-	Incarnation uint64
+	Host        string // name of this entry host, sent to backend servers
+	Incarnation uint64 // of this entry host, sent to backend servers
 	Options     Options
 	Counters    Counters
 
-	pools  pools
+	pools  poolStates
 	probes singleflight.Group
 }
 
-// Request is one admitted request.
+// Request is an admitted request.
 type Request struct {
-	ID          string // unique over all hosts and incarnations
-	Account     string
-	Key         string
+	ID          string // unique across all hosts and incarnations
+	Account     string // client account; may be empty
+	Key         string // idempotency key; may be empty
 	Method      string // of the caller's request
 	URI         string // path and query of the caller's request
 	ContentType string // of Body
@@ -52,116 +53,122 @@
 	Route       *snapshot.Route
 	Admitted    *admission.Request
 	Fingerprint quarantine.Fingerprint
-	// Sink receives the chunks of a streamed last stage; nil: the answer is
-	// only collected.
+	// Sink receives the chunks of a streamed last stage. If it is nil, the response is
+	// only collected in Result.Body.
 	Sink func(backend.Chunk) error
-	// Keep collects the whole answer beside the Sink, for resends.
+	// CollectBody also collects the response in Result.Body when Sink is set, so that
+	// it can be replayed to a resend.
 	CollectBody bool
 }
 
-// Result is a whole answer, or with an error what is known of the run.
+// Result is a complete response or, together with an error, describes what may have run.
 type Result struct {
 	ContentType string
-	Body        []byte // empty when it went to the Sink and Keep was not set
-	// Started is true if a stage that must not be repeated may have run.
+	Body        []byte // empty if it was streamed to Sink and CollectBody is not set
+	// NonRepeatableMayHaveRun is set if a stage that is not repeatable may have run.
 	NonRepeatableMayHaveRun bool
-	// Pending, with an error, brings the outcome of such a stage that still
-	// runs after the caller was answered.
+	// Late, if set, receives the result of a non-repeatable stage that was still
+	// running when Run returned an error.
 	Late <-chan LateResult
 }
 
-// Late is the outcome of a stage that the caller no longer waits for.
+// LateResult is the result of a stage that ended after Run returned.
 type LateResult struct {
-	Complete    bool // Body is the request's whole answer
+	Complete    bool // Body is the complete response of the request
 	ContentType string
 	Body        []byte
-	NotStarted  bool // it cannot have run
+	NotStarted  bool // the stage is known not to have run
 }
 
-// run is the state of one request.
-type run struct {
+// execution is the state of one request.
+type execution struct {
 	*Runner
-	req        *Request
-	number     int  // of attempts made
-	dispatched bool // a byte may have reached a backend server
-	started    bool // of a stage that must not be repeated
-	pending    <-chan LateResult
-	tried      []*server.State // of the present stage
-	// contentType is that of the present stage's input.
+	req                     *Request
+	attempts                int  // made so far, over all stages and resumptions
+	dispatched              bool // a byte may have reached a backend server
+	nonRepeatableMayHaveRun bool // see Result
+	late                    <-chan LateResult
+	triedServers            []*server.State // by the current stage
+	// contentType is the media type of the current stage's input.
 	contentType string
 }
 
-// output is what a stage gives to the next one, or to the caller.
+// output is the result of a stage: the input of the next one, or the response to the
+// caller.
 type output struct {
 	contentType string
 	body        []byte
 }
 
-// streamedType is the type of a streamed answer that was collected.
-const streamedType = "text/plain; charset=utf-8"
+// streamedContentType is the media type of a streamed response after collection.
+const streamedContentType = "text/plain; charset=utf-8"
 
-// took makes an output the input of the next stage.
-func (x *run) took(o output) []byte {
+// nextInput returns the body of o as input of the next stage and records its media type.
+func (x *execution) nextInput(o output) []byte {
 	x.contentType = o.contentType
 	return o.body
 }
 
-// Run executes every stage in turn and returns the whole answer or the one
-// error that the caller gets. The result is never nil.
+// Run executes the stages in order and returns the complete response, or the error to
+// send to the caller. It ends at the request's deadline. The result is never nil.
 func (r *Runner) Run(ctx context.Context, req *Request) (*Result, *kind.Error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Admitted.Deadline)
 	defer cancel()
-	x := &run{Runner: r, req: req, contentType: req.ContentType}
+	x := &execution{Runner: r, req: req, contentType: req.ContentType}
 	body := req.Body
 	for i := range req.Route.Stages {
-		out, err := x.stage(ctx, &req.Route.Stages[i], body)
+		out, err := x.runStage(ctx, &req.Route.Stages[i], body)
 		if err != nil {
 			err.Dispatched = err.Dispatched || x.dispatched
-			return &Result{NonRepeatableMayHaveRun: x.started, Late: x.pending}, err
+			return &Result{NonRepeatableMayHaveRun: x.nonRepeatableMayHaveRun, Late: x.late}, err
 		}
 		body = out
 	}
 	if r.Isolator != nil {
 		r.Isolator.ClearSuspicion(req.Fingerprint)
 	}
-	return &Result{ContentType: x.contentType, Body: body, NonRepeatableMayHaveRun: x.started}, nil
+	return &Result{ContentType: x.contentType, Body: body, NonRepeatableMayHaveRun: x.nonRepeatableMayHaveRun}, nil
 }
 
-// stage runs one stage, with retries where they are allowed.
-func (x *run) stage(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
+// runStage executes one stage, retries included, and reports its duration to admission.
+func (x *execution) runStage(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
 	start := x.Clock.Now()
 	x.Admission.StageStart(start, x.req.Admitted, st.Index)
-	x.tried = nil
-	x.pool(st).budget.RecordFirstAttempt()
+	x.triedServers = nil
+	x.pool(st).retryBudget.RecordFirstAttempt()
 	x.req.Admitted.StreamDuration = 0
 	var out []byte
 	var err *kind.Error
 	switch {
 	case st.Stream:
-		out, err = x.stream(ctx, st, in)
+		out, err = x.runStreamed(ctx, st, in)
 	case st.Repeatable:
-		out, err = x.repeat(ctx, st, in)
+		out, err = x.runRepeatable(ctx, st, in)
 	default:
-		out, err = x.once(ctx, st, in)
+		out, err = x.runOnce(ctx, st, in)
 	}
 	now := x.Clock.Now()
 	x.Admission.StageDone(now, x.req.Admitted, st.Index, now.Sub(start), err == nil)
 	return out, err
 }
 
-// last reports whether the answer of st is the answer of the request.
-func (x *run) last(st *snapshot.Stage) bool { return st.Index == len(x.req.Route.Stages)-1 }
+// isLastStage reports whether the output of st is the response to the caller.
+func (x *execution) isLastStage(st *snapshot.Stage) bool {
+	return st.Index == len(x.req.Route.Stages)-1
+}
 
-// left returns the time until the request's deadline.
-func (x *run) left() time.Duration { return x.req.Admitted.Deadline.Sub(x.Clock.Now()) }
+// timeLeft returns the time until the request's deadline.
+func (x *execution) timeLeft() time.Duration { return x.req.Admitted.Deadline.Sub(x.Clock.Now()) }
 
-func (x *run) expired(ctx context.Context) *kind.Error {
+// contextError returns the error for a request whose deadline has passed or whose caller
+// has disconnected, and nil otherwise.
+func (x *execution) contextError(ctx context.Context) *kind.Error {
 	switch err := ctx.Err(); {
-	case err == nil && x.left() > 0:
+	case err == nil && x.timeLeft() > 0:
 		return nil
 	case err == nil:
-		// A process that was paused may run again before its timers do. It
-		// must not start what its caller, and others, have given up.
+		// After a pause of the process, this code may run before the context's timer
+		// fires. It must not start work that the caller has already timed out.
 		return kind.New(kind.DeadlineExceeded, "the deadline passed")
 	case errors.Is(err, context.DeadlineExceeded):
 		return kind.New(kind.DeadlineExceeded, "the deadline passed")
