--- a/connection/backend/backend.go
+++ b/connection/backend/backend.go
@@ -1,6 +1,7 @@
-// Package backend carries one attempt of one stage to a backend server and
-// back. It tells apart what a caller above must never confuse: nothing was
-// sent, something may have been received, the answer is whole.
+// Package backend sends attempts of stages to backend servers and returns their
+// responses. Its errors distinguish calls that were certainly not sent from calls that the
+// server may have received, because only the former are safe to repeat for every stage.
+// A response that may be truncated is an error, never a success.
 package backend
 
 import (
@@ -12,7 +13,7 @@
 	"bilberrydale/process/server"
 )
 
-// Call is one attempt.
+// Call is one attempt of a stage on a backend server.
 type Call struct {
 	Server      *server.State
 	Path        string
@@ -27,29 +28,30 @@
 	Body        []byte
 	Account     string
 	Priority    int // 0 is the most urgent
-	// Key is passed on to services that check repeats themselves; may be empty.
+	// Key is the operation key, by which services detect repeats; may be empty.
 	Key string
-	// Resume is the offset from which a stream continues; 0: from the start.
+	// ResumeOffset is the byte offset at which a stream continues; 0: from the start.
 	ResumeOffset int64
-	// FirstByte bounds the wait for the first byte of the answer, and Idle the
-	// wait between later ones. 0: only ctx bounds them.
+	// FirstByteTimeout limits the time until the head of the response, IdleTimeout the
+	// time between later reads of its body. 0: only ctx limits them.
 	FirstByteTimeout time.Duration
 	IdleTimeout      time.Duration
-	// Doubt, if set, is asked when a bound has passed without progress; true
-	// gives the call up, false doubles the bound. Unset: the call is given up.
-	// reused tells that the connection served an earlier call.
+	// OnStall is called when one of the timeouts has expired without progress. If it
+	// returns true, the call is aborted; if false, the timeout is doubled and restarted.
+	// Without OnStall the call is aborted. reused is set if the connection has served an
+	// earlier call.
 	OnStall func(reused bool) bool
 }
 
-// Reply is a whole answer.
+// Response is a complete response.
 type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
 }
 
-// Chunk is one piece of a streamed answer. Offset counts the bytes of data
-// before it. The last chunk has Final set and no data.
+// Chunk is a part of a streamed response. Offset is the number of data bytes before it.
+// The last chunk has Final set and no data. A chunk with Error ends the stream as failed.
 type Chunk struct {
 	Offset int64  `json:"offset"`
 	Data   string `json:"data,omitempty"`
@@ -57,37 +59,38 @@
 	Error  string `json:"error,omitempty"`
 }
 
-// Caller sends attempts. Implementations never repeat a call by themselves,
-// follow no redirect and use no proxy.
+// Client sends attempts to backend servers. Implementations must not retry calls, follow
+// redirects or use proxies. They are safe for concurrent use.
 type Client interface {
-	// Do returns the whole answer or a *Error.
+	// Do sends the call and returns the complete response or an *Error.
 	Do(ctx context.Context, c *Call) (*Response, error)
-	// Stream passes chunks to sink in order of offset, without gaps or
-	// repeats, and returns nil only after the final chunk.
+	// Stream sends the call and passes chunks to sink in order of offset, without gaps
+	// or repeats. It returns nil only after the final chunk, an error of sink as it is,
+	// and an *Error otherwise.
 	Stream(ctx context.Context, c *Call, sink func(Chunk) error) error
-	// Probe asks the server on a fresh connection whether it is alive.
+	// Probe checks the server's health on a new connection.
 	Probe(ctx context.Context, s *server.State) error
-	// Forget drops every idle connection to the server.
+	// CloseIdleConnections closes all idle connections to the server.
 	CloseIdleConnections(s *server.State)
 }
 
-// Sent tells how far a failed call got.
+// Delivery is how far a failed call is known to have progressed.
 type Delivery int
 
-// Values of Sent.
+// Values of Delivery.
 const (
 	NotSent   Delivery = iota // no byte can have reached the server
 	MaybeSent                 // the server may have received the call
-	Responded                 // the server answered with a status
+	Responded                 // the server responded with a status
 )
 
-// Error is a failed call.
+// Error describes a failed call.
 type Error struct {
 	Delivery         Delivery
-	Status           int  // for Answered
-	NotStarted       bool // the server said, by status, that it did not start the work
-	Stalled          bool // no progress in time while the connection stayed open
-	ConnectionFailed bool // the connection ended: the server may have died
+	Status           int  // HTTP status, for Responded
+	NotStarted       bool // the server responded that it did not start the work
+	Stalled          bool // aborted after a timeout without progress on an open connection
+	ConnectionFailed bool // dialing failed, or the connection or response broke off: the server may have crashed
 	Cause            error
 }
 
@@ -99,13 +102,13 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Errors of an answer that is not the one asked for. Use errors.Is.
+// Errors of invalid responses. Use errors.Is.
 var (
-	// ErrMisdelivered: the answer carries the ids of another request or attempt.
+	// ErrMisdelivered: the response carries the ids of another request or attempt.
 	ErrMisdelivered = errors.New("backend: answer belongs to another request")
-	// ErrTruncated: the answer ended before it was whole.
+	// ErrTruncated: the response ended before it was complete, or its end is not marked.
 	ErrTruncated = errors.New("backend: answer cut off")
-	// ErrTooLarge: the answer is over the limit.
+	// ErrTooLarge: the response exceeds HTTPOptions.MaxResponseBytes.
 	ErrTooLarge = errors.New("backend: answer too large")
-	errSilent   = errors.New("no progress on the connection")
+	errStalled  = errors.New("no progress on the connection")
 )
--- a/connection/backend/exchange.go
+++ b/connection/backend/exchange.go
@@ -14,41 +14,42 @@
 	"bilberrydale/process/server"
 )
 
-// exchange is one request and its answer on one connection.
+// exchange is a request and its response on one connection.
 type exchange struct {
-	call   *Call
-	resp   *http.Response
-	cancel context.CancelFunc
-	sent   atomic.Bool // a connection was there: bytes may have left
-	reused atomic.Bool // the connection served an earlier exchange
-	silent atomic.Bool
-
-	mu    sync.Mutex // orders the timer's rounds against progress and the end
-	timer *time.Timer
-	round int
-	bound time.Duration
-	ended bool
+	call      *Call
+	resp      *http.Response
+	cancel    context.CancelFunc
+	connected atomic.Bool // a connection was obtained: bytes may have been sent
+	reused    atomic.Bool // the connection served an earlier exchange
+	stalled   atomic.Bool
+
+	mu         sync.Mutex // guards the fields below
+	timer      *time.Timer
+	generation int // incremented on each progress
+	timeout    time.Duration
+	closed     bool
 }
 
-// open sends the call and checks that the answer's head belongs to it.
+// open sends the call, waits for the head of the response and checks that it belongs to the
+// call.
 func (h *HTTPClient) open(ctx context.Context, c *Call) (*exchange, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	x := &exchange{call: c, cancel: cancel}
-	req, err := h.newRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.connected}), c)
+	req, err := h.newRequest(httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: x.onConnection}), c)
 	if err != nil {
 		cancel()
 		return nil, &Error{Delivery: NotSent, Cause: err}
 	}
-	x.watch(c.FirstByteTimeout)
+	x.restartTimer(c.FirstByteTimeout)
 	x.resp, err = h.client(c.Server).Do(req)
 	if err != nil {
 		defer x.close()
-		return nil, x.failed(err)
+		return nil, x.newError(err)
 	}
-	x.watch(c.IdleTimeout)
-	err = x.check(c, &h.opts.Headers)
+	x.restartTimer(c.IdleTimeout)
+	err = x.validateResponse(c, &h.opts.Headers)
 	if !errors.Is(err, ErrMisdelivered) {
-		h.heard(c.Server, x.resp.Header)
+		h.detectLeaving(c.Server, x.resp.Header)
 	}
 	if err != nil {
 		x.close()
@@ -57,123 +58,125 @@
 	return x, nil
 }
 
-// heard takes what an answer says of its server. An answer is often the first
-// sign of a leave: it needs no report, list or peer to arrive.
-func (h *HTTPClient) heard(s *server.State, header http.Header) {
+// detectLeaving reports a server whose response says for the first time that it is leaving.
+// A response is often the earliest sign, since it needs no load report, host list or peer.
+func (h *HTTPClient) detectLeaving(s *server.State, header http.Header) {
 	if h.opts.OnLeaving != nil && header.Get(h.opts.Headers.Leaving) == "true" && !s.Leaving() {
 		h.opts.OnLeaving(s)
 	}
 }
 
-func (x *exchange) connected(info httptrace.GotConnInfo) {
+// onConnection is called when the transport has obtained a connection.
+func (x *exchange) onConnection(info httptrace.GotConnInfo) {
 	x.reused.Store(info.Reused)
-	x.sent.Store(true)
+	x.connected.Store(true)
 }
 
-// watch restarts the wait for progress; 0 ends it.
-func (x *exchange) watch(bound time.Duration) {
+// restartTimer records progress and restarts the timeout; 0 stops it.
+func (x *exchange) restartTimer(timeout time.Duration) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.round++
-	x.arm(bound)
+	x.generation++
+	x.setTimer(timeout)
 }
 
-// arm is called with x.mu held.
-func (x *exchange) arm(bound time.Duration) {
-	x.bound = bound
+// setTimer starts the timer without recording progress. The caller holds x.mu.
+func (x *exchange) setTimer(timeout time.Duration) {
+	x.timeout = timeout
 	switch {
-	case x.ended || bound <= 0:
+	case x.closed || timeout <= 0:
 		if x.timer != nil {
 			x.timer.Stop()
 		}
 	case x.timer == nil:
-		x.timer = time.AfterFunc(bound, x.doubt)
+		x.timer = time.AfterFunc(timeout, x.onTimeout)
 	default:
-		x.timer.Reset(bound)
+		x.timer.Reset(timeout)
 	}
 }
 
-// doubt runs when a bound has passed without progress. Something between the
-// two ends may have forgotten the connection: nothing would ever come, and no
-// error either.
-func (x *exchange) doubt() {
+// onTimeout runs when the timeout has expired without progress. A middlebox may have
+// dropped the connection's state, in which case neither data nor an error would ever arrive.
+func (x *exchange) onTimeout() {
 	x.mu.Lock()
-	round, ended := x.round, x.ended
+	generation, closed := x.generation, x.closed
 	x.mu.Unlock()
-	if ended {
+	if closed {
 		return
 	}
 	if x.call.OnStall == nil || x.call.OnStall(x.reused.Load()) {
-		x.giveUp(round)
+		x.abortStalled(generation)
 		return
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.round == round {
-		x.arm(2 * x.bound)
+	if x.generation == generation {
+		x.setTimer(2 * x.timeout)
 	}
 }
 
-// giveUp ends the exchange unless progress came while it was doubted.
-func (x *exchange) giveUp(round int) {
+// abortStalled cancels the exchange unless it has progressed since generation was read.
+func (x *exchange) abortStalled(generation int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.round == round && !x.ended {
-		x.silent.Store(true)
+	if x.generation == generation && !x.closed {
+		x.stalled.Store(true)
 		x.cancel()
 	}
 }
 
-// delimited reports whether the end of the answer is marked. An answer that
-// ends with its connection looks whole after any cut.
-func (x *exchange) delimited() bool {
+// bodyDelimited reports whether the response has a length or is chunked. A response that
+// ends with its connection cannot be told from a truncated one.
+func (x *exchange) bodyDelimited() bool {
 	return x.resp.ContentLength >= 0 || len(x.resp.TransferEncoding) > 0
 }
 
-// body returns the answer's body; each read that brings bytes restarts the
-// wait for progress.
-func (x *exchange) body() io.Reader { return progressReader{x} }
+// bodyReader returns the response body. Each read that returns data restarts the timeout.
+func (x *exchange) bodyReader() io.Reader { return progressReader{x} }
 
-type progressReader struct{ x *exchange }
+// progressReader reads the body of an exchange and records progress.
+type progressReader struct{ exchange *exchange }
 
 // Read implements io.Reader.
 func (p progressReader) Read(b []byte) (int, error) {
-	n, err := p.x.resp.Body.Read(b)
+	n, err := p.exchange.resp.Body.Read(b)
 	if n > 0 {
-		p.x.watch(p.x.call.IdleTimeout)
+		p.exchange.restartTimer(p.exchange.call.IdleTimeout)
 	}
 	return n, err
 }
 
-func (x *exchange) failed(err error) *Error {
-	e := &Error{Cause: err, Stalled: x.silent.Load()}
+// newError returns the *Error for a call that failed with err, with what is known about
+// its delivery.
+func (x *exchange) newError(err error) *Error {
+	e := &Error{Cause: err, Stalled: x.stalled.Load()}
 	if e.Stalled {
-		e.Cause = fmt.Errorf("%w: %w", errSilent, err)
+		e.Cause = fmt.Errorf("%w: %w", errStalled, err)
 	}
-	if x.sent.Load() {
+	if x.connected.Load() {
 		e.Delivery = MaybeSent
 	}
 	e.ConnectionFailed = !e.Stalled && !errors.Is(err, context.Canceled) && !errors.Is(err, context.DeadlineExceeded)
 	return e
 }
 
-// maxTrailer bounds what may follow the final chunk, such as a line end.
-const maxTrailer = 64
+// maxTrailerBytes limits what is read after the final chunk, such as a line end.
+const maxTrailerBytes = 64
 
-// finish reads the end of a stream after its final chunk, so that the
-// connection may serve another exchange. More than an end is left unread, and
+// drainTrailer reads the end of the body after the final chunk of a stream, so that the
+// connection can be reused. If more than maxTrailerBytes follow, the rest stays unread and
 // the connection is closed.
-func (x *exchange) finish() {
-	x.watch(x.call.IdleTimeout)
-	_, _ = io.CopyN(io.Discard, x.resp.Body, maxTrailer)
+func (x *exchange) drainTrailer() {
+	x.restartTimer(x.call.IdleTimeout)
+	_, _ = io.CopyN(io.Discard, x.resp.Body, maxTrailerBytes)
 }
 
-// close ends the exchange. Cancelling before the body was read to its end
-// makes the transport close the connection, so that a late rest of this answer
-// can never be read as the answer of a later request.
+// close ends the exchange. Cancelling the request before the body is read to its end makes
+// the transport close the connection, so that the rest of this response cannot be read as
+// the response to a later request.
 func (x *exchange) close() {
 	x.mu.Lock()
-	x.ended = true
+	x.closed = true
 	if x.timer != nil {
 		x.timer.Stop()
 	}
--- a/connection/backend/headers.go
+++ b/connection/backend/headers.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Default header names of the hop to a backend server.
+// Default names of the headers between entry hosts and backend servers.
 const (
 	HeaderRequestID   = "X-Request-Id"
 	HeaderStage       = "X-Stage"
@@ -24,16 +24,16 @@
 	HeaderLeaving     = "X-Server-Leaving"
 )
 
-// Headers are the names of the hop's headers. A backend server has to send the
-// first three back on each answer.
+// Headers are the names of the headers between entry hosts and backend servers. A backend
+// server must return RequestID, Stage and Attempt on each response.
 type Headers struct {
 	RequestID, Stage, Attempt string
 	Host, Incarnation         string
 	Account, Priority, Key    string
 	Method, URI               string
 	Resume                    string
-	NotStarted                string // on a refusal: the work was not started
-	Leaving                   string // on any answer: the server takes its leave
+	NotStarted                string // "true" on an error response: the work was not started
+	Leaving                   string // "true" on any response: the server is leaving
 }
 
 // DefaultHeaders returns the default names.
@@ -47,49 +47,51 @@
 	}
 }
 
-// Each calls f with the setting's name, the header's name and its meaning.
+// Each calls f for every header with the name of its setting, a pointer to the header's
+// name and a description.
 func (n *Headers) Each(f func(setting string, name *string, meaning string)) {
-	f("request-id", &n.RequestID, "request id, sent back on answers")
-	f("stage", &n.Stage, "stage, sent back on answers")
-	f("attempt", &n.Attempt, "attempt, sent back on answers")
+	f("request-id", &n.RequestID, "request id, returned on responses")
+	f("stage", &n.Stage, "stage, returned on responses")
+	f("attempt", &n.Attempt, "attempt, returned on responses")
 	f("host", &n.Host, "entry host")
 	f("incarnation", &n.Incarnation, "entry host's incarnation")
 	f("account", &n.Account, "client account")
 	f("priority", &n.Priority, "priority, 0 is the most urgent")
-	f("key", &n.Key, "operation, for servers that check repeats themselves")
+	f("key", &n.Key, "operation key, for servers that detect repeats themselves")
 	f("method", &n.Method, "method of the caller's request")
 	f("uri", &n.URI, "path and query of the caller's request")
 	f("resume", &n.Resume, "offset from which a stream continues")
-	f("not-started", &n.NotStarted, "on a refusal: the work was not started")
-	f("leaving", &n.Leaving, "on an answer: the server leaves")
+	f("not-started", &n.NotStarted, "on an error response: the work was not started")
+	f("leaving", &n.Leaving, "on a response: the server is leaving")
 }
 
-// CheckHeader refuses a name that makes net/http's transport repeat requests
-// by itself: with one of them even a POST without a body is sent again when a
-// kept connection breaks, and a stage that must not be repeated runs twice.
+// CheckHeader rejects invalid names, names that HTTP reserves and names that make the
+// transport of net/http retry requests. With one of the latter, even a POST without a body
+// is sent again when a reused connection breaks, and a non-repeatable stage runs twice.
 func CheckHeader(name string) error {
 	if name == "" || strings.ContainsAny(name, " :,\t\r\n") {
 		return fmt.Errorf("%q is not a header name", name)
 	}
 	switch textproto.CanonicalMIMEHeaderKey(name) {
 	case "Idempotency-Key", "X-Idempotency-Key":
-		return fmt.Errorf("%s makes the HTTP client repeat requests; use another name, such as %s", name, HeaderKey)
+		return fmt.Errorf("%s makes the HTTP client retry requests; use another name, such as %s", name, HeaderKey)
 	case "Content-Type", "Content-Length", "Host", "Connection", "Transfer-Encoding":
-		return fmt.Errorf("%s belongs to HTTP; use another name", name)
+		return fmt.Errorf("%s is reserved by HTTP; use another name", name)
 	}
 	return nil
 }
 
-// Check finds two settings that name the same header, in any case of letters.
+// Check returns an error if two settings name the same header. Names are compared without
+// regard to case.
 func (n *Headers) Check() error {
 	seen := map[string]string{}
-	var faults []error
+	var errs []error
 	n.Each(func(setting string, name *string, _ string) {
 		header := textproto.CanonicalMIMEHeaderKey(*name)
 		if other, dup := seen[header]; dup {
-			faults = append(faults, fmt.Errorf("--server-header-%s: %s is used twice, also as --server-header-%s", setting, header, other))
+			errs = append(errs, fmt.Errorf("--server-header-%s: %s is used twice, also as --server-header-%s", setting, header, other))
 		}
 		seen[header] = setting
 	})
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/connection/backend/headers_test.go
+++ b/connection/backend/headers_test.go
@@ -12,43 +12,44 @@
 	"bilberrydale/process/server"
 )
 
-// Another kind of backend server needs other names and no other code.
-func TestHeadersGoByTheNamesOfTheSettings(t *testing.T) {
+// Checks that requests use the configured header names and not the defaults.
+func TestConfiguredHeaderNamesAreUsed(t *testing.T) {
 	g := NewWithT(t)
-	names := DefaultHeaders()
-	names.Each(func(setting string, name *string, _ string) { *name = "Acme-" + setting })
+	headers := DefaultHeaders()
+	headers.Each(func(setting string, name *string, _ string) { *name = "Acme-" + setting })
 	var got http.Header
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got = r.Header
-		for _, n := range []string{names.RequestID, names.Stage, names.Attempt} {
+		for _, n := range []string{headers.RequestID, headers.Stage, headers.Attempt} {
 			w.Header().Set(n, r.Header.Get(n))
 		}
 	}))
 	defer srv.Close()
 	state := server.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
-	h := NewHTTPClient(HTTPOptions{Headers: names})
+	h := NewHTTPClient(HTTPOptions{Headers: headers})
 	_, err := h.Do(context.Background(), &Call{
 		Server: state, Path: "/", RequestID: "r1", Stage: "a", Attempt: 2, Host: "e1", Account: "x", Key: "k",
 		Method: http.MethodGet, URI: "/v1?q=1", ResumeOffset: 7,
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	for name, want := range map[string]string{
-		names.RequestID: "r1", names.Stage: "a", names.Attempt: "2", names.Host: "e1", names.Account: "x",
-		names.Key: "k", names.Method: "GET", names.URI: "/v1?q=1", names.Resume: "7",
+		headers.RequestID: "r1", headers.Stage: "a", headers.Attempt: "2", headers.Host: "e1", headers.Account: "x",
+		headers.Key: "k", headers.Method: "GET", headers.URI: "/v1?q=1", headers.Resume: "7",
 	} {
 		g.Expect(got.Get(name)).To(Equal(want), name)
 	}
 	g.Expect(got).NotTo(HaveKey(HeaderRequestID))
 }
 
-// With a name that net/http knows, the transport sends a POST without a body
-// again when a kept connection breaks: a booking could run twice.
-func TestNamesThatRepeatRequestsAreRefused(t *testing.T) {
+// Guards against a configured header that makes the transport of net/http retry: a POST
+// without a body would be sent again when a reused connection breaks, and a booking could
+// run twice.
+func TestHeaderNamesThatEnableTransportRetriesAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	repeating := DefaultHeaders()
-	repeating.Key = "Idempotency-Key"
-	for received, names := range map[int32]Headers{2: DefaultHeaders(), 3: repeating} {
-		s := newRaw(t, resetOnReuse)
+	unsafe := DefaultHeaders()
+	unsafe.Key = "Idempotency-Key"
+	for received, names := range map[int32]Headers{2: DefaultHeaders(), 3: unsafe} {
+		s := newRawServer(t, resetOnReuse)
 		h, state := NewHTTPClient(HTTPOptions{Headers: names}), s.state()
 		for range 2 {
 			_, _ = h.Do(context.Background(), &Call{Server: state, Path: "/", RequestID: "r", Stage: "book", Key: "key"})
--- a/connection/backend/http.go
+++ b/connection/backend/http.go
@@ -21,24 +21,25 @@
 	"bilberrydale/process/server"
 )
 
-// HTTPOptions configure the HTTP caller.
+// HTTPOptions configure an HTTPClient; zero values get the defaults.
 type HTTPOptions struct {
-	MaxResponseBytes int64 // bytes; default 16 MiB
-	DialTimeout      time.Duration
-	MaxIdleConns     int     // kept for each backend server
-	Headers          Headers // default: DefaultHeaders
-	// Leaving is called when an answer first says that its server leaves.
+	MaxResponseBytes int64         // default 16 MiB
+	DialTimeout      time.Duration // default 500 ms
+	MaxIdleConns     int           // per backend server; default 64
+	Headers          Headers       // default: DefaultHeaders
+	// OnLeaving is called when a response says that its server is leaving, unless that is
+	// already known. It should mark the server as leaving.
 	OnLeaving func(*server.State)
 }
 
-// HTTP is the Caller over net/http with one connection pool a backend server,
-// so that the pool of one server can be dropped without touching others.
+// HTTPClient is a Client over net/http. Each backend server has a connection pool of its
+// own, so that the idle connections of one server can be closed separately.
 type HTTPClient struct {
 	opts    HTTPOptions
 	clients sync.Map // *server.State -> *http.Client
 }
 
-// NewHTTP returns an HTTP caller.
+// NewHTTPClient returns an HTTPClient.
 func NewHTTPClient(opts HTTPOptions) *HTTPClient {
 	if opts.MaxResponseBytes <= 0 {
 		opts.MaxResponseBytes = 16 << 20
@@ -52,11 +53,12 @@
 	if opts.Headers == (Headers{}) {
 		opts.Headers = DefaultHeaders()
 	}
-	// Names are put into canonical form once, not for each attempt.
+	// Canonicalized here once instead of for each attempt.
 	opts.Headers.Each(func(_ string, name *string, _ string) { *name = textproto.CanonicalMIMEHeaderKey(*name) })
 	return &HTTPClient{opts: opts}
 }
 
+// client returns the http.Client of the server and creates it on first use.
 func (h *HTTPClient) client(s *server.State) *http.Client {
 	if c, ok := h.clients.Load(s); ok {
 		return c.(*http.Client)
@@ -68,7 +70,7 @@
 func (h *HTTPClient) newClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
-			Proxy:               nil, // never a proxy from the environment
+			Proxy:               nil, // ignores proxy settings of the environment
 			DialContext:         (&net.Dialer{Timeout: h.opts.DialTimeout}).DialContext,
 			MaxIdleConnsPerHost: h.opts.MaxIdleConns,
 			IdleConnTimeout:     20 * time.Second,
@@ -78,10 +80,10 @@
 	}
 }
 
-// Forget implements Caller.
+// CloseIdleConnections implements Client.
 func (h *HTTPClient) CloseIdleConnections(s *server.State) { h.client(s).CloseIdleConnections() }
 
-// Probe implements Caller.
+// Probe implements Client.
 func (h *HTTPClient) Probe(ctx context.Context, s *server.State) error {
 	c := h.newClient()
 	defer c.CloseIdleConnections()
@@ -100,19 +102,19 @@
 	return nil
 }
 
-// Do implements Caller.
+// Do implements Client.
 func (h *HTTPClient) Do(ctx context.Context, c *Call) (*Response, error) {
 	x, err := h.open(ctx, c)
 	if err != nil {
 		return nil, err
 	}
 	defer x.close()
-	if !x.delimited() {
-		return nil, x.failed(fmt.Errorf("%w: neither length nor chunks mark its end", ErrTruncated))
+	if !x.bodyDelimited() {
+		return nil, x.newError(fmt.Errorf("%w: neither length nor chunks mark its end", ErrTruncated))
 	}
-	body, err := io.ReadAll(io.LimitReader(x.body(), h.opts.MaxResponseBytes+1))
+	body, err := io.ReadAll(io.LimitReader(x.bodyReader(), h.opts.MaxResponseBytes+1))
 	if err != nil {
-		return nil, x.failed(fmt.Errorf("%w: %w", ErrTruncated, err))
+		return nil, x.newError(fmt.Errorf("%w: %w", ErrTruncated, err))
 	}
 	if int64(len(body)) > h.opts.MaxResponseBytes {
 		return nil, &Error{Delivery: Responded, Status: x.resp.StatusCode, Cause: ErrTooLarge}
@@ -120,7 +122,7 @@
 	return &Response{Status: x.resp.StatusCode, ContentType: x.resp.Header.Get("Content-Type"), Body: body}, nil
 }
 
-// Stream implements Caller.
+// Stream implements Client.
 func (h *HTTPClient) Stream(ctx context.Context, c *Call, sink func(Chunk) error) error {
 	x, err := h.open(ctx, c)
 	if err != nil {
@@ -128,45 +130,45 @@
 	}
 	defer x.close()
 	next := c.ResumeOffset
-	dec := json.NewDecoder(io.LimitReader(x.body(), h.opts.MaxResponseBytes))
+	dec := json.NewDecoder(io.LimitReader(x.bodyReader(), h.opts.MaxResponseBytes))
 	for {
 		var ch Chunk
 		if err := dec.Decode(&ch); err != nil {
-			return x.failed(fmt.Errorf("%w: %w", ErrTruncated, err))
+			return x.newError(fmt.Errorf("%w: %w", ErrTruncated, err))
 		}
 		if ch.Error != "" {
 			return &Error{Delivery: Responded, Status: http.StatusInternalServerError, Cause: errors.New(ch.Error)}
 		}
 		if ch.Offset != next {
-			return x.failed(fmt.Errorf("%w: offset %d, want %d", ErrTruncated, ch.Offset, next))
+			return x.newError(fmt.Errorf("%w: offset %d, want %d", ErrTruncated, ch.Offset, next))
 		}
 		if err := sink(ch); err != nil {
 			return err
 		}
 		if ch.Final {
-			x.finish()
+			x.drainTrailer()
 			return nil
 		}
 		next += int64(len(ch.Data))
 	}
 }
 
-// hopHeaders is the room for the headers of one attempt.
-const hopHeaders = 16
+// headerCapacity is the number of headers for which an attempt allocates space.
+const headerCapacity = 16
 
+// newRequest builds the HTTP request of a call.
 func (h *HTTPClient) newRequest(ctx context.Context, c *Call) (*http.Request, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+c.Server.Address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return nil, fmt.Errorf("build call: %w", err)
 	}
-	// The transport repeats a request by itself on a reset of a kept-alive
-	// connection if it can rewind the body. Without GetBody it cannot, so a
-	// stage that must not be repeated is sent once.
+	// The transport retries a request when a reused connection is reset, if it can rewind
+	// the body. Without GetBody it cannot, so a non-repeatable stage is sent once.
 	req.GetBody = nil
 	names := &h.opts.Headers
-	req.Header = make(http.Header, hopHeaders)
-	// One array holds all values: Header.Set would allocate one for each.
-	values := make([]string, 0, hopHeaders)
+	req.Header = make(http.Header, headerCapacity)
+	// All values share one array: Header.Set would allocate a slice for each.
+	values := make([]string, 0, headerCapacity)
 	set := func(name, value string) {
 		values = append(values, value)
 		req.Header[name] = values[len(values)-1 : len(values) : len(values)]
@@ -182,8 +184,8 @@
 	set(names.Account, c.Account)
 	set(names.Priority, strconv.Itoa(c.Priority))
 	if c.Key != "" {
-		// Not named Idempotency-Key: that name makes net/http's transport
-		// treat the request as safe to repeat.
+		// The header must not be named Idempotency-Key: that makes the transport of
+		// net/http treat the request as safe to retry.
 		set(names.Key, c.Key)
 	}
 	if c.ResumeOffset > 0 {
@@ -193,7 +195,8 @@
 	return req, nil
 }
 
-func (x *exchange) check(c *Call, names *Headers) error {
+// validateResponse checks that the response carries the ids of the call and has status 200.
+func (x *exchange) validateResponse(c *Call, names *Headers) error {
 	h := x.resp.Header
 	if h.Get(names.RequestID) != c.RequestID || h.Get(names.Stage) != c.Stage || h.Get(names.Attempt) != strconv.Itoa(c.Attempt) {
 		return &Error{Delivery: MaybeSent, Cause: fmt.Errorf("%w: got %q/%q/%q", ErrMisdelivered, h.Get(names.RequestID), h.Get(names.Stage), h.Get(names.Attempt))}
--- a/connection/backend/leaving_test.go
+++ b/connection/backend/leaving_test.go
@@ -12,10 +12,10 @@
 	"bilberrydale/process/server"
 )
 
-// A backend server leaves and says so on its answers, before any report or list
-// tells of it. The first such answer has to count, whole or refused; one that
-// belongs to another request proves nothing about who sent it.
-func TestAnswerTellsThatItsServerLeaves(t *testing.T) {
+// Checks that the first response with the leaving header marks its server as leaving,
+// whatever its status, before any report or list does. A response that belongs to another
+// request must not, since its sender is uncertain.
+func TestLeavingHeaderIsReportedOnce(t *testing.T) {
 	for name, c := range map[string]struct {
 		id      string
 		status  int
@@ -37,16 +37,16 @@
 				w.WriteHeader(c.status)
 			}))
 			defer srv.Close()
-			told := 0
+			notifications := 0
 			h := NewHTTPClient(HTTPOptions{OnLeaving: func(s *server.State) {
-				told++
+				notifications++
 				s.SetLeaving(true)
 			}})
 			state := server.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
 			for range 2 {
 				_, _ = h.Do(context.Background(), &Call{Server: state, Path: "/", RequestID: "r1", Stage: "a"})
 			}
-			g.Expect(told).To(Equal(c.want))
+			g.Expect(notifications).To(Equal(c.want))
 			g.Expect(state.Usable()).To(Equal(c.want == 0))
 		})
 	}
--- a/connection/engineorder/engineorder.go
+++ b/connection/engineorder/engineorder.go
@@ -1,4 +1,4 @@
-// Package engineorder gives orders to model engines over HTTP.
+// Package engineorder sends orders to model engines over HTTP and reads their state.
 package engineorder
 
 import (
@@ -18,18 +18,19 @@
 	pathLoad   = "/load"
 )
 
-const maxAnswer = 64 << 10
+const maxResponseBytes = 64 << 10
 
-// Client implements order.Sender. It keeps no connection: orders are rare, and
-// one on a connection that something in between has forgotten would be lost.
+// Client implements order.Sender. It opens a connection for each call: orders are rare, and
+// an order sent on an idle connection whose state a middlebox has dropped would be lost.
 type Client struct{ http *http.Client }
 
-// New returns a client.
+// New returns a Client.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
-// Send implements order.Sender.
+// Send implements order.Sender. It returns order.ErrStaleFence if the engine has seen a
+// higher fencing number.
 func (c *Client) Send(ctx context.Context, address string, o order.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -47,7 +48,7 @@
 	return nil
 }
 
-// Read implements order.Sender.
+// ReadState implements order.Sender.
 func (c *Client) ReadState(ctx context.Context, address string) (order.State, error) {
 	status, data, err := c.call(ctx, http.MethodGet, address, pathLoad, nil)
 	if err != nil {
@@ -67,17 +68,19 @@
 	return order.State(s), nil
 }
 
+// call sends a request to the engine and returns the status and at most maxResponseBytes
+// of the body.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return 0, nil, fmt.Errorf("order: %w", err)
+		return 0, nil, fmt.Errorf("build request to engine: %w", err)
 	}
-	req.GetBody = nil // no silent repeat
+	req.GetBody = nil // keeps the transport from retrying
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return 0, nil, fmt.Errorf("engine: %w", err)
+		return 0, nil, fmt.Errorf("call engine: %w", err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	return resp.StatusCode, data, err
 }
--- a/connection/serverprobe/serverprobe.go
+++ b/connection/serverprobe/serverprobe.go
@@ -1,5 +1,5 @@
-// Package serverprobe polls backend servers over HTTP, on kept and on fresh
-// connections, for their load and whether they leave.
+// Package serverprobe polls the load reports of backend servers over HTTP, on reused or on
+// new connections.
 package serverprobe
 
 import (
@@ -17,23 +17,23 @@
 
 // Options configure a Client; zero values get the defaults.
 type Options struct {
-	Path    string        // of the report on a backend server; default /load
-	Timeout time.Duration // of one poll; default 800 ms
+	Path    string        // URL path of the report; default /load
+	Timeout time.Duration // per poll; default 800 ms
 }
 
 const (
 	defaultTimeout = 800 * time.Millisecond
-	maxReport      = 64 << 10
+	maxReportBytes = 64 << 10
 )
 
-// Client implements report.Prober.
+// Client implements report.Prober. It is safe for concurrent use.
 type Client struct {
-	path        string
-	timeout     time.Duration
-	kept, fresh *http.Client
+	path             string
+	timeout          time.Duration
+	keepAlive, fresh *http.Client
 }
 
-// New returns a client.
+// New returns a Client.
 func New(opts Options) *Client {
 	if opts.Path == "" {
 		opts.Path = "/load"
@@ -41,17 +41,18 @@
 	if opts.Timeout <= 0 {
 		opts.Timeout = defaultTimeout
 	}
-	// Below the poll's own timeout, so that a connection that does not open is
-	// told from an answer that does not come.
+	// Shorter than the timeout of the poll, so that a failure to connect can be told from
+	// a missing response.
 	dial := (&net.Dialer{Timeout: opts.Timeout * 3 / 4}).DialContext
 	return &Client{
 		path: opts.Path, timeout: opts.Timeout,
-		kept:  &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}},
-		fresh: &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}},
+		keepAlive: &http.Client{Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 1, IdleConnTimeout: time.Minute}},
+		fresh:     &http.Client{Transport: &http.Transport{DialContext: dial, DisableKeepAlives: true}},
 	}
 }
 
-type reportJSON struct {
+// reportBody is the JSON form of a load report.
+type reportBody struct {
 	Running int      `json:"running"`
 	Queued  int      `json:"queued"`
 	Slots   int      `json:"slots"`
@@ -60,8 +61,8 @@
 	Leaving bool     `json:"leaving"`
 }
 
-// Poll implements report.Prober. A server that answers without a report is
-// alive: it returns report.ErrNoReport.
+// Poll implements report.Prober. It returns report.ErrNoReport if the server responds
+// without a valid report, and report.ErrNoConnection if no connection could be opened.
 func (c *Client) Poll(ctx context.Context, address string, fresh bool) (report.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -69,27 +70,28 @@
 	if err != nil {
 		return report.Report{}, fmt.Errorf("load report: %w", err)
 	}
-	client := c.kept
+	client := c.keepAlive
 	if fresh {
 		client = c.fresh
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return report.Report{}, cause(err)
+		return report.Report{}, wrapDialError(err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReport))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
 		return report.Report{}, err
 	}
-	var r reportJSON
+	var r reportBody
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &r) != nil {
 		return report.Report{}, report.ErrNoReport
 	}
 	return report.Report(r), nil
 }
 
-func cause(err error) error {
+// wrapDialError adds report.ErrNoConnection to errors of opening a connection.
+func wrapDialError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		return fmt.Errorf("%w: %w", report.ErrNoConnection, err)
@@ -97,5 +99,6 @@
 	return err
 }
 
-// CloseIdleConnections drops kept connections, of which one turned out to be silent.
-func (c *Client) CloseIdleConnections() { c.kept.CloseIdleConnections() }
+// CloseIdleConnections implements report.Prober. It is called after a poll on a reused
+// connection got no response, since the other idle connections may be dead as well.
+func (c *Client) CloseIdleConnections() { c.keepAlive.CloseIdleConnections() }
