--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -11,20 +11,21 @@
 	"bilberrydale/request/pipeline"
 )
 
-// claim makes this entry host the one that runs the key. done is true when an
-// earlier attempt's answer was given instead.
-func (c *call) claim() (done bool, refusal *kind.Error) {
+// acquireClaim claims the request's key for this entry host and waits for an earlier
+// request with the same key that runs here. done is set if the response of an earlier
+// request was sent instead.
+func (c *callerRequest) acquireClaim() (done bool, err *kind.Error) {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.admitted.Deadline)
 	defer cancel()
 	for {
 		res := c.Claims.Begin(ctx, c.claimKey)
 		switch res.State {
 		case claim.Granted:
-			c.claimed, c.fresh = true, !res.PartiallyRan
+			c.claimed, c.neverRan = true, !res.PartiallyRan
 			return false, nil
 		case claim.Done:
 			if res.Response != nil {
-				c.replay(res.Response)
+				c.replayResponse(res.Response)
 				return true, nil
 			}
 			e := kind.New(kind.OutcomeUnknown, "the request ran; its answer is no longer kept")
@@ -42,12 +43,13 @@
 				return false, kind.New(kind.InProgress, "the first attempt has not finished")
 			}
 		default:
-			return false, claimRefusal(res)
+			return false, claimError(res)
 		}
 	}
 }
 
-func claimRefusal(res claim.Result) *kind.Error {
+// claimError returns the error for a claim that was not granted.
+func claimError(res claim.Result) *kind.Error {
 	var e *kind.Error
 	switch res.State {
 	case claim.BodyMismatch:
@@ -66,26 +68,26 @@
 	return e
 }
 
-// replay gives a kept answer, in the form that this send asks for.
-func (c *call) replay(a *claim.Response) {
-	if !c.wantsStream() || a.Status != http.StatusOK {
-		c.write(a.Status, a.Header["Content-Type"], a.Body)
+// replayResponse sends a stored response, as a stream if this request wants one.
+func (c *callerRequest) replayResponse(response *claim.Response) {
+	if !c.wantsStream() || response.Status != http.StatusOK {
+		c.writeResponse(response.Status, response.Header["Content-Type"], response.Body)
 		return
 	}
 	c.stream = &streamWriter{w: c.w}
-	if c.stream.write(backend.Chunk{Data: string(a.Body)}) == nil {
-		_ = c.stream.write(backend.Chunk{Offset: int64(len(a.Body)), Final: true})
+	if c.stream.write(backend.Chunk{Data: string(response.Body)}) == nil {
+		_ = c.stream.write(backend.Chunk{Offset: int64(len(response.Body)), Final: true})
 	}
 }
 
-// whole is a whole answer as it is kept for resends.
-func whole(contentType string, body []byte) claim.Response {
+// completeResponse returns a successful response in the form that is stored for resends.
+func completeResponse(contentType string, body []byte) claim.Response {
 	return claim.Response{Status: http.StatusOK, Header: map[string]string{"Content-Type": contentType}, Body: body}
 }
 
-// settle tells the claim store how the attempt ended. It uses a context of its
-// own: a caller that went away must not keep the outcome from being recorded.
-func (c *call) settle(res *pipeline.Result, err *kind.Error) {
+// settleClaim records the outcome of the request in the claim store. Its context outlives
+// the request's, so that the outcome is recorded even if the caller has disconnected.
+func (c *callerRequest) settleClaim(res *pipeline.Result, err *kind.Error) {
 	if !c.claimed {
 		return
 	}
@@ -93,68 +95,70 @@
 	ctx := context.WithoutCancel(c.r.Context())
 	switch {
 	case err == nil:
-		c.Claims.Finish(ctx, c.claimKey, whole(res.ContentType, res.Body))
+		c.Claims.Finish(ctx, c.claimKey, completeResponse(res.ContentType, res.Body))
 	case !res.NonRepeatableMayHaveRun:
-		c.release(ctx, err.Dispatched)
+		c.releaseClaim(ctx, err.Dispatched)
 	case err.Kind == kind.BackendRefused:
-		// The service has answered: a resend gets the same answer.
-		c.Claims.Finish(ctx, c.claimKey, c.keepProblem(err))
+		// The service has responded, so a resend gets the same response.
+		c.Claims.Finish(ctx, c.claimKey, c.problemResponse(err))
 	default:
 		c.Claims.MarkUnknown(ctx, c.claimKey)
 	}
 }
 
-func (c *call) keepProblem(e *kind.Error) claim.Response {
+// problemResponse returns an error response in the form that is stored for resends.
+func (c *callerRequest) problemResponse(e *kind.Error) claim.Response {
 	p := c.problem(e, e.Ran())
 	body, _ := json.Marshal(p) // cannot fail
-	return claim.Response{Status: p.Status, Header: map[string]string{"Content-Type": problemType}, Body: body}
+	return claim.Response{Status: p.Status, Header: map[string]string{"Content-Type": problemMediaType}, Body: body}
 }
 
-// release gives the key up. Stages that may be repeated may have run.
-func (c *call) release(ctx context.Context, ranPart bool) {
-	if parts, ok := c.Claims.(claim.PartialReleaser); ok && ranPart {
-		parts.ReleasePartial(ctx, c.claimKey)
+// releaseClaim releases the key, so that a resend can run. mayHaveRun is set if repeatable
+// stages may have run.
+func (c *callerRequest) releaseClaim(ctx context.Context, mayHaveRun bool) {
+	if partial, ok := c.Claims.(claim.PartialReleaser); ok && mayHaveRun {
+		partial.ReleasePartial(ctx, c.claimKey)
 		return
 	}
 	c.Claims.Release(ctx, c.claimKey)
 }
 
-// settleLate records the outcome of a stage that must not be repeated when it
-// comes after the caller got its answer, so that a resend learns it. The gate
-// counts it as work in flight.
-func (c *call) settleLate(pending <-chan pipeline.LateResult) {
+// settleLateResult records the outcome of a non-repeatable stage that ends after the caller
+// has got an error, so that a resend gets it. Until then the gate counts the request as in
+// flight.
+func (c *callerRequest) settleLateResult(results <-chan pipeline.LateResult) {
 	c.Gate.EnterNested()
 	claimed := c.claimed
 	c.claimed = false
 	ctx := context.WithoutCancel(c.r.Context())
 	go func() {
 		defer c.Gate.Exit()
-		late := <-pending
+		late := <-results
 		switch {
 		case !claimed:
 		case late.NotStarted:
-			c.release(ctx, true)
+			c.releaseClaim(ctx, true)
 		case late.Complete:
-			c.Claims.Finish(ctx, c.claimKey, whole(late.ContentType, late.Body))
+			c.Claims.Finish(ctx, c.claimKey, completeResponse(late.ContentType, late.Body))
 		default:
 			c.Claims.MarkUnknown(ctx, c.claimKey)
 		}
 	}()
 }
 
-// mint answers a request for a ticket.
-func (c *call) mint() {
+// mintTicket handles a request for a ticket.
+func (c *callerRequest) mintTicket() {
 	text, err := c.Claims.MintTicket(c.r.Context(), c.r.Header.Get(c.Headers.Account))
 	if err != nil || text == "" {
-		c.refuse(kind.New(kind.ClaimUnavailable, "no ticket can be minted here"))
+		c.writeError(kind.New(kind.ClaimUnavailable, "no ticket can be minted here"))
 		return
 	}
 	body, _ := json.Marshal(Ticket{Ticket: text}) // cannot fail
-	c.answer(http.StatusOK, body)
+	c.writeJSON(http.StatusOK, body)
 }
 
-// Ticket is the answer of POST TicketPath. Its text goes into the key header
-// of one request of the same client account.
+// Ticket is the response to POST TicketPath. The caller sends its text in the key header of
+// one request of the same client account.
 type Ticket struct {
 	Ticket string `json:"ticket"`
 }
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -1,5 +1,6 @@
-// Package entry is the callers' side: it reads one HTTP request, decides
-// whether it may start, runs it and writes its one answer.
+// Package entry is the HTTP handler for callers. It reads a request, matches its route,
+// applies quarantine, admission and idempotency claims, runs the pipeline and writes the
+// response.
 package entry
 
 import (
@@ -29,33 +30,34 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Headers are the names of the callers' headers.
+// Headers are the names of the headers that callers send.
 type Headers struct {
-	RequestID string
-	Account   string
+	RequestID string // returned on the response
+	Account   string // client account
 	Timeout   string // a duration such as 2s; shortens the route's deadline
-	Key       string
+	Key       string // idempotency key or ticket
 }
 
-// DefaultHeaders returns the customary names.
+// DefaultHeaders returns the default names.
 func DefaultHeaders() Headers {
 	return Headers{RequestID: "X-Request-Id", Account: "X-Client-Account", Timeout: "X-Request-Timeout", Key: "Idempotency-Key"}
 }
 
-// TicketPath is where a caller gets a ticket with POST.
+// TicketPath is the path at which callers get a ticket by POST.
 const TicketPath = "/tickets"
 
-// Limits bound what a caller may send.
+// Limits are the maximum sizes of what a caller may send.
 type Limits struct {
 	Body    int64 // bytes
 	Key     int   // bytes of the idempotency key
 	Account int   // bytes of the account name
 }
 
-// DefaultLimits returns the default bounds.
+// DefaultLimits returns the default limits.
 func DefaultLimits() Limits { return Limits{Body: 4 << 20, Key: 256, Account: 128} }
 
-// Handler serves callers. It is made once for the process.
+// Handler is the http.Handler for callers. A process creates one; its fields must not
+// change after the first request.
 type Handler struct {
 	InForce    *inforce.Value[snapshot.Snapshot]
 	Runner     *pipeline.Runner
@@ -65,31 +67,31 @@
 	Gate       *drain.Gate
 	Clock      clock.Clock
 	Log        *log.Logger
-	LogLimit   *rate.Limiter // of lines about error answers; nil: none
+	LogLimit   *rate.Limiter // of log lines about errors; nil: unlimited
 	Tracer     trace.Tracer
 	Headers    Headers
 	Limits     Limits
 	Counters   *Counters
 }
 
-// call is the state of one request at the entry.
-type call struct {
+// callerRequest is the state of one request.
+type callerRequest struct {
 	*Handler
-	w        http.ResponseWriter
-	r        *http.Request
-	id       string // the caller's, for its own use
-	hopID    string // unique; travels on each hop
-	account  string
-	key      string
-	body     []byte
-	snap     *snapshot.Snapshot
-	route    *snapshot.Route
-	admitted admission.Request
-	stream   *streamWriter
-	claimed  bool // the claim is held and not settled
-	fresh    bool // the claim was granted to this send
-	answered bool // the answer's head has been written
-	claimKey claim.Key
+	w                http.ResponseWriter
+	r                *http.Request
+	id               string // sent by the caller, or generated; need not be unique
+	backendRequestID string // unique; sent to backend servers
+	account          string
+	key              string
+	body             []byte
+	snap             *snapshot.Snapshot
+	route            *snapshot.Route
+	admitted         admission.Request
+	stream           *streamWriter
+	claimed          bool // the claim is held and its outcome is not recorded yet
+	neverRan         bool // the claim was granted and proves that no earlier request with the key ran
+	responseStarted  bool // the head of an unstreamed response has been written
+	claimKey         claim.Key
 }
 
 // ServeHTTP implements http.Handler.
@@ -97,67 +99,68 @@
 	ctx := otel.GetTextMapPropagator().Extract(r.Context(), propagation.HeaderCarrier(r.Header))
 	ctx, span := h.Tracer.Start(ctx, "entry "+r.Method, trace.WithSpanKind(trace.SpanKindServer))
 	defer span.End()
-	c := &call{Handler: h, w: w, r: r.WithContext(ctx), id: r.Header.Get(h.Headers.RequestID), key: r.Header.Get(h.Headers.Key)}
-	// Two callers may send the same id, or one caller the same id twice. The
-	// id of the hops has to tell them apart, or a crossed answer would pass
-	// for the right one; it also names this incarnation.
+	c := &callerRequest{Handler: h, w: w, r: r.WithContext(ctx), id: r.Header.Get(h.Headers.RequestID), key: r.Header.Get(h.Headers.Key)}
+	// Request ids of callers may repeat. Backend servers get a unique id instead, since a
+	// misdelivered response could otherwise pass for the right one. It includes the
+	// incarnation of this entry host.
 	unique := uuid.NewString()
-	c.hopID = strconv.FormatUint(h.Runner.Incarnation, 36) + "-" + unique
+	c.backendRequestID = strconv.FormatUint(h.Runner.Incarnation, 36) + "-" + unique
 	if c.id == "" || len(c.id) > h.Limits.Key {
 		c.id = unique
 	}
 	span.SetAttributes(attribute.String("request.id", c.id))
 	w.Header().Set(h.Headers.RequestID, c.id)
-	defer c.recovered()
+	defer c.recoverPanic()
 	if !h.Gate.Enter() {
-		c.refuse(kind.New(kind.Draining, "%s is shutting down", h.Runner.Host))
+		c.writeError(kind.New(kind.Draining, "%s is shutting down", h.Runner.Host))
 		return
 	}
 	defer h.Gate.Exit()
 	if r.URL.Path == TicketPath && r.Method == http.MethodPost {
-		c.mint()
+		c.mintTicket()
 		return
 	}
 	if err := c.serve(); err != nil {
-		c.refuse(err)
+		c.writeError(err)
 	}
 }
 
-// mayHaveRunEarlier reports whether another send of the same key can have run
-// for all this host knows. Until the claim is granted a refusal may answer a
-// resend whose first send ran elsewhere, so it must not say "not run".
-func (c *call) mayHaveRunEarlier(e *kind.Error) bool {
+// mayHaveRunEarlier reports whether an earlier request with the same key may have run. Before
+// the claim is granted, this may be a resend whose first request ran on another entry host,
+// so the error must not say "not run".
+func (c *callerRequest) mayHaveRunEarlier(e *kind.Error) bool {
 	repeatable := c.route != nil && c.route.Repeatable
-	return c.key != "" && !repeatable && !c.fresh && e.Kind != kind.KeyReused
+	return c.key != "" && !repeatable && !c.neverRan && e.Kind != kind.KeyReused
 }
 
-// recovered keeps a panic of one request from ending the process and with it
-// every other request in flight.
-func (c *call) recovered() {
+// recoverPanic keeps a panic in one request from ending the process and with it all other
+// requests in flight.
+func (c *callerRequest) recoverPanic() {
 	v := recover()
 	if v == nil {
 		return
 	}
 	if v == http.ErrAbortHandler { //nolint:errorlint // recovered value
-		// Swallowed, it would let a cut answer end as if it were whole.
+		// If it were recovered, a truncated response would end like a complete one.
 		panic(v)
 	}
 	c.Log.Error("request panicked", "request", c.id, "panic", v)
 	if c.claimed {
 		c.Claims.MarkUnknown(c.r.Context(), c.claimKey)
 	}
-	if c.answered {
+	if c.responseStarted {
 		panic(http.ErrAbortHandler)
 	}
-	c.refuse(&kind.Error{Kind: kind.Internal, Detail: "the entry host failed on this request", Dispatched: true})
+	c.writeError(&kind.Error{Kind: kind.Internal, Detail: "the entry host failed on this request", Dispatched: true})
 }
 
-func (c *call) serve() *kind.Error {
-	if err := c.read(); err != nil {
+// serve handles the request and writes its response, unless it returns an error.
+func (c *callerRequest) serve() *kind.Error {
+	if err := c.readRequest(); err != nil {
 		return err
 	}
 	now := c.Clock.Now()
-	if err := c.match(now); err != nil {
+	if err := c.matchRoute(now); err != nil {
 		return err
 	}
 	fp := quarantine.Fingerprint(c.claimKey.Body)
@@ -172,27 +175,28 @@
 	outcome := admission.Failed
 	defer func() { c.Admission.Done(c.Clock.Now(), &c.admitted, outcome) }()
 	if c.needsClaim() {
-		done, err := c.claim()
+		done, err := c.acquireClaim()
 		if done || err != nil {
 			return err
 		}
 	}
-	err := c.run(fp)
+	err := c.runPipeline(fp)
 	if err == nil {
-		outcome = c.outcome()
+		outcome = c.admissionOutcome()
 	}
 	return err
 }
 
-func (c *call) outcome() admission.Outcome {
+// admissionOutcome returns the outcome of a completed request for admission.
+func (c *callerRequest) admissionOutcome() admission.Outcome {
 	if c.Clock.Now().After(c.admitted.Deadline) {
 		return admission.Late
 	}
 	return admission.Completed
 }
 
-// read takes the caller's headers and body within their bounds.
-func (c *call) read() *kind.Error {
+// readRequest reads the headers and the body and checks their sizes.
+func (c *callerRequest) readRequest() *kind.Error {
 	h := c.r.Header
 	c.account = h.Get(c.Headers.Account)
 	if len(c.account) > c.Limits.Account {
@@ -213,8 +217,9 @@
 	return nil
 }
 
-// match finds the route in the snapshot that this request keeps to its end.
-func (c *call) match(now time.Time) *kind.Error {
+// matchRoute loads the active snapshot, which the request keeps to its end, finds the route
+// and sets the deadline.
+func (c *callerRequest) matchRoute(now time.Time) *kind.Error {
 	c.snap = c.InForce.Load()
 	if c.snap == nil {
 		return kind.New(kind.NotReady, "no release in force")
@@ -223,33 +228,37 @@
 	if c.route == nil {
 		return kind.New(kind.NoRoute, "%s %s", c.r.Method, c.r.URL.Path)
 	}
-	limit := c.route.Deadline.Std()
+	timeout := c.route.Deadline.Std()
 	if text := c.r.Header.Get(c.Headers.Timeout); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 {
 			return kind.New(kind.BadRequest, "header %s: %q is not a duration such as 2s", c.Headers.Timeout, text)
 		}
-		limit = min(limit, d)
+		timeout = min(timeout, d)
 	}
-	c.boundWrites(limit)
-	c.admitted = admission.Request{Profile: c.route.Profile, Account: c.account, ArrivedAt: now, Deadline: now.Add(limit)}
-	c.claimKey = claim.Key{Account: c.account, Key: c.key, Body: c.bodyHash()}
+	c.setWriteDeadline(timeout)
+	c.admitted = admission.Request{Profile: c.route.Profile, Account: c.account, ArrivedAt: now, Deadline: now.Add(timeout)}
+	c.claimKey = claim.Key{Account: c.account, Key: c.key, Body: c.requestHash()}
 	c.admitted.Fingerprint = c.claimKey.Body
 	return nil
 }
 
-func (c *call) bodyHash() uint64 {
+// requestHash returns a hash of the method, the URI and the body.
+func (c *callerRequest) requestHash() uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(c.r.Method + " " + c.r.URL.RequestURI() + "\n")
 	_, _ = d.Write(c.body)
 	return d.Sum64()
 }
 
-func (c *call) needsClaim() bool { return c.key != "" && !c.route.Repeatable }
+// needsClaim reports whether the request has a key and a stage that is not repeatable.
+func (c *callerRequest) needsClaim() bool { return c.key != "" && !c.route.Repeatable }
 
-func (c *call) run(fp quarantine.Fingerprint) *kind.Error {
+// runPipeline executes the stages, settles the claim and writes the response, unless it
+// returns an error.
+func (c *callerRequest) runPipeline(fp quarantine.Fingerprint) *kind.Error {
 	req := &pipeline.Request{
-		ID: c.hopID, Account: c.account, Key: c.key, Snapshot: c.snap,
+		ID: c.backendRequestID, Account: c.account, Key: c.key, Snapshot: c.snap,
 		Method: c.r.Method, URI: c.r.URL.RequestURI(), ContentType: c.r.Header.Get("Content-Type"), Body: c.body,
 		Route: c.route, Admitted: &c.admitted, Fingerprint: fp, CollectBody: c.claimed,
 	}
@@ -259,25 +268,27 @@
 	}
 	res, err := c.Runner.Run(c.r.Context(), req)
 	if res != nil && res.Late != nil {
-		c.settleLate(res.Late)
+		c.settleLateResult(res.Late)
 		return err
 	}
-	c.settle(res, err)
+	c.settleClaim(res, err)
 	if err != nil {
 		return err
 	}
 	if c.stream == nil {
-		c.write(http.StatusOK, res.ContentType, res.Body)
+		c.writeResponse(http.StatusOK, res.ContentType, res.Body)
 	}
 	c.Counters.Completed.Add(1)
-	c.recordWhole()
+	c.recordCompletion()
 	return nil
 }
 
-func (c *call) answer(status int, body []byte) { c.write(status, "application/json", body) }
+func (c *callerRequest) writeJSON(status int, body []byte) {
+	c.writeResponse(status, "application/json", body)
+}
 
-func (c *call) write(status int, contentType string, body []byte) {
-	c.answered = true
+func (c *callerRequest) writeResponse(status int, contentType string, body []byte) {
+	c.responseStarted = true
 	if contentType == "" {
 		contentType = "application/json"
 	}
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -32,23 +32,23 @@
 	"bilberrydale/version/table"
 )
 
-// counting is a backend that answers everything and counts.
-type counting struct {
+// countingClient is a backend client that counts calls and responds to all of them.
+type countingClient struct {
 	calls atomic.Int64
-	fail  error
+	err   error
 	keys  sync.Map // operation keys seen
 }
 
-func (c *counting) Do(_ context.Context, call *backend.Call) (*backend.Response, error) {
+func (c *countingClient) Do(_ context.Context, call *backend.Call) (*backend.Response, error) {
 	c.calls.Add(1)
 	c.keys.Store(call.Key, true)
-	if c.fail != nil {
-		return nil, c.fail
+	if c.err != nil {
+		return nil, c.err
 	}
 	return &backend.Response{Status: http.StatusOK, Body: []byte(`"done"`)}, nil
 }
 
-func (c *counting) Stream(_ context.Context, _ *backend.Call, sink func(backend.Chunk) error) error {
+func (c *countingClient) Stream(_ context.Context, _ *backend.Call, sink func(backend.Chunk) error) error {
 	c.calls.Add(1)
 	if err := sink(backend.Chunk{Data: `"done"`}); err != nil {
 		return err
@@ -56,12 +56,12 @@
 	return sink(backend.Chunk{Offset: 6, Final: true})
 }
 
-func (c *counting) Probe(context.Context, *server.State) error { return nil }
-func (c *counting) CloseIdleConnections(*server.State)         {}
+func (c *countingClient) Probe(context.Context, *server.State) error { return nil }
+func (c *countingClient) CloseIdleConnections(*server.State)         {}
 
-// handler serves a booking that must not be repeated, followed by a streamed
-// note of it.
-func handler(b backend.Client) *Handler {
+// newHandler returns a handler with one route: a non-repeatable booking stage, followed by a
+// repeatable streamed stage.
+func newHandler(b backend.Client) *Handler {
 	state := server.NewRegistry().Get("s", "127.0.0.1:1", time.Unix(0, 0))
 	p := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandom([]pick.Server{{State: state}})}
 	book := table.Stage{Name: "book", Pool: "p", Budget: table.Duration(time.Second)}
@@ -94,28 +94,27 @@
 	return w
 }
 
-// A keyed request is streamed to its caller and its connection is lost at the
-// end. The resend asks for a whole answer, then for a stream: both are the kept
-// answer. Kept from the stream alone it would be an empty one.
-func TestResendOfAStreamedRequestGetsTheWholeAnswer(t *testing.T) {
+// Checks that the response of a streamed request is stored for resends, whether or not they
+// want a stream. Guards against storing an empty body because the response was streamed.
+func TestResendOfStreamedRequestGetsCompleteResponse(t *testing.T) {
 	g := NewWithT(t)
-	b := &counting{}
-	h := handler(b)
+	b := &countingClient{}
+	h := newHandler(b)
 	stream := map[string]string{"Idempotency-Key": "k", "Accept": StreamMediaType}
 	first := send(h, stream, "{}").Body.String()
 	g.Expect(first).To(ContainSubstring(`"final":true`))
 	g.Expect(send(h, map[string]string{"Idempotency-Key": "k"}, "{}").Body.String()).To(Equal(`"done"`))
 	g.Expect(send(h, stream, "{}").Body.String()).To(Equal(first))
-	g.Expect(b.calls.Load()).To(BeEquivalentTo(2), "two stages, once")
+	g.Expect(b.calls.Load()).To(BeEquivalentTo(2), "each of two stages called once")
 	g.Expect(send(h, stream, "other").Code).To(Equal(http.StatusUnprocessableEntity))
 }
 
-// The service refuses a booking with a status of its own. That is its answer:
-// a resend gets it again, and not an unknown outcome.
-func TestResendOfARefusedBookingGetsTheServicesAnswer(t *testing.T) {
+// A service rejects a non-repeatable stage with a 4xx status. Checks that a resend gets the
+// same error and not an unknown outcome.
+func TestResendOfRefusedStageGetsSameProblem(t *testing.T) {
 	g := NewWithT(t)
-	b := &counting{fail: &backend.Error{Delivery: backend.Responded, Status: http.StatusConflict, Cause: errors.New("no bars left")}}
-	h := handler(b)
+	b := &countingClient{err: &backend.Error{Delivery: backend.Responded, Status: http.StatusConflict, Cause: errors.New("no bars left")}}
+	h := newHandler(b)
 	first := send(h, map[string]string{"Idempotency-Key": "k"}, "{}")
 	again := send(h, map[string]string{"Idempotency-Key": "k"}, "{}")
 	g.Expect(first.Code).To(Equal(http.StatusBadGateway))
@@ -125,12 +124,12 @@
 	g.Expect(b.calls.Load()).To(BeEquivalentTo(1))
 }
 
-// Two client accounts use the same key. A service that knows operations by key
-// must not take the second booking for a repeat of the first.
-func TestEqualKeysOfTwoAccountsAreTwoOperations(t *testing.T) {
+// Checks that the same key of different client accounts gives different operation keys. A
+// service must not take the second booking for a repeat of the first.
+func TestEqualKeysOfDifferentAccountsAreSeparateOperations(t *testing.T) {
 	g := NewWithT(t)
-	b := &counting{}
-	h := handler(b)
+	b := &countingClient{}
+	h := newHandler(b)
 	for _, account := range []string{"depot", "floor", "depot/1", "depot%2F1"} {
 		g.Expect(send(h, map[string]string{"Idempotency-Key": "k", "X-Client-Account": account}, "{}").Code).To(Equal(http.StatusOK))
 	}
@@ -139,12 +138,12 @@
 	g.Expect(seen).To(Equal(4))
 }
 
-// A host that knows nothing of a key refuses a resend: it is draining, or the
-// body does not fit. The first send may have run elsewhere, so "not run" would
-// be a guess; without a key there is no first send.
-func TestRefusalOfAnUnknownKeyDoesNotSayNotRun(t *testing.T) {
+// Checks that a host that refuses a request with a key before claiming it, here because it is
+// draining, does not report "not run": an earlier request may have run on another host.
+// Without a key there is no earlier request.
+func TestRefusalOfUnknownKeyIsNotReportedAsNotRun(t *testing.T) {
 	g := NewWithT(t)
-	h := handler(&counting{})
+	h := newHandler(&countingClient{})
 	h.Gate.Close()
 	for key, want := range map[string]kind.Ran{"k": kind.RanUnknown, "": kind.RanNo} {
 		var p Problem
@@ -156,9 +155,9 @@
 	}
 }
 
-// Every kind has its row of the table, and none that can follow an execution
-// is "not run" there.
-func TestEveryKindHasItsAnswer(t *testing.T) {
+// Checks that every kind has a status and a title, and that no kind is reported as "not run"
+// after a stage was dispatched.
+func TestEveryKindHasStatusAndTitle(t *testing.T) {
 	g := NewWithT(t)
 	for _, k := range kind.All() {
 		a := kind.Lookup(k)
@@ -171,16 +170,16 @@
 	}
 }
 
-// FuzzHeaders sends arbitrary headers. Each request gets one answer, a whole
-// one or a problem of the closed list, and a malformed one executes nothing.
+// FuzzHeaders sends arbitrary headers. Each request must get a complete response or a problem
+// of a known kind, and no stage may have been called if the problem says "not run".
 func FuzzHeaders(f *testing.F) {
 	f.Add("depot", "k1", "2s", "id", StreamMediaType, "{}")
 	f.Add(strings.Repeat("a", 200), "", "-1s", "", "", "")
 	f.Add("", strings.Repeat("k", 300), "1e9h", "\x00", "application/json, "+StreamMediaType, "\xff")
 	f.Add("", "bt1.AAAA", "0", strings.Repeat("i", 9000), "*/*", "{")
 	f.Fuzz(func(t *testing.T, account, key, timeout, id, accept, body string) {
-		b := &counting{}
-		w := send(handler(b), map[string]string{
+		b := &countingClient{}
+		w := send(newHandler(b), map[string]string{
 			"X-Client-Account": account, "Idempotency-Key": key, "X-Request-Timeout": timeout, "X-Request-Id": id, "Accept": accept,
 		}, body)
 		if w.Code == http.StatusOK {
--- a/request/entry/record.go
+++ b/request/entry/record.go
@@ -10,10 +10,10 @@
 	"bilberrydale/process/telemetry"
 )
 
-// recordRefusal writes down an error answer, on the span and in the log.
-// Refusals are cheap so that a host stands any number of them; a log line each
-// would cost more than the refusal, so the lines are bounded.
-func (c *call) recordRefusal(e *kind.Error, ran kind.Ran) {
+// recordError records an error response on the span and in the log. A log line costs more
+// than refusing a request does, so lines are rate-limited: a host under overload must stay
+// able to refuse any number of requests.
+func (c *callerRequest) recordError(e *kind.Error, ran kind.Ran) {
 	if span := c.span(); span.IsRecording() {
 		span.SetAttributes(attribute.String("error.kind", string(e.Kind)), attribute.String("error.ran", string(ran)))
 		span.SetStatus(codes.Error, e.Detail)
@@ -26,8 +26,8 @@
 		"route", c.routeName(), "kind", e.Kind, "ran", ran, "detail", e.Detail)
 }
 
-// recordWhole writes down a whole answer.
-func (c *call) recordWhole() {
+// recordCompletion records a complete response on the span and, at debug level, in the log.
+func (c *callerRequest) recordCompletion() {
 	if span := c.span(); span.IsRecording() {
 		span.SetAttributes(attribute.String("route", c.routeName()), attribute.Int64("release", int64(c.snap.Number)))
 	}
@@ -37,10 +37,10 @@
 	}
 }
 
-func (c *call) span() trace.Span { return trace.SpanFromContext(c.r.Context()) }
+func (c *callerRequest) span() trace.Span { return trace.SpanFromContext(c.r.Context()) }
 
-// routeName is empty before the route is found.
-func (c *call) routeName() string {
+// routeName returns the name of the route, or "" before it is matched.
+func (c *callerRequest) routeName() string {
 	if c.route == nil {
 		return ""
 	}
--- a/request/entry/response.go
+++ b/request/entry/response.go
@@ -12,21 +12,22 @@
 	"bilberrydale/process/kind"
 )
 
-// Counters count answers for expvar.
+// Counters count responses for expvar.
 type Counters struct {
 	Completed        atomic.Int64
-	Refused          atomic.Int64 // answered "ran: no"
-	Failed           atomic.Int64 // any other error
-	UnloggedRefusals atomic.Int64 // error answers over Handler.LogLimit
+	Refused          atomic.Int64 // errors with "ran: no"
+	Failed           atomic.Int64 // all other errors
+	UnloggedRefusals atomic.Int64 // errors not logged because of Handler.LogLimit
 }
 
-// StreamType is the media type of a streamed answer: one JSON chunk a line,
-// with the offset of its data, and a last one marked final.
+// StreamMediaType is the media type of a streamed response: one JSON chunk per line, with
+// the offset of its data. The last chunk is marked final.
 const StreamMediaType = "application/x-ndjson"
 
-const problemType = "application/problem+json"
+// problemMediaType is the media type of Problem (RFC 9457).
+const problemMediaType = "application/problem+json"
 
-// Problem is the body of every error answer (RFC 9457).
+// Problem is the body of every error response (RFC 9457).
 type Problem struct {
 	Type       string    `json:"type"`
 	Title      string    `json:"title"`
@@ -38,13 +39,16 @@
 	RetryAfter float64   `json:"retry_after,omitempty"` // seconds
 }
 
-func (c *call) wantsStream() bool {
+// wantsStream reports whether the response is to be streamed: the last stage streams and the
+// caller accepts StreamMediaType.
+func (c *callerRequest) wantsStream() bool {
 	last := c.route.Stages[len(c.route.Stages)-1]
 	return last.Stream && strings.Contains(c.r.Header.Get("Accept"), StreamMediaType)
 }
 
-// refuse gives the request's final answer at once.
-func (c *call) refuse(e *kind.Error) {
+// writeError logs and counts the error and sends it as the response. A stream that has
+// started is aborted with it.
+func (c *callerRequest) writeError(e *kind.Error) {
 	e.EarlierAttempt = c.mayHaveRunEarlier(e)
 	ran := e.Ran()
 	if ran == kind.RanNo {
@@ -52,14 +56,14 @@
 	} else {
 		c.Counters.Failed.Add(1)
 	}
-	c.recordRefusal(e, ran)
+	c.recordError(e, ran)
 	p := c.problem(e, ran)
 	if c.stream != nil && c.stream.started {
 		c.stream.abort(p)
 		return
 	}
 	h := c.w.Header()
-	h.Set("Content-Type", problemType)
+	h.Set("Content-Type", problemMediaType)
 	if p.RetryAfter > 0 {
 		h.Set("Retry-After", strconv.Itoa(int(math.Ceil(p.RetryAfter))))
 	}
@@ -67,7 +71,8 @@
 	_ = json.NewEncoder(c.w).Encode(p)
 }
 
-func (c *call) problem(e *kind.Error, ran kind.Ran) Problem {
+// problem returns the response body for e.
+func (c *callerRequest) problem(e *kind.Error, ran kind.Ran) Problem {
 	a := kind.Lookup(e.Kind)
 	return Problem{
 		Type: "about:blank#" + string(e.Kind), Title: a.Title, Status: a.Status, Detail: e.Detail,
@@ -75,18 +80,20 @@
 	}
 }
 
-// streamWriter writes chunks to the caller as they come.
+// streamWriter writes chunks to the caller and flushes each of them.
 type streamWriter struct {
 	w       http.ResponseWriter
 	started bool
-	offset  int64
+	offset  int64 // data bytes written
 }
 
+// streamError is the last line of an aborted stream.
 type streamError struct {
 	Offset  int64   `json:"offset"`
 	Problem Problem `json:"problem"`
 }
 
+// write sends a chunk, preceded by the response head if it is the first.
 func (s *streamWriter) write(ch backend.Chunk) error {
 	if !s.started {
 		s.w.Header().Set("Content-Type", StreamMediaType)
@@ -99,8 +106,8 @@
 	return http.NewResponseController(s.w).Flush()
 }
 
-// abort ends a stream without its final mark, so that the caller can tell it
-// from a whole answer; the problem says why.
+// abort ends the stream with the problem and without a final chunk, so that the caller can
+// tell it from a complete response.
 func (s *streamWriter) abort(p Problem) {
 	_ = json.NewEncoder(s.w).Encode(streamError{s.offset, p})
 	_ = http.NewResponseController(s.w).Flush()
--- a/request/entry/write_deadline.go
+++ b/request/entry/write_deadline.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// writeGrace is the time past the deadline in which a caller may take the rest
-// of its answer.
+// writeGrace is the time after the deadline within which a caller may read the rest of its
+// response.
 const writeGrace = 2 * time.Second
 
-// boundWrites ends the writing of an answer that the caller does not read. The
-// request's context cannot: a write to a full socket waits for the other end
-// alone. Without the bound, a caller that stopped reading keeps its request in
-// flight for good, and with it a backend server's stream and the shutdown.
-// net/http takes the bound off again before the connection's next request.
-// The network's own clock counts here, so limit is a time from now.
-func (c *call) boundWrites(limit time.Duration) {
-	// Writers that have no connection, such as recorders, take no deadline.
-	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(limit + writeGrace))
+// setWriteDeadline limits the time for writing the response to a caller that does not read
+// it. The request's context cannot interrupt a write to a full socket. Without the deadline,
+// such a caller would keep its request in flight forever, and with it the stream of a backend
+// server and the shutdown of the host. net/http removes the deadline before the next request
+// on the connection. The connection uses the system clock, not Handler.Clock, so timeout is
+// relative to now.
+func (c *callerRequest) setWriteDeadline(timeout time.Duration) {
+	// Fails for writers without a connection, such as httptest.ResponseRecorder.
+	_ = http.NewResponseController(c.w).SetWriteDeadline(time.Now().Add(timeout + writeGrace))
 }
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -1,6 +1,6 @@
-// Package snapshot compiles one release's tables into the immutable, indexed
-// form that requests read. A request holds one snapshot from its start to its
-// end, so every stage of it runs under the same release.
+// Package snapshot compiles the tables of a release into the immutable form that requests
+// use. A request holds one snapshot from start to end, so all its stages run under the same
+// release.
 package snapshot
 
 import (
@@ -16,21 +16,21 @@
 	"bilberrydale/version/table"
 )
 
-// Snapshot is one release in force.
+// Snapshot is a compiled release. It is immutable and safe for concurrent use.
 type Snapshot struct {
-	Number uint64
-	Hash   string
-	Routes []*Route // in matching order: longest prefix first
-	Pools  map[string]*Pool
+	Number uint64           // of the release
+	Hash   string           // of the release
+	Routes []*Route         // in matching order: most specific first
+	Pools  map[string]*Pool // by name
 }
 
 // Route is a route with its pools resolved.
 type Route struct {
 	table.Route
 	Stages []Stage
-	// Repeatable is true when every stage is.
+	// Repeatable is set if all stages are repeatable.
 	Repeatable bool
-	// Profile is the route as the admission decision sees it.
+	// Profile is the input of admission decisions for the route.
 	Profile *admission.Profile
 	// Priority is sent to backend servers; 0 is the most urgent.
 	Priority int
@@ -39,7 +39,7 @@
 // Stage is a stage with its pool resolved.
 type Stage struct {
 	table.Stage
-	Index int
+	Index int // position in the route, from 0
 	Pool  *Pool
 }
 
@@ -49,16 +49,16 @@
 	Picker pick.Picker
 }
 
-// Options say where the entry host stands and how pickers are made.
+// Options configure Build.
 type Options struct {
-	Registry   *server.Registry
-	NewPicker  func(pool table.Pool, servers []pick.Server) pick.Picker
-	Now        time.Time
-	AdjustPool func(*table.Pool) // called for each pool before its picker is made; nil: none
+	Registry   *server.Registry                                         // holds the states of backend servers across releases
+	NewPicker  func(pool table.Pool, servers []pick.Server) pick.Picker // creates the picker of each pool
+	Now        time.Time                                                // time at which new servers are registered
+	AdjustPool func(*table.Pool)                                        // changes each pool before its picker is created; may be nil
 }
 
-// Build compiles rel. It fails, leaving the earlier snapshot in force, when
-// the tables do not hold together.
+// Build compiles rel. It returns table.Faults if the tables are invalid; the active snapshot
+// is not affected.
 func Build(rel release.Release, opts Options) (*Snapshot, error) {
 	t, err := table.FromRows(rel.Rows)
 	if err != nil {
@@ -74,7 +74,7 @@
 	for _, r := range t.Routes {
 		s.Routes = append(s.Routes, buildRoute(r, s.Pools))
 	}
-	sort.SliceStable(s.Routes, func(i, j int) bool { return narrower(s.Routes[i], s.Routes[j]) })
+	sort.SliceStable(s.Routes, func(i, j int) bool { return moreSpecific(s.Routes[i], s.Routes[j]) })
 	return s, nil
 }
 
@@ -95,18 +95,20 @@
 		out.Stages = append(out.Stages, Stage{Stage: st, Index: i, Pool: pools[st.Pool]})
 		out.Repeatable = out.Repeatable && st.Repeatable
 	}
-	out.Profile = profile(out)
+	out.Profile = admissionProfile(out)
 	out.Priority = int(out.Profile.Class)
 	return out
 }
 
+// classes maps the classes of the tables to those of admission.
 var classes = map[table.Class]admission.Class{
 	table.Interactive: admission.Interactive,
 	table.Standard:    admission.Standard,
 	table.Background:  admission.Background,
 }
 
-func profile(r *Route) *admission.Profile {
+// admissionProfile returns the route's profile for admission.
+func admissionProfile(r *Route) *admission.Profile {
 	p := &admission.Profile{Route: r.Name, Class: classes[r.Class], Worth: r.Worth, AccountWeights: r.Policy.Shares}
 	for _, st := range r.Stages {
 		p.Stages = append(p.Stages, admission.Stage{
@@ -117,7 +119,9 @@
 	return p
 }
 
-func narrower(a, b *Route) bool {
+// moreSpecific reports whether a is matched before b: by longer path, more headers, a given
+// method, and then by name.
+func moreSpecific(a, b *Route) bool {
 	if la, lb := len(a.Match.Path), len(b.Match.Path); la != lb {
 		return la > lb
 	}
@@ -130,7 +134,7 @@
 	return a.Name < b.Name
 }
 
-// Route returns the first route that matches, or nil.
+// Route returns the most specific route that matches the request, or nil.
 func (s *Snapshot) Route(method, path string, header http.Header) *Route {
 	for _, r := range s.Routes {
 		if r.matches(method, path, header) {
@@ -140,6 +144,8 @@
 	return nil
 }
 
+// matches reports whether the route matches. The path prefix matches whole segments only; the
+// route's headers must all have the given values.
 func (r *Route) matches(method, path string, header http.Header) bool {
 	rest, ok := strings.CutPrefix(path, r.Match.Path)
 	if !ok || (rest != "" && rest[0] != '/' && !strings.HasSuffix(r.Match.Path, "/")) {
--- a/version/snapshot/snapshot_test.go
+++ b/version/snapshot/snapshot_test.go
@@ -40,7 +40,8 @@
 	return s
 }
 
-func TestTheNarrowestRouteMatches(t *testing.T) {
+// Checks the order of matching and that a path prefix matches whole segments only.
+func TestMostSpecificRouteMatches(t *testing.T) {
 	vip := map[string]string{"x-tier": "vip"}
 	s := build(
 		t,
@@ -56,7 +57,7 @@
 		{http.MethodPost, "/v1/drafts", "", "post"},
 		{http.MethodPost, "/v1/drafts/7", "", "post"},
 		{http.MethodPost, "/v1/drafts", "vip", "vip"},
-		{http.MethodGet, "/v1/draftsman", "", "v1"}, // a prefix ends at a slash
+		{http.MethodGet, "/v1/draftsman", "", "v1"}, // the prefix /v1/drafts matches whole segments only
 		{http.MethodGet, "/v1", "", "v1"},
 		{http.MethodGet, "/v2", "", "all"},
 		{http.MethodGet, "/once/a", "", "once"},
@@ -73,12 +74,12 @@
 	g.Expect(s.Route(http.MethodGet, "/v1", nil).Repeatable).To(BeTrue())
 }
 
-func TestNoRouteMatchesAnUnknownPath(t *testing.T) {
+func TestUnknownPathMatchesNoRoute(t *testing.T) {
 	s := build(t, route("v1", table.Match{Path: "/v1"}))
 	NewWithT(t).Expect(s.Route(http.MethodGet, "/v2", nil)).To(BeNil())
 }
 
-func TestUnsoundTablesAreNotCompiled(t *testing.T) {
+func TestInvalidTablesAreRejected(t *testing.T) {
 	_, err := Build(release.Release{Rows: []release.Row{{Key: "routes/a", Data: []byte(`{"name":"a"}`)}}}, Options{})
 	NewWithT(t).Expect(err).To(BeAssignableToTypeOf(table.Faults{}))
 }
