--- a/process/member/heartbeat.go
+++ b/process/member/heartbeat.go
@@ -45,6 +45,8 @@
 	m.attachments = append(m.attachments, attachment{name, produce, consume})
 }
 
+// buildHeartbeat returns the next heartbeat. Each call counts down the remaining
+// heartbeats of the updates that it includes.
 func (m *Monitor) buildHeartbeat() *heartbeat {
 	s := m.current.Load()
 	hb := &heartbeat{Hash: s.hash, Updates: m.pendingUpdates(updatesPerHeartbeat)}
@@ -64,9 +66,9 @@
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
 	var response heartbeat
-	began := time.Now()
+	start := time.Now()
 	hb := m.buildHeartbeat()
-	m.Counters.BusyNanos.Add(int64(time.Since(began)))
+	m.Counters.BusyNanos.Add(int64(time.Since(start)))
 	m.Counters.Sent.Add(1)
 	if err := m.opts.Link.Call(ctx, host, MethodHeartbeat, hb, &response); err != nil {
 		return err
@@ -94,16 +96,16 @@
 
 // applyHeartbeat records the contents of a heartbeat or of its response.
 func (m *Monitor) applyHeartbeat(from peer.Identity, hb *heartbeat) {
-	began := time.Now()
-	defer func() { m.Counters.BusyNanos.Add(int64(time.Since(began))) }()
+	start := time.Now()
+	defer func() { m.Counters.BusyNanos.Add(int64(time.Since(start))) }()
 	now := m.opts.Clock.Now()
 	m.opts.Link.AddPeer(from)
 	m.recordContact(from, hb.Draining, now)
 	m.applyUpdates(hb.Updates, now)
-	for _, p := range hb.Attachments {
+	for _, d := range hb.Attachments {
 		for _, a := range m.attachments {
-			if a.name == p.Name {
-				a.consume(from, p.Data)
+			if a.name == d.Name {
+				a.consume(from, d.Data)
 			}
 		}
 	}
@@ -112,16 +114,17 @@
 	}
 }
 
-func (m *Monitor) applyUpdates(list []memberUpdate, now time.Time) {
-	if len(list) > maxUpdates {
-		list = list[:maxUpdates]
+// applyUpdates applies gossip and checks the hosts that it reports as unresponsive.
+func (m *Monitor) applyUpdates(updates []memberUpdate, now time.Time) {
+	if len(updates) > maxUpdates {
+		updates = updates[:maxUpdates]
 	}
-	for _, n := range list {
-		if !n.Unresponsive {
-			m.opts.Link.AddPeer(n.Identity)
+	for _, u := range updates {
+		if !u.Unresponsive {
+			m.opts.Link.AddPeer(u.Identity)
 		}
 	}
-	for _, host := range m.applyGossip(list, now, 2*m.opts.Interval) {
+	for _, host := range m.applyGossip(updates, now, 2*m.opts.Interval) {
 		m.startTask(func() { m.check(host) })
 	}
 }
@@ -134,15 +137,17 @@
 func (m *Monitor) fetchMembers(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
-	var list []memberUpdate
-	if err := m.opts.Link.Call(ctx, host, MethodMembers, nil, &list); err != nil {
+	var members []memberUpdate
+	if err := m.opts.Link.Call(ctx, host, MethodMembers, nil, &members); err != nil {
 		return err
 	}
 	m.Counters.Pulls.Add(1)
-	m.applyUpdates(list, m.opts.Clock.Now())
+	m.applyUpdates(members, m.opts.Clock.Now())
 	return nil
 }
 
+// pullMembers fetches the member list of host and records whether it changed
+// anything.
 func (m *Monitor) pullMembers(host string) {
 	before := m.current.Load().hash
 	err := m.fetchMembers(host)
@@ -167,10 +172,12 @@
 	maxPullIntervals     = 300 // upper bound after pulls without effect
 )
 
-func (p *pullState) shouldPull(same bool, now time.Time, interval time.Duration) bool {
+// shouldPull records whether the hash of a heartbeat equals that of this host and
+// reports whether to pull now.
+func (p *pullState) shouldPull(hashesEqual bool, now time.Time, interval time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if same {
+	if hashesEqual {
 		p.mismatches = 0
 		return false
 	}
@@ -182,11 +189,13 @@
 	return true
 }
 
-func (p *pullState) recordPull(useful bool, now time.Time, interval time.Duration) {
+// recordPull sets the time of the next pull after one that ended; changed reports
+// whether it changed the membership.
+func (p *pullState) recordPull(changed bool, now time.Time, interval time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mismatches = 0
-	if useful {
+	if changed {
 		p.backoff = minPullIntervals * interval
 	} else {
 		p.backoff = min(max(2*p.backoff, minPullIntervals*interval), maxPullIntervals*interval)
--- a/process/member/member.go
+++ b/process/member/member.go
@@ -11,8 +11,8 @@
 // States of an entry host.
 const (
 	Alive   State = iota
-	Suspect       // a call failed; checked on a new connection now
-	Gone          // new connections failed as well
+	Suspect       // being checked on a new connection
+	Gone          // new connections failed
 )
 
 // String returns the name of the state: alive, suspect or gone.
--- a/process/member/monitor.go
+++ b/process/member/monitor.go
@@ -138,6 +138,7 @@
 	}
 }
 
+// sleep waits for d and reports false if Run ended meanwhile.
 func (m *Monitor) sleep(d time.Duration) bool {
 	select {
 	case <-m.ctx.Done():
@@ -162,6 +163,7 @@
 	}
 }
 
+// runRound starts the heartbeats, probes and seed contacts that are due.
 func (m *Monitor) runRound() {
 	if m.opts.Draining != nil && m.opts.Draining() {
 		m.setDraining()
@@ -207,10 +209,10 @@
 		return
 	}
 	m.Counters.Checks.Add(1)
-	began := m.opts.Clock.Now()
+	startedAt := m.opts.Clock.Now()
 	alive := false
-	for try := range checkAttempts {
-		if try > 0 && !m.sleep(m.opts.Interval/4) {
+	for attempt := range checkAttempts {
+		if attempt > 0 && !m.sleep(m.opts.Interval/4) {
 			break
 		}
 		if m.reconnect(host) == nil {
@@ -226,7 +228,7 @@
 	if alive {
 		m.recordContact(before.Identity, false, now)
 	}
-	m.finishCheck(host, began, now, alive, firstProbeIntervals*m.opts.Interval, maxProbeIntervals*m.opts.Interval)
+	m.finishCheck(host, startedAt, now, alive, firstProbeIntervals*m.opts.Interval, maxProbeIntervals*m.opts.Interval)
 	if after, _ := m.Lookup(host); after.State == Gone && before.State != Gone {
 		m.Counters.DeclaredGone.Add(1)
 		m.HeartbeatNow()
@@ -265,6 +267,7 @@
 	}
 }
 
+// contactSeed connects to address and fetches the member list of its host.
 func (m *Monitor) contactSeed(address string) {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
--- a/process/member/table.go
+++ b/process/member/table.go
@@ -89,6 +89,7 @@
 	}
 }
 
+// publish replaces the current snapshot. The caller holds the lock.
 func (t *table) publish() {
 	s := &snapshot{byHost: make(map[string]Peer, len(t.records))}
 	s.hash = hashMember(t.self, t.draining)
@@ -103,6 +104,7 @@
 	t.current.Store(s)
 }
 
+// hashMember returns the contribution of one host to the hash of a snapshot.
 func hashMember(id peer.Identity, draining bool) uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(id.Host)
@@ -183,25 +185,25 @@
 	}
 }
 
-// applyGossip records updates of another host. It returns the hosts to check on
+// applyGossip records updates of another host. It returns the hosts to toCheck on
 // a new connection: no host is declared gone on gossip alone. Contact within
 // recent outweighs a report that the host is unresponsive.
-func (t *table) applyGossip(list []memberUpdate, now time.Time, recent time.Duration) (check []string) {
+func (t *table) applyGossip(updates []memberUpdate, now time.Time, recent time.Duration) (toCheck []string) {
 	t.update(func() bool {
 		changed := false
-		for _, n := range list {
-			if n.Unresponsive {
-				if r := t.records[n.Identity.Host]; r != nil && r.Incarnation == n.Identity.Incarnation && r.State == Alive && now.Sub(r.lastContact) > recent {
-					check = append(check, n.Identity.Host)
+		for _, u := range updates {
+			if u.Unresponsive {
+				if r := t.records[u.Identity.Host]; r != nil && r.Incarnation == u.Identity.Incarnation && r.State == Alive && now.Sub(r.lastContact) > recent {
+					toCheck = append(toCheck, u.Identity.Host)
 				}
 				continue
 			}
-			r, isNew := t.findOrAdd(n.Identity)
+			r, isNew := t.findOrAdd(u.Identity)
 			if r == nil {
 				continue
 			}
 			changed = changed || isNew
-			if n.Draining && !r.Draining {
+			if u.Draining && !r.Draining {
 				r.Draining, changed = true, true
 				r.pendingHeartbeats = t.gossipHeartbeats()
 			}
@@ -211,7 +213,7 @@
 		}
 		return changed
 	})
-	return check
+	return toCheck
 }
 
 // beginCheck marks host as suspect and reports whether the caller has to check
@@ -233,17 +235,17 @@
 	return begin
 }
 
-// finishCheck records the outcome of a check that started at began. Direct
+// finishCheck records the outcome of a check that started at startedAt. Direct
 // evidence that arrived since then outweighs a failure: the host reached this
 // one on another connection.
-func (t *table) finishCheck(host string, began, now time.Time, alive bool, firstProbe, maxProbe time.Duration) {
+func (t *table) finishCheck(host string, startedAt, now time.Time, alive bool, firstProbe, maxProbe time.Duration) {
 	t.update(func() bool {
 		r := t.records[host]
 		if r == nil {
 			return false
 		}
 		r.checking = false
-		if alive || r.lastContact.After(began) {
+		if alive || r.lastContact.After(startedAt) {
 			changed := r.State != Alive
 			r.State = Alive
 			return changed
@@ -326,6 +328,8 @@
 	return out
 }
 
+// setDraining marks this host as draining in the hash and the member list that it
+// sends.
 func (t *table) setDraining() {
 	t.update(func() bool {
 		changed := !t.draining
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -100,8 +100,8 @@
 	defer m.mu.Unlock()
 	if m.sortedPeers == nil {
 		m.sortedPeers = make([]Identity, 0, len(m.peers))
-		for _, r := range m.peers {
-			m.sortedPeers = append(m.sortedPeers, r.identity)
+		for _, p := range m.peers {
+			m.sortedPeers = append(m.sortedPeers, p.identity)
 		}
 		sort.Slice(m.sortedPeers, func(i, j int) bool { return m.sortedPeers[i].Host < m.sortedPeers[j].Host })
 	}
@@ -113,8 +113,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var out []string
-	for host, r := range m.peers {
-		if r.liveConn() != nil {
+	for host, p := range m.peers {
+		if p.liveConn() != nil {
 			out = append(out, host)
 		}
 	}
@@ -153,37 +153,39 @@
 	m.addPeerLocked(id)
 }
 
+// addPeerLocked is AddPeer with the lock held. It returns nil for this host and
+// when the mesh has MaxPeers peers.
 func (m *Mesh) addPeerLocked(id Identity) *peerState {
 	if id.Host == "" || id.Host == m.opts.Self.Host {
 		return nil
 	}
-	r := m.peers[id.Host]
-	if r == nil {
+	p := m.peers[id.Host]
+	if p == nil {
 		if len(m.peers) >= m.opts.MaxPeers {
 			return nil
 		}
-		r = &peerState{identity: id}
-		m.peers[id.Host] = r
+		p = &peerState{identity: id}
+		m.peers[id.Host] = p
 		m.sortedPeers = nil
 	}
-	if id.Incarnation > r.identity.Incarnation {
-		r.identity = id
+	if id.Incarnation > p.identity.Incarnation {
+		p.identity = id
 		m.sortedPeers = nil
-		r.failedDials, r.nextDialAt = 0, time.Time{}
+		p.failedDials, p.nextDialAt = 0, time.Time{}
 	}
-	return r
+	return p
 }
 
 // RemovePeer removes a peer and closes its connections.
 func (m *Mesh) RemovePeer(host string) {
 	m.mu.Lock()
-	r := m.peers[host]
+	p := m.peers[host]
 	delete(m.peers, host)
 	m.sortedPeers = nil
 	m.mu.Unlock()
-	if r != nil {
-		closeConn(r.dialed)
-		closeConn(r.accepted)
+	if p != nil {
+		closeConn(p.dialed)
+		closeConn(p.accepted)
 	}
 }
 
@@ -194,7 +196,7 @@
 }
 
 // AddAccepted adds an authenticated connection that a peer opened.
-func (m *Mesh) AddAccepted(c Conn) { m.installConn(c, func(r *peerState) *Conn { return &r.accepted }) }
+func (m *Mesh) AddAccepted(c Conn) { m.installConn(c, func(p *peerState) *Conn { return &p.accepted }) }
 
 // installConn replaces and closes the earlier connection of the same direction:
 // a peer opens a new one because it abandoned the older. It reports whether c
@@ -202,16 +204,16 @@
 func (m *Mesh) installConn(c Conn, slot func(*peerState) *Conn) bool {
 	id := c.Peer()
 	m.mu.Lock()
-	r := m.addPeerLocked(id)
-	if r == nil || m.closed || id.Incarnation < r.identity.Incarnation {
+	p := m.addPeerLocked(id)
+	if p == nil || m.closed || id.Incarnation < p.identity.Incarnation {
 		m.mu.Unlock()
 		c.Close()
 		return false
 	}
-	current := slot(r)
+	current := slot(p)
 	old := *current
 	*current = c
-	r.failedDials, r.nextDialAt = 0, time.Time{}
+	p.failedDials, p.nextDialAt = 0, time.Time{}
 	onConnect := m.onConnect
 	m.mu.Unlock()
 	closeConn(old)
@@ -246,26 +248,26 @@
 func (m *Mesh) connect(ctx context.Context, host string) (Conn, error) {
 	for {
 		m.mu.Lock()
-		r := m.peers[host]
-		if r == nil || m.closed {
+		p := m.peers[host]
+		if p == nil || m.closed {
 			m.mu.Unlock()
 			return nil, fmt.Errorf("%w: %s is not known", ErrUnreachable, host)
 		}
-		if c := r.liveConn(); c != nil {
+		if c := p.liveConn(); c != nil {
 			m.mu.Unlock()
 			return c, nil
 		}
-		if wait := r.nextDialAt.Sub(m.opts.Clock.Now()); wait > 0 {
+		if wait := p.nextDialAt.Sub(m.opts.Clock.Now()); wait > 0 {
 			m.mu.Unlock()
 			return nil, fmt.Errorf("%w: %s: next dial in %s", ErrUnreachable, host, wait)
 		}
-		pending := r.dialing
+		pending := p.dialing
 		if pending == nil {
-			r.dialing = make(chan struct{})
+			p.dialing = make(chan struct{})
 		}
 		m.mu.Unlock()
 		if pending == nil {
-			return m.dialForWaiters(ctx, r)
+			return m.dialForWaiters(ctx, p)
 		}
 		select {
 		case <-pending:
@@ -275,9 +277,11 @@
 	}
 }
 
-func (r *peerState) liveConn() Conn {
-	for _, c := range []Conn{r.dialed, r.accepted} {
-		if c == nil || c.Peer().Incarnation != r.identity.Incarnation {
+// liveConn returns an open connection to the current incarnation, preferably one
+// that this host dialed; nil if there is none.
+func (p *peerState) liveConn() Conn {
+	for _, c := range []Conn{p.dialed, p.accepted} {
+		if c == nil || c.Peer().Incarnation != p.identity.Incarnation {
 			continue
 		}
 		select {
@@ -289,33 +293,34 @@
 	return nil
 }
 
-// dialForWaiters dials r and then wakes the callers that wait for this dial.
-func (m *Mesh) dialForWaiters(ctx context.Context, r *peerState) (Conn, error) {
+// dialForWaiters dials p and then wakes the callers that wait for this dial.
+func (m *Mesh) dialForWaiters(ctx context.Context, p *peerState) (Conn, error) {
 	defer func() {
 		m.mu.Lock()
-		close(r.dialing)
-		r.dialing = nil
+		close(p.dialing)
+		p.dialing = nil
 		m.mu.Unlock()
 	}()
-	return m.dialPeer(ctx, r)
+	return m.dialPeer(ctx, p)
 }
 
-func (m *Mesh) dialPeer(ctx context.Context, r *peerState) (Conn, error) {
+// dialPeer opens a connection to the current incarnation of p and installs it.
+func (m *Mesh) dialPeer(ctx context.Context, p *peerState) (Conn, error) {
 	m.mu.Lock()
-	want := r.identity
+	want := p.identity
 	m.mu.Unlock()
 	c, err := m.opts.Dial(ctx, want.Address, m.Dispatch)
 	if err != nil {
-		m.recordFailedDial(r)
+		m.recordFailedDial(p)
 		return nil, fmt.Errorf("%w: %s: %w", ErrUnreachable, want.Host, err)
 	}
 	if got := c.Peer().Host; got != want.Host {
 		// The address was reassigned to another entry host.
-		m.installConn(c, func(r *peerState) *Conn { return &r.dialed })
-		m.recordFailedDial(r)
+		m.installConn(c, func(p *peerState) *Conn { return &p.dialed })
+		m.recordFailedDial(p)
 		return nil, fmt.Errorf("%w: %s: %s answers at %s", ErrUnreachable, want.Host, got, want.Address)
 	}
-	if !m.installConn(c, func(r *peerState) *Conn { return &r.dialed }) {
+	if !m.installConn(c, func(p *peerState) *Conn { return &p.dialed }) {
 		return nil, fmt.Errorf("%w: %s: an older incarnation answers", ErrUnreachable, want.Host)
 	}
 	return c, nil
@@ -324,14 +329,14 @@
 // recordFailedDial sets the backoff before the next dial. It doubles with each
 // failure, which limits the cost of a dead peer, and is jittered, so that the
 // other hosts do not all dial a recovered peer at once.
-func (m *Mesh) recordFailedDial(r *peerState) {
+func (m *Mesh) recordFailedDial(p *peerState) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	r.failedDials++
-	wait := m.opts.MinBackoff << min(r.failedDials-1, 10)
+	p.failedDials++
+	wait := m.opts.MinBackoff << min(p.failedDials-1, 10)
 	wait = min(wait, m.opts.MaxBackoff)
 	wait = time.Duration((0.5 + m.opts.Rand.Float64()/2) * float64(wait))
-	r.nextDialAt = m.opts.Clock.Now().Add(wait)
+	p.nextDialAt = m.opts.Clock.Now().Add(wait)
 }
 
 // Reconnect opens a new connection to host regardless of the state of the
@@ -340,12 +345,12 @@
 // host is alive.
 func (m *Mesh) Reconnect(ctx context.Context, host string) error {
 	m.mu.Lock()
-	r := m.peers[host]
+	p := m.peers[host]
 	m.mu.Unlock()
-	if r == nil {
+	if p == nil {
 		return fmt.Errorf("%w: %s is not known", ErrUnreachable, host)
 	}
-	_, err := m.dialPeer(ctx, r)
+	_, err := m.dialPeer(ctx, p)
 	return err
 }
 
@@ -362,7 +367,7 @@
 		c.Close()
 		return id, nil
 	}
-	m.installConn(c, func(r *peerState) *Conn { return &r.dialed })
+	m.installConn(c, func(p *peerState) *Conn { return &p.dialed })
 	return id, nil
 }
 
@@ -371,8 +376,8 @@
 	m.mu.Lock()
 	m.closed = true
 	var conns []Conn
-	for _, r := range m.peers {
-		conns = append(conns, r.dialed, r.accepted)
+	for _, p := range m.peers {
+		conns = append(conns, p.dialed, p.accepted)
 	}
 	m.mu.Unlock()
 	for _, c := range conns {
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -73,10 +73,10 @@
 // Heal removes all faults between a and b, in both directions.
 func (n *Network) Heal(a, b string) { n.setFault(a, b, 0); n.setFault(b, a, 0) }
 
-func (n *Network) setFault(a, b string, c fault) {
+func (n *Network) setFault(a, b string, f fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.faults[[2]string{a, b}] = c
+	n.faults[[2]string{a, b}] = f
 }
 
 // Traffic returns the number of calls that host made and the payload bytes that
@@ -118,17 +118,17 @@
 		return fmt.Errorf("encode %s: %w", m, err)
 	}
 	l.net.mu.Lock()
-	to, c := l.net.links[host], l.net.faults[[2]string{l.self.Host, host}]
+	callee, f := l.net.links[host], l.net.faults[[2]string{l.self.Host, host}]
 	var h peer.Handler
-	if to != nil {
-		h = to.handlers[m]
+	if callee != nil {
+		h = callee.handlers[m]
 	}
 	l.net.calls[l.self.Host]++
 	l.net.mu.Unlock()
-	if to == nil || c == dropRequests {
+	if callee == nil || f == dropRequests {
 		return peer.ErrUnreachable
 	}
-	if c == staleConnection {
+	if f == staleConnection {
 		return peer.ErrNoResponse
 	}
 	if h == nil {
@@ -136,7 +136,7 @@
 	}
 	response, err := h(ctx, l.self, payload)
 	l.net.countBytes(l.self.Host, host, len(payload)+len(response))
-	if c == dropResponses || ctx.Err() != nil {
+	if f == dropResponses || ctx.Err() != nil {
 		return peer.ErrNoResponse
 	}
 	if err != nil {
--- a/process/peer/peertest/transport.go
+++ b/process/peer/peertest/transport.go
@@ -19,8 +19,8 @@
 	l.net.mu.Lock()
 	defer l.net.mu.Unlock()
 	pair := [2]string{l.self.Host, host}
-	c := l.net.faults[pair]
-	if l.net.links[host] == nil || (c != 0 && c != staleConnection) {
+	f := l.net.faults[pair]
+	if l.net.links[host] == nil || (f != 0 && f != staleConnection) {
 		return peer.ErrUnreachable
 	}
 	delete(l.net.faults, pair)
--- a/process/report/report.go
+++ b/process/report/report.go
@@ -163,6 +163,8 @@
 	}
 }
 
+// runRound starts the polls, the read of the host list and the sharing of loads
+// that are due.
 func (p *Poller) runRound(ctx context.Context) {
 	p.updateTargets()
 	p.Counters.Rounds.Add(1)
@@ -265,6 +267,7 @@
 	}
 }
 
+// recordReport stores a load report: the server is up, and leaving if it says so.
 func (p *Poller) recordReport(rec *serverRecord, r Report) {
 	now := p.opts.Clock.Now()
 	p.mu.Lock()
@@ -277,10 +280,13 @@
 	p.updateStatus(rec, func(s *serverStatus) { s.Down, s.ReportedLeaving = false, r.Leaving })
 }
 
+// recordNoReport records a response without a load report: the server is up.
 func (p *Poller) recordNoReport(rec *serverRecord) {
 	p.updateStatus(rec, func(s *serverStatus) { s.Down = false })
 }
 
+// recordFailure counts a failed poll and marks the server down after enough of
+// them that could not connect.
 func (p *Poller) recordFailure(rec *serverRecord, err error) {
 	limit := maxFailedConnects
 	if errors.Is(err, syscall.ECONNREFUSED) {
--- a/process/report/report_test.go
+++ b/process/report/report_test.go
@@ -44,12 +44,12 @@
 	polls       map[string]int
 }
 
-type prober struct {
+type fakeProber struct {
 	*fakeServers
 	host string
 }
 
-func (p prober) Poll(_ context.Context, address string, fresh bool) (report.Report, error) {
+func (p fakeProber) Poll(_ context.Context, address string, fresh bool) (report.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.polls[p.host]++
@@ -65,9 +65,9 @@
 	return p.reports[address], nil
 }
 
-func (p prober) CloseIdleConnections() {}
+func (p fakeProber) CloseIdleConnections() {}
 
-func (b *fakeServers) set(f func()) {
+func (b *fakeServers) withLock(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
@@ -117,7 +117,7 @@
 	sys, rnd := clock.System{}, clock.NewSeeded(uint64(len(s.hosts)+1))
 	h.monitor = member.New(member.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
 	h.poller = report.New(report.Options{
-		Link: link, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd, Prober: prober{s.fakeServers, name}, Interval: interval,
+		Link: link, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd, Prober: fakeProber{s.fakeServers, name}, Interval: interval,
 		ListHosts: func(context.Context) ([]objectapi.Host, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -149,13 +149,13 @@
 	}
 }
 
-func (s *deployment) state(host, srv string) *server.State {
+func (s *deployment) serverState(host, srv string) *server.State {
 	return s.hosts[host].registry.Get(srv, srv+":1", time.Unix(1, 0))
 }
 
 func (s *deployment) expectOnAllHosts(srv string, check func(*server.State) bool, want bool) {
 	for name := range s.hosts {
-		s.g.EventuallyWithOffset(1, func() bool { return check(s.state(name, srv)) }, eventuallyTimeout, interval).Should(Equal(want), "%s on %s", srv, name)
+		s.g.EventuallyWithOffset(1, func() bool { return check(s.serverState(name, srv)) }, eventuallyTimeout, interval).Should(Equal(want), "%s on %s", srv, name)
 	}
 }
 
@@ -169,9 +169,9 @@
 	s.hostListErr = objectapi.ErrUnavailable
 	s.mu.Unlock()
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
-	s.set(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
-	s.set(func() { s.reports["s1-0:1"] = report.Report{} })
+	s.withLock(func() { s.reports["s1-0:1"] = report.Report{} })
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
 }
 
@@ -183,12 +183,12 @@
 	s.mu.Lock()
 	s.hostList = []objectapi.Host{{Name: "s0-0", Address: "s0-0:1", State: objectapi.HostLeaving}, {Name: "s1-0", State: objectapi.HostLive}}
 	s.mu.Unlock()
-	s.set(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
 	lists := s.hosts["h0-0"].poller.Counters.HostListReads.Load()
 	s.g.Eventually(s.hosts["h0-0"].poller.Counters.HostListReads.Load, eventuallyTimeout).Should(BeNumerically(">", lists+3))
-	s.g.Expect(s.state("h0-0", "s1-0").Usable()).To(BeFalse())
+	s.g.Expect(s.serverState("h0-0", "s1-0").Usable()).To(BeFalse())
 }
 
 // Every poll on a kept connection times out because a middlebox dropped its
@@ -196,10 +196,10 @@
 // unusable.
 func TestUnresponsiveConnectionDoesNotMarkServerDown(t *testing.T) {
 	s := newDeployment(t, 1, 2, 1)
-	s.set(func() { s.keptConnErr["s0-0:1"] = errTimeout })
+	s.withLock(func() { s.keptConnErr["s0-0:1"] = errTimeout })
 	for range 200 {
-		s.g.Expect(s.state("h0-0", "s0-0").Usable()).To(BeTrue())
-		s.g.Expect(s.state("h0-1", "s0-0").Usable()).To(BeTrue())
+		s.g.Expect(s.serverState("h0-0", "s0-0").Usable()).To(BeTrue())
+		s.g.Expect(s.serverState("h0-1", "s0-0").Usable()).To(BeTrue())
 		before := s.hosts["h0-0"].poller.Counters.Polls.Load()
 		if before > 20 {
 			return
@@ -213,7 +213,7 @@
 // after the other.
 func TestSlowServerIsNotMarkedDown(t *testing.T) {
 	s := newDeployment(t, 1, 2, 1)
-	s.set(func() { s.allConnErr["s0-0:1"] = errTimeout })
+	s.withLock(func() { s.allConnErr["s0-0:1"] = errTimeout })
 	polls := s.hosts["h0-0"].poller.Counters.Polls.Load
 	before := polls()
 	s.g.Eventually(polls, eventuallyTimeout).Should(BeNumerically(">", before+10))
@@ -225,9 +225,9 @@
 // responds.
 func TestDeadServerIsDownOnAllHostsUntilItResponds(t *testing.T) {
 	s := newDeployment(t, 2, 3, 1)
-	s.set(func() { s.allConnErr["s0-0:1"] = errRefused })
+	s.withLock(func() { s.allConnErr["s0-0:1"] = errRefused })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
-	s.set(func() { delete(s.allConnErr, "s0-0:1") })
+	s.withLock(func() { delete(s.allConnErr, "s0-0:1") })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
 }
 
@@ -237,9 +237,9 @@
 	s := newDeployment(t, 1, 3, 1)
 	ranked := member.Rank("s0-0:1", []string{"h0-0", "h0-1", "h0-2"})
 	refused := map[string]error{"s0-0:1": errRefused}
-	s.set(func() { s.hostConnErr[ranked[0]], s.hostConnErr[ranked[1]] = refused, refused })
+	s.withLock(func() { s.hostConnErr[ranked[0]], s.hostConnErr[ranked[1]] = refused, refused })
 	for _, owner := range ranked[:2] {
-		s.g.Eventually(func() bool { return s.state(owner, "s0-0").Usable() }, eventuallyTimeout).Should(BeFalse())
+		s.g.Eventually(func() bool { return s.serverState(owner, "s0-0").Usable() }, eventuallyTimeout).Should(BeFalse())
 	}
 	polls := func() int {
 		s.fakeServers.mu.Lock()
@@ -247,7 +247,7 @@
 		return s.polls[ranked[2]]
 	}
 	s.g.Eventually(polls, eventuallyTimeout).Should(BeNumerically(">", 0))
-	s.g.Expect(s.state(ranked[2], "s0-0").Usable()).To(BeTrue())
+	s.g.Expect(s.serverState(ranked[2], "s0-0").Usable()).To(BeTrue())
 }
 
 // A host of another domain starts after the leaving status of a server has
@@ -255,7 +255,7 @@
 // work.
 func TestLateJoiningHostLearnsOfLeavingServers(t *testing.T) {
 	s := newDeployment(t, 2, 2, 1)
-	s.set(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	sent := s.hosts["h1-0"].monitor.Counters.Sent.Load()
 	s.g.Eventually(s.hosts["h1-0"].monitor.Counters.Sent.Load, eventuallyTimeout).Should(BeNumerically(">", sent+60), "the status has spread")
@@ -267,14 +267,14 @@
 // again at the same address. Its old status must not keep it unusable.
 func TestRelistedServerIsUsable(t *testing.T) {
 	s := newDeployment(t, 1, 3, 1)
-	s.set(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	s.delisted.Store("s0-0", true)
 	for _, h := range s.hosts {
 		before := h.poller.Counters.Rounds.Load()
 		s.g.Eventually(h.poller.Counters.Rounds.Load, eventuallyTimeout).Should(BeNumerically(">", before+2), "the tables are applied")
 	}
-	s.set(func() { s.reports["s0-0:1"] = report.Report{} })
+	s.withLock(func() { s.reports["s0-0:1"] = report.Report{} })
 	s.delisted.Delete("s0-0")
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
 }
@@ -296,14 +296,14 @@
 		}
 	}
 	pairs(s.net.Partition)
-	s.set(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
 	for i := range 3 {
 		name := fmt.Sprint("h1-", i)
-		s.g.Eventually(func() bool { return s.state(name, "s1-0").Usable() }, eventuallyTimeout, interval).Should(BeFalse(), name)
-		s.g.Expect(s.state(name, "s0-0").Usable()).To(BeTrue(), "a partition says nothing about a server")
+		s.g.Eventually(func() bool { return s.serverState(name, "s1-0").Usable() }, eventuallyTimeout, interval).Should(BeFalse(), name)
+		s.g.Expect(s.serverState(name, "s0-0").Usable()).To(BeTrue(), "a partition says nothing about a server")
 		outside := s.hosts[fmt.Sprint("h0-", i)]
 		s.g.Eventually(func() member.State { p, _ := outside.monitor.Lookup(name); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
-		s.g.Expect(s.state(fmt.Sprint("h0-", i), "s1-0").Usable()).To(BeTrue())
+		s.g.Expect(s.serverState(fmt.Sprint("h0-", i), "s1-0").Usable()).To(BeTrue())
 	}
 	pairs(s.net.Heal)
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
@@ -312,14 +312,14 @@
 // Loads reach the hosts that do not poll the server themselves.
 func TestLoadIsSharedWithinDomain(t *testing.T) {
 	s := newDeployment(t, 1, 5, 3)
-	s.set(func() {
+	s.withLock(func() {
 		for i := range 3 {
 			s.reports[fmt.Sprintf("s0-%d:1", i)] = report.Report{Running: i, Queued: 7, Slots: 8, Models: []string{"m@2"}, Role: "decode"}
 		}
 	})
 	for name := range s.hosts {
 		s.g.Eventually(func() string {
-			l := s.state(name, "s0-1").Load()
+			l := s.serverState(name, "s0-1").Load()
 			if l == nil {
 				return ""
 			}
--- a/process/report/status.go
+++ b/process/report/status.go
@@ -73,6 +73,8 @@
 // with the logarithm of the number of hosts.
 func (p *Poller) gossipHeartbeats() int { return 6 + 2*bits.Len(uint(len(p.opts.View.Peers()))) }
 
+// encodeStatuses returns the statuses for the next heartbeat; nil if there are
+// none.
 func (p *Poller) encodeStatuses() []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +139,7 @@
 // verifyDown polls a server that other hosts reported as down or up again.
 func (p *Poller) verifyDown(rec *serverRecord) {
 	down := true
-	for try := 0; try < 2 && down; try++ {
+	for attempt := 0; attempt < 2 && down; attempt++ {
 		_, err := p.opts.Prober.Poll(context.Background(), rec.target.State.Address, true)
 		down = errors.Is(err, ErrNoConnection)
 	}
--- a/process/server/health.go
+++ b/process/server/health.go
@@ -41,22 +41,22 @@
 	latency             estimate.Latency
 }
 
-// RecordOutcome records the outcome of an attempt that ended at now and took the
-// given time.
+// RecordOutcome records the outcome of an attempt that ended at now after
+// the given duration.
 //
 // A single failure is weak evidence: one request may crash the server, or the
 // network may drop one connection. After several consecutive ones the next
 // attempt is likely to fail as well, so the server is ejected. Unreachable ejects
 // at once: attempts on a dead server fail immediately, it appears idle, and would
 // attract all work. A success ends the ejection.
-func (s *State) RecordOutcome(now time.Time, o Outcome, took time.Duration) {
+func (s *State) RecordOutcome(now time.Time, o Outcome, duration time.Duration) {
 	h := &s.health
 	switch o {
 	case Succeeded:
 		h.consecutiveFailures.Store(0)
 		h.ejections.Store(0)
 		h.ejectedUntil.Store(0)
-		h.latency.Observe(now, took)
+		h.latency.Observe(now, duration)
 	case Failed:
 		h.unreachable.Store(false)
 		h.recordFailure(now, 1)
@@ -67,6 +67,8 @@
 	}
 }
 
+// recordFailure adds weight consecutive failures and ejects the server if there
+// are enough of them.
 func (h *health) recordFailure(now time.Time, weight int64) {
 	h.lastFailureAt.Store(now.UnixNano())
 	if h.consecutiveFailures.Add(weight) >= ejectAfterFailures {
@@ -75,18 +77,18 @@
 }
 
 // startEjection starts an ejection period unless one is in progress or another
-// goroutine starts one. It reports whether it did. old is the end of the
+// goroutine starts one. It reports whether it did. previousEnd is the end of the
 // previous period in unix nanoseconds.
-func (h *health) startEjection(now time.Time, old int64) bool {
-	if now.UnixNano() < old {
+func (h *health) startEjection(now time.Time, previousEnd int64) bool {
+	if now.UnixNano() < previousEnd {
 		return false
 	}
-	most := int64(maxEjectionDoublings)
+	maxDoublings := int64(maxEjectionDoublings)
 	if h.unreachable.Load() {
-		most = maxDisconnectedDoublings
+		maxDoublings = maxDisconnectedDoublings
 	}
-	doubles := min(h.ejections.Load(), most)
-	if !h.ejectedUntil.CompareAndSwap(old, now.Add(firstEjection<<doubles).UnixNano()) {
+	doublings := min(h.ejections.Load(), maxDoublings)
+	if !h.ejectedUntil.CompareAndSwap(previousEnd, now.Add(firstEjection<<doublings).UnixNano()) {
 		return false
 	}
 	h.ejections.Add(1)
