--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -23,7 +23,7 @@
 var (
 	// ErrSilent: nothing arrived for the silence limit. It says something
 	// about the connection, not about the peer.
-	ErrSilent = errors.New("peerconn: connection is silent")
+	ErrUnresponsive = errors.New("peerconn: connection is silent")
 	// ErrIdle: no call used the connection for the idle limit.
 	ErrIdle = errors.New("peerconn: connection was idle")
 	// ErrClosed: this end closed the connection.
@@ -38,24 +38,24 @@
 	Self   peer.Identity
 	Secret []byte
 	// MaxFrame is the largest frame in bytes; default 4 MB.
-	MaxFrame int
+	MaxFrameBytes int
 	// MaxHandlers is how many calls of one peer run at once; default 64.
-	MaxHandlers int
-	Handshake   time.Duration // for the whole handshake; default 2 s
-	Ping        time.Duration // between writes on a quiet connection; default 1 s
-	Silence     time.Duration // without a byte before the connection is dropped; default 3 s
-	Write       time.Duration // for writing one frame; default 3 s
-	Idle        time.Duration // without a call before the connection is closed; default 2 min
+	MaxHandlers      int
+	HandshakeTimeout time.Duration // for the whole handshake; default 2 s
+	PingInterval     time.Duration // between writes on a quiet connection; default 1 s
+	ReadTimeout      time.Duration // without a byte before the connection is dropped; default 3 s
+	WriteTimeout     time.Duration // for writing one frame; default 3 s
+	IdleTimeout      time.Duration // without a call before the connection is closed; default 2 min
 }
 
 func (o Options) withDefaults() Options {
-	setDefault(&o.MaxFrame, 4<<20)
+	setDefault(&o.MaxFrameBytes, 4<<20)
 	setDefault(&o.MaxHandlers, 64)
-	setDefault(&o.Handshake, 2*time.Second)
-	setDefault(&o.Ping, time.Second)
-	setDefault(&o.Silence, 3*time.Second)
-	setDefault(&o.Write, 3*time.Second)
-	setDefault(&o.Idle, 2*time.Minute)
+	setDefault(&o.HandshakeTimeout, 2*time.Second)
+	setDefault(&o.PingInterval, time.Second)
+	setDefault(&o.ReadTimeout, 3*time.Second)
+	setDefault(&o.WriteTimeout, 3*time.Second)
+	setDefault(&o.IdleTimeout, 2*time.Minute)
 	return o
 }
 
@@ -90,7 +90,7 @@
 // Dial connects to address, proves the secret and starts the connection.
 func Dial(ctx context.Context, address string, opts Options, serve peer.Dispatch) (*Conn, error) {
 	opts = opts.withDefaults()
-	ctx, cancel := context.WithTimeout(ctx, opts.Handshake)
+	ctx, cancel := context.WithTimeout(ctx, opts.HandshakeTimeout)
 	defer cancel()
 	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -99,7 +99,7 @@
 	// A stopped process still has its connections opened by its kernel; only
 	// the handshake then tells, and it must not outlast the caller's patience.
 	if deadline, ok := ctx.Deadline(); ok {
-		opts.Handshake = time.Until(deadline)
+		opts.HandshakeTimeout = time.Until(deadline)
 	}
 	return open(raw, opts, serve, dialHandshake)
 }
@@ -112,7 +112,7 @@
 type handshake func(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error)
 
 func open(raw net.Conn, opts Options, serve peer.Dispatch, shake handshake) (*Conn, error) {
-	_ = raw.SetDeadline(time.Now().Add(opts.Handshake))
+	_ = raw.SetDeadline(time.Now().Add(opts.HandshakeTimeout))
 	remote, err := shake(raw, opts.Self, opts.Secret)
 	if err != nil {
 		_ = raw.Close()
@@ -145,7 +145,7 @@
 }
 
 // Dropped returns how many answers arrived that no call waited for.
-func (c *Conn) Dropped() int64 { return c.dropped.Load() }
+func (c *Conn) DroppedResponses() int64 { return c.dropped.Load() }
 
 // Close ends the connection; calls in flight get peer.ErrNoResponse.
 func (c *Conn) Close() { c.end(ErrClosed) }
@@ -165,9 +165,9 @@
 
 // read takes frames until the connection ends.
 func (c *Conn) read() {
-	r := bufio.NewReader(&progressReader{c.raw, c.opts.Silence})
+	r := bufio.NewReader(&progressReader{c.raw, c.opts.ReadTimeout})
 	for {
-		data, err := readBlock(r, c.opts.MaxFrame)
+		data, err := readBlock(r, c.opts.MaxFrameBytes)
 		if err != nil {
 			c.end(readCause(err))
 			return
@@ -183,7 +183,7 @@
 
 func readCause(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		return fmt.Errorf("%w: %w", ErrSilent, err)
+		return fmt.Errorf("%w: %w", ErrUnresponsive, err)
 	}
 	return err
 }
@@ -327,7 +327,7 @@
 // write that fails half way ends the connection, since the next frame would be
 // read as the rest of this one.
 func (c *Conn) send(ctx context.Context, f *frame) (sent bool, err error) {
-	data, err := encodeFrame(f, c.opts.MaxFrame)
+	data, err := encodeFrame(f, c.opts.MaxFrameBytes)
 	if err != nil {
 		return false, err
 	}
@@ -342,7 +342,7 @@
 	if err := c.Err(); err != nil {
 		return false, err
 	}
-	_ = c.raw.SetWriteDeadline(time.Now().Add(c.opts.Write))
+	_ = c.raw.SetWriteDeadline(time.Now().Add(c.opts.WriteTimeout))
 	n, err := c.raw.Write(data)
 	if err != nil {
 		c.end(err)
@@ -355,7 +355,7 @@
 // watch pings on a quiet connection and closes an unused one. The dialing end
 // does not know the accepting one's calls, so both count calls of either way.
 func (c *Conn) watch() {
-	tick := time.NewTicker(c.opts.Ping)
+	tick := time.NewTicker(c.opts.PingInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -368,11 +368,11 @@
 }
 
 func (c *Conn) tick(now time.Time) {
-	if now.Sub(time.Unix(0, c.lastUse.Load())) > c.opts.Idle {
+	if now.Sub(time.Unix(0, c.lastUse.Load())) > c.opts.IdleTimeout {
 		c.end(ErrIdle)
 		return
 	}
-	if now.Sub(time.Unix(0, c.written.Load())) >= c.opts.Ping/2 {
+	if now.Sub(time.Unix(0, c.written.Load())) >= c.opts.PingInterval/2 {
 		_, _ = c.send(context.Background(), &frame{Kind: framePing})
 	}
 }
--- a/connection/peerconn/handshake.go
+++ b/connection/peerconn/handshake.go
@@ -12,7 +12,7 @@
 )
 
 // ErrNotProven is returned when the other end does not prove the secret.
-var ErrNotProven = errors.New("peerconn: the other end did not prove the shared secret")
+var ErrUnauthenticated = errors.New("peerconn: the other end did not prove the shared secret")
 
 const (
 	protocolVersion = 1
@@ -116,10 +116,10 @@
 	}
 	var got proof
 	if err := receive(r, &got); err != nil {
-		return fmt.Errorf("%w: %w", ErrNotProven, err)
+		return fmt.Errorf("%w: %w", ErrUnauthenticated, err)
 	}
 	if !hmac.Equal(got.MAC, want) {
-		return ErrNotProven
+		return ErrUnauthenticated
 	}
 	return nil
 }
--- a/connection/peerconn/listen.go
+++ b/connection/peerconn/listen.go
@@ -19,11 +19,11 @@
 // Server accepts connections of peers and gives the proven ones to Accepted.
 type Server struct {
 	Options  Options
-	Serve    peer.Dispatch
-	Accepted func(peer.Conn)
+	Dispatch peer.Dispatch
+	OnAccept func(peer.Conn)
 	// Refused is called with the cause when a connection proves nothing; may
 	// be nil.
-	Refused func(address string, cause error)
+	OnReject func(address string, cause error)
 }
 
 // Run accepts on l until ctx ends, then closes l.
@@ -69,16 +69,16 @@
 }
 
 func (s *Server) refused(address string, cause error) {
-	if s.Refused != nil {
-		s.Refused(address, cause)
+	if s.OnReject != nil {
+		s.OnReject(address, cause)
 	}
 }
 
 func (s *Server) open(raw net.Conn) {
-	c, err := Accept(raw, s.Options, s.Serve)
+	c, err := Accept(raw, s.Options, s.Dispatch)
 	if err != nil {
 		s.refused(raw.RemoteAddr().String(), err)
 		return
 	}
-	s.Accepted(c)
+	s.OnAccept(c)
 }
--- a/connection/peerconn/peerconn_test.go
+++ b/connection/peerconn/peerconn_test.go
@@ -20,7 +20,7 @@
 )
 
 func options(self peer.Identity, secret string) Options {
-	return Options{Self: self, Secret: []byte(secret), Ping: 20 * time.Millisecond}
+	return Options{Self: self, Secret: []byte(secret), PingInterval: 20 * time.Millisecond}
 }
 
 func echo(_ context.Context, from peer.Identity, m peer.Method, payload []byte) ([]byte, error) {
@@ -39,9 +39,9 @@
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	conns, refused := make(chan peer.Conn, 16), make(chan error, 256)
 	s := &Server{
-		Options: opts, Serve: serve,
-		Accepted: func(c peer.Conn) { conns <- c },
-		Refused:  func(_ string, cause error) { refused <- cause },
+		Options: opts, Dispatch: serve,
+		OnAccept: func(c peer.Conn) { conns <- c },
+		OnReject: func(_ string, cause error) { refused <- cause },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -83,7 +83,7 @@
 	})
 	_, err := Dial(context.Background(), address, options(ada, "wrong"), echo)
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(<-refused).To(MatchError(ErrNotProven))
+	g.Expect(<-refused).To(MatchError(ErrUnauthenticated))
 	g.Expect(ran).To(BeEmpty())
 	g.Expect(conns).To(BeEmpty())
 }
@@ -116,13 +116,13 @@
 func TestForgottenConnectionEndsAsSilent(t *testing.T) {
 	g := NewWithT(t)
 	far := options(bo, "s")
-	far.Silence = time.Minute // else the far end may give up first and its close arrive as EOF
+	far.ReadTimeout = time.Minute // else the far end may give up first and its close arrive as EOF
 	address, _, _ := listener(t, far, echo)
 	toServer, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
 	dead := &swallowing{Conn: toServer, quiet: make(chan struct{})}
 	opts := options(ada, "s").withDefaults()
-	opts.Silence = 200 * time.Millisecond
+	opts.ReadTimeout = 200 * time.Millisecond
 	c, err := open(dead, opts, echo, dialHandshake)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Call(context.Background(), "echo", nil)).To(BeEquivalentTo("ada:"))
@@ -132,7 +132,7 @@
 	_, err = c.Call(ctx, "echo", nil)
 	g.Expect(err).To(MatchError(peer.ErrNoResponse))
 	g.Expect(ctx.Err()).NotTo(HaveOccurred())
-	g.Expect(c.Err()).To(MatchError(ErrSilent))
+	g.Expect(c.Err()).To(MatchError(ErrUnresponsive))
 	_, err = c.Call(ctx, "echo", nil)
 	g.Expect(err).To(MatchError(peer.ErrUnreachable))
 }
@@ -191,7 +191,7 @@
 	g.Expect(err).To(MatchError(peer.ErrNoResponse))
 	close(release)
 	g.Expect(c.Call(context.Background(), "quick", nil)).To(BeEquivalentTo("quick"))
-	g.Eventually(c.Dropped, 10*time.Second).Should(BeEquivalentTo(1))
+	g.Eventually(c.DroppedResponses, 10*time.Second).Should(BeEquivalentTo(1))
 }
 
 // One peer floods another with calls that hang. Handlers are bounded; the
@@ -224,7 +224,7 @@
 func TestTooLargeFrames(t *testing.T) {
 	g := NewWithT(t)
 	opts := options(ada, "s")
-	opts.MaxFrame = 1024
+	opts.MaxFrameBytes = 1024
 	address, _, _ := listener(t, options(bo, "s"), func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
 		return make([]byte, 4096), nil
 	})
@@ -241,7 +241,7 @@
 func TestIdleConnectionIsClosed(t *testing.T) {
 	g := NewWithT(t)
 	opts := options(ada, "s")
-	opts.Idle = 50 * time.Millisecond
+	opts.IdleTimeout = 50 * time.Millisecond
 	address, _, _ := listener(t, options(bo, "s"), echo)
 	c, err := Dial(context.Background(), address, opts, echo)
 	g.Expect(err).NotTo(HaveOccurred())
@@ -255,7 +255,7 @@
 func TestSilentStrangersDoNotKeepPeersOut(t *testing.T) {
 	g := NewWithT(t)
 	opts := options(bo, "s")
-	opts.Handshake = 100 * time.Millisecond
+	opts.HandshakeTimeout = 100 * time.Millisecond
 	address, _, _ := listener(t, opts, echo)
 	for range maxUnproven + 10 {
 		stranger, err := net.Dial("tcp", address)
@@ -280,7 +280,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	defer l.Close()
 	opts := options(ada, "s")
-	opts.Handshake = time.Hour
+	opts.HandshakeTimeout = time.Hour
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	done := make(chan error, 1)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -61,8 +61,8 @@
 	}
 	defer h.mesh.Close()
 	server := &peerconn.Server{
-		Options: opts, Serve: h.mesh.Dispatch, Accepted: h.mesh.AddAccepted,
-		Refused: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
+		Options: opts, Dispatch: h.mesh.Dispatch, OnAccept: h.mesh.AddAccepted,
+		OnReject: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
 	}
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { h.awaitFirstRegistrations(ctx); return h.hostFollower.Run(ctx) })
@@ -217,6 +217,6 @@
 	}
 	return peerconn.Options{
 		Self: h.self, Secret: []byte(*secret), MaxHandlers: maxPeerHandlers,
-		Handshake: peerHandshakeTimeout, Ping: peerPingInterval, Silence: peerTimeout, Idle: peerIdleTimeout,
+		HandshakeTimeout: peerHandshakeTimeout, PingInterval: peerPingInterval, ReadTimeout: peerTimeout, IdleTimeout: peerIdleTimeout,
 	}, nil
 }
--- a/entryhost/explain.go
+++ b/entryhost/explain.go
@@ -60,16 +60,16 @@
 	for i := range rt.Stages {
 		st := &rt.Stages[i]
 		plan := StagePlan{Stage: st.Name, Pool: st.Pool.Name}
-		if p, ok := st.Pool.Picker.(*pick.Placed); ok {
-			plan.place(p, &pick.Info{Now: now, Rand: h.rand, Class: rt.Class})
+		if p, ok := st.Pool.Picker.(*pick.LocalityPicker); ok {
+			plan.place(p, &pick.Attempt{Now: now, Rand: h.rand, Class: rt.Class})
 		}
 		out.Stages = append(out.Stages, plan)
 	}
 }
 
-func (s *StagePlan) place(p *pick.Placed, info *pick.Info) {
+func (s *StagePlan) place(p *pick.LocalityPicker, info *pick.Attempt) {
 	s.Candidates = p.Explain(info.Now)
-	srv, err := p.Prefer(info)
+	srv, err := p.Preview(info)
 	if err != nil {
 		s.Error = err.Error()
 		return
--- a/entryhost/members.go
+++ b/entryhost/members.go
@@ -66,14 +66,14 @@
 	})
 	h.members.link, h.members.mesh, h.members.listener = mesh, mesh, l
 	server := &peerconn.Server{
-		Options: conns, Serve: mesh.Dispatch,
-		Accepted: func(c peer.Conn) {
+		Options: conns, Dispatch: mesh.Dispatch,
+		OnAccept: func(c peer.Conn) {
 			if id := c.Peer(); id.Host == self.Host && id.Incarnation != self.Incarnation {
 				h.log.Error("another entry host has this name; give each its own --name", "address", id.Address)
 			}
 			mesh.AddAccepted(c)
 		},
-		Refused: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
+		OnReject: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
 	}
 	h.add("peer port", func(ctx context.Context) error {
 		defer mesh.Close()
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -109,7 +109,7 @@
 	if t := h.members.accepted.Load(); t != nil && t.hash == rel.Hash {
 		return t.models
 	}
-	tables, err := table.FromRows(rel.Rows)
+	tables, err := table.DecodeRows(rel.Rows)
 	if err != nil {
 		return nil // the release is not in force here either
 	}
--- a/entryhost/path_test.go
+++ b/entryhost/path_test.go
@@ -55,9 +55,9 @@
 }
 
 func (w *world) apply(author string) release.Release {
-	rows, err := table.Encode(w.tables)
+	rows, err := table.EncodeRows(w.tables)
 	Expect(err).NotTo(HaveOccurred())
-	pub := &release.Publisher{Store: w.objects, Validate: table.Check, Clock: clock.System{}, Rand: clock.SystemRand{}}
+	pub := &release.Publisher{Store: w.objects, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 	head, _, err := pub.Head(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	set := release.ChangeSet{Author: author}
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -30,8 +30,8 @@
 func defaultPolicyOptions() PolicyOptions {
 	a, p := admission.DefaultOptions(), pick.DefaultOptions("", "", "")
 	return PolicyOptions{
-		LoadTarget: a.TargetLoad, BackgroundBelow: a.BackgroundMaxLoad, RemoteAt: p.RemoteAt, RemotePerMB: p.RemotePerMB,
-		SubsetRegion: p.SubsetRegion, SubsetRemote: p.SubsetRemote, LoadReports: 2,
+		LoadTarget: a.TargetLoad, BackgroundBelow: a.BackgroundMaxLoad, RemoteAt: p.RemoteSpilloverLoad, RemotePerMB: p.RemoteLoadPerMB,
+		SubsetRegion: p.RegionSubsetSize, SubsetRemote: p.RemoteSubsetSize, LoadReports: 2,
 	}
 }
 
@@ -75,9 +75,9 @@
 // newPicker makes the picker of one pool of a new snapshot.
 func (h *Host) newPicker(_ table.Pool, servers []pick.Server) pick.Picker {
 	o := pick.DefaultOptions(h.opts.Name, h.opts.Domain, h.opts.Region)
-	o.RemoteAt, o.RemotePerMB = h.opts.Policy.RemoteAt, h.opts.Policy.RemotePerMB
-	o.SubsetRegion, o.SubsetRemote = h.opts.Policy.SubsetRegion, h.opts.Policy.SubsetRemote
-	return pick.NewPlaced(o, servers)
+	o.RemoteSpilloverLoad, o.RemoteLoadPerMB = h.opts.Policy.RemoteAt, h.opts.Policy.RemotePerMB
+	o.RegionSubsetSize, o.RemoteSubsetSize = h.opts.Policy.SubsetRegion, h.opts.Policy.SubsetRemote
+	return pick.NewLocalityPicker(o, servers)
 }
 
 func (h *Host) tick(ctx context.Context) error {
@@ -93,13 +93,13 @@
 }
 
 // placed returns the pickers in force by pool, in a fixed order.
-func (h *Host) placed(f func(pool string, p *pick.Placed)) {
+func (h *Host) placed(f func(pool string, p *pick.LocalityPicker)) {
 	snap := h.inForce.Load()
 	if snap == nil {
 		return
 	}
 	for _, name := range slices.Sorted(maps.Keys(snap.Pools)) {
-		if p, ok := snap.Pools[name].Picker.(*pick.Placed); ok {
+		if p, ok := snap.Pools[name].Picker.(*pick.LocalityPicker); ok {
 			f(name, p)
 		}
 	}
@@ -107,9 +107,9 @@
 
 func (h *Host) loads(now time.Time) []admission.PoolLoad {
 	var out []admission.PoolLoad
-	h.placed(func(pool string, p *pick.Placed) {
+	h.placed(func(pool string, p *pick.LocalityPicker) {
 		l := p.Load(now)
-		out = append(out, admission.PoolLoad{Pool: pool, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen, ProbesDue: l.Trials})
+		out = append(out, admission.PoolLoad{Pool: pool, Slots: l.Slots, InFlight: l.InFlight, OwnInFlight: l.OwnInFlight, ReportedInFlight: l.ReportedInFlight, OwnInFlightAtReport: l.OwnInFlightAtReport, ProbesDue: l.ProbesDue})
 	})
 	return out
 }
@@ -117,7 +117,7 @@
 // outside returns the servers of other domains that this host may use.
 func (h *Host) outside() []*server.State {
 	var out []*server.State
-	h.placed(func(_ string, p *pick.Placed) { out = append(out, p.Outside()...) })
+	h.placed(func(_ string, p *pick.LocalityPicker) { out = append(out, p.EligibleOutsideDomain()...) })
 	return out
 }
 
--- a/entryhost/releases_bench_test.go
+++ b/entryhost/releases_bench_test.go
@@ -90,9 +90,9 @@
 // change accepts another worth of one route.
 func (r *releaseBench) change(serial int) uint64 {
 	r.tables.Routes[serial%len(r.tables.Routes)].Worth = float64(1 + serial)
-	rows, err := table.Encode(r.tables)
+	rows, err := table.EncodeRows(r.tables)
 	Expect(err).NotTo(HaveOccurred())
-	p := &release.Publisher{Store: r.objects, Validate: table.Check, Clock: clock.System{}, Rand: clock.NewSeeded(1)}
+	p := &release.Publisher{Store: r.objects, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.NewSeeded(1)}
 	head, _, err := p.Head(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	set := release.ChangeSet{Author: "ada"}
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -29,7 +29,7 @@
 var start = time.Unix(1_000_000, 0)
 
 func rows(t table.Tables) release.Release {
-	encoded, err := table.Encode(t)
+	encoded, err := table.EncodeRows(t)
 	if err != nil {
 		panic(err)
 	}
@@ -45,7 +45,7 @@
 	return snapshot.Options{
 		Registry: reg, Now: start.Add(-time.Hour),
 		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
-			return pick.NewPlaced(pick.DefaultOptions("host-1", "domain-0", "region-0"), s)
+			return pick.NewLocalityPicker(pick.DefaultOptions("host-1", "domain-0", "region-0"), s)
 		},
 	}
 }
@@ -62,8 +62,8 @@
 func loads(now time.Time, snap *snapshot.Snapshot) []admission.PoolLoad {
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(snap.Pools)) {
-		l := snap.Pools[name].Picker.(*pick.Placed).Load(now)
-		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen})
+		l := snap.Pools[name].Picker.(*pick.LocalityPicker).Load(now)
+		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.InFlight, OwnInFlight: l.OwnInFlight, ReportedInFlight: l.ReportedInFlight, OwnInFlightAtReport: l.OwnInFlightAtReport})
 	}
 	return out
 }
@@ -97,7 +97,7 @@
 
 // caller is what one request needs besides; a request's own state holds it.
 type caller struct {
-	info pick.Info
+	info pick.Attempt
 	req  admission.Request
 }
 
@@ -133,7 +133,7 @@
 	}
 	for k := range rt.Stages {
 		w.control.StageStart(now, &c.req, k)
-		c.info = pick.Info{Now: now, Rand: clock.SystemRand{}, Class: rt.Class, Affinity: i}
+		c.info = pick.Attempt{Now: now, Rand: clock.SystemRand{}, Class: rt.Class, PrefixHash: i}
 		if _, err := rt.Stages[k].Pool.Picker.Pick(&c.info); err != nil {
 			panic(err)
 		}
@@ -255,7 +255,7 @@
 					for i, x := range p.Servers {
 						servers[i] = pick.Server{Server: x, State: reg.Get(x.Name, x.Address, start), Slots: p.Slots}
 					}
-					for _, x := range pick.NewPlaced(pick.DefaultOptions(fmt.Sprint("host-", h), domain, region), servers).Reach() {
+					for _, x := range pick.NewLocalityPicker(pick.DefaultOptions(fmt.Sprint("host-", h), domain, region), servers).Eligible() {
 						reach++
 						perServer[x.Name]++
 					}
@@ -343,7 +343,7 @@
 	snap := build(t, s, server.NewRegistry())
 	reach := 0
 	for _, p := range snap.Pools {
-		reach += len(p.Picker.(*pick.Placed).Reach())
+		reach += len(p.Picker.(*pick.LocalityPicker).Eligible())
 	}
 	g.Expect(reach).To(BeNumerically("<=", 14*(8+8+2*4)))
 }
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -24,7 +24,7 @@
 }
 
 func (e *Env) publisher() *release.Publisher {
-	return &release.Publisher{Store: e.Store, Validate: table.Check, Clock: clock.System{}, Rand: clock.SystemRand{}}
+	return &release.Publisher{Store: e.Store, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 }
 
 // baseFlags say which release an edit was made from when the folder has no
@@ -62,7 +62,7 @@
 	if err != nil {
 		return nil, err
 	}
-	want, err := table.Encode(tables)
+	want, err := table.EncodeRows(tables)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -23,7 +23,7 @@
 
 func validate(_ context.Context, env *Env, dir string) error {
 	t, err := table.ReadDir(dir)
-	var faults table.Faults
+	var faults table.ValidationErrors
 	if errors.As(err, &faults) && env.JSON {
 		if err := env.print(faults, nil, nil); err != nil {
 			return err
@@ -49,7 +49,7 @@
 	if err := refuseUnapplied(dir); err != nil {
 		return err
 	}
-	t, err := table.FromRows(head.Rows)
+	t, err := table.DecodeRows(head.Rows)
 	if err != nil {
 		return err
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return fmt.Errorf("%s holds an edit that is not applied: %w", dir, err)
 	}
-	want, err := table.Encode(t)
+	want, err := table.EncodeRows(t)
 	if err != nil {
 		return err
 	}
--- a/internal/faultrun/world_test.go
+++ b/internal/faultrun/world_test.go
@@ -164,7 +164,7 @@
 
 func (w *world) handler(h *host) http.Handler {
 	inForce := &inforce.Value[snapshot.Snapshot]{}
-	rows, err := table.Encode(w.tables())
+	rows, err := table.EncodeRows(w.tables())
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -176,9 +176,9 @@
 		Registry: h.registry, Now: time.Now(),
 		NewPicker: func(_ table.Pool, servers []pick.Server) pick.Picker {
 			if w.random {
-				return pick.NewRandom(servers)
+				return pick.NewRandomPicker(servers)
 			}
-			return pick.NewPlaced(pick.DefaultOptions(h.name, "d", "r"), servers)
+			return pick.NewLocalityPicker(pick.DefaultOptions(h.name, "d", "r"), servers)
 		},
 	})
 	if err != nil {
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -157,7 +157,7 @@
 		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
 		IsCandidate: func() bool { return member.IsOwner(h.monitor, self, "lease", 2) },
 	})
-	port := &peerconn.Server{Options: conns, Serve: h.mesh.Dispatch, Accepted: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
+	port := &peerconn.Server{Options: conns, Dispatch: h.mesh.Dispatch, OnAccept: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for _, run := range []func(context.Context) error{
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -220,7 +220,7 @@
 			Name: fmt.Sprint("s", i), Pool: "echo", Path: path, Budget: table.Duration(time.Second), Repeatable: true,
 		})
 	}
-	rows, err := table.Encode(table.Tables{Routes: []table.Route{route}, Pools: []table.Pool{{
+	rows, err := table.EncodeRows(table.Tables{Routes: []table.Route{route}, Pools: []table.Pool{{
 		Name: "echo", Kind: table.Service, Slots: 10000,
 		Servers: []table.Server{{Name: "echo-1", Address: addr, Domain: "d1", Region: "r1"}},
 	}}})
@@ -231,7 +231,7 @@
 	for key, data := range rows {
 		set.Changes = append(set.Changes, release.Change{Key: key, Data: data})
 	}
-	pub := &release.Publisher{Store: objects, Validate: table.Check, Clock: clock.System{}, Rand: clock.SystemRand{}}
+	pub := &release.Publisher{Store: objects, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 	_, err = pub.Apply(ctx, set)
 	return err
 }
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -100,9 +100,9 @@
 
 func (f *flow) try() {
 	st := &f.route.Stages[f.stage]
-	info := pick.Info{
-		Now: f.time(), Rand: f.rand, Affinity: f.affinity(), Class: f.route.Class,
-		Bytes: f.rec.Bytes[f.stage], Exclude: f.tried,
+	info := pick.Attempt{
+		Now: f.time(), Rand: f.rand, PrefixHash: f.affinity(), Class: f.route.Class,
+		InputBytes: f.rec.Bytes[f.stage], Exclude: f.tried,
 	}
 	srv, err := f.pickers[st.Pool].Pick(&info)
 	if err != nil {
@@ -125,7 +125,7 @@
 }
 
 func (f *flow) send(st *table.Stage, srv *pick.Server) {
-	f.req.MayHaveQueued = !srv.Free(f.time())
+	f.req.MayHaveQueued = !srv.HasFreeSlot(f.time())
 	srv.State.BeginRequest()
 	a := &attempt{on: f.servers[srv.Address], srv: srv, at: f.now}
 	f.current = a
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -46,7 +46,7 @@
 	return Policy{"naive", func(Place, clock.Rand) *Decider {
 		return &Decider{
 			Admitter:  admission.AlwaysAdmit{},
-			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandom(s) },
+			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandomPicker(s) },
 			Blind:     true,
 		}
 	}}
@@ -59,7 +59,7 @@
 		d := &Decider{
 			Admitter: admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
-				return pick.NewPlaced(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
+				return pick.NewLocalityPicker(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
 			},
 			Record: func(now time.Time, s *server.State, o server.Outcome, took time.Duration) {
 				s.RecordOutcome(now, o, took)
@@ -84,8 +84,8 @@
 func loads(now time.Time, pools map[string]pick.Picker) []admission.PoolLoad {
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
-		l := pools[name].(*pick.Placed).Load(now)
-		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.Busy, OwnInFlight: l.Own, ReportedInFlight: l.Then, OwnInFlightAtReport: l.OwnThen, ProbesDue: l.Trials})
+		l := pools[name].(*pick.LocalityPicker).Load(now)
+		out = append(out, admission.PoolLoad{Pool: name, Slots: l.Slots, InFlight: l.InFlight, OwnInFlight: l.OwnInFlight, ReportedInFlight: l.ReportedInFlight, OwnInFlightAtReport: l.OwnInFlightAtReport, ProbesDue: l.ProbesDue})
 	}
 	return out
 }
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -63,7 +63,7 @@
 // repeatable streamed stage.
 func newHandler(b backend.Client) *Handler {
 	state := server.NewRegistry().Get("s", "127.0.0.1:1", time.Unix(0, 0))
-	p := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandom([]pick.Server{{State: state}})}
+	p := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandomPicker([]pick.Server{{State: state}})}
 	book := table.Stage{Name: "book", Pool: "p", Budget: table.Duration(time.Second)}
 	note := table.Stage{Name: "note", Pool: "p", Budget: table.Duration(time.Second), Repeatable: true, Stream: true}
 	route := &snapshot.Route{
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -43,9 +43,9 @@
 		return nil, e
 	}
 	isolated := verdict == quarantine.Isolated && x.Isolator != nil
-	info := pick.Info{
-		Now: x.Clock.Now(), Rand: x.Rand, Bytes: len(in), Exclude: x.triedServers,
-		Class: x.req.Route.Class, Affinity: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
+	info := pick.Attempt{
+		Now: x.Clock.Now(), Rand: x.Rand, InputBytes: len(in), Exclude: x.triedServers,
+		Class: x.req.Route.Class, PrefixHash: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
 	}
 	srv, err := x.pickServer(ctx, st, &info, isolated)
 	if err != nil {
@@ -53,14 +53,14 @@
 	}
 	x.triedServers = append(x.triedServers, srv.State)
 	x.attempts++
-	x.req.Admitted.MayHaveQueued = !srv.Free(info.Now)
+	x.req.Admitted.MayHaveQueued = !srv.HasFreeSlot(info.Now)
 	return &attempt{server: srv, number: x.attempts, isolated: isolated}, nil
 }
 
 // pickServer picks a server of the stage's pool. An isolated request gets a server on
 // which no other suspect runs, so that a crash can be attributed to it; it waits until
 // one is free.
-func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, info *pick.Info, isolated bool) (*pick.Server, *kind.Error) {
+func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, info *pick.Attempt, isolated bool) (*pick.Server, *kind.Error) {
 	if !isolated {
 		srv, err := st.Pool.Picker.Pick(info)
 		if err != nil {
--- a/request/pipeline/pause_test.go
+++ b/request/pipeline/pause_test.go
@@ -47,7 +47,7 @@
 	clk := clock.NewManual(time.Now())
 	b := &pausingClient{clock: clk}
 	state := server.NewRegistry().Get("s", "127.0.0.1:1", clk.Now())
-	pool := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandom([]pick.Server{{State: state}})}
+	pool := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandomPicker([]pick.Server{{State: state}})}
 	stage := func(i int, name string, repeatable bool) snapshot.Stage {
 		return snapshot.Stage{Stage: table.Stage{Name: name, Pool: "p", Budget: table.Duration(time.Second), Repeatable: repeatable}, Pool: pool, Index: i}
 	}
--- a/version/pick/affinity.go
+++ b/version/pick/affinity.go
@@ -6,7 +6,7 @@
 const PrefixBytes = 256
 
 // Prefix returns the affinity of a prompt: the hash of its start, never 0.
-func Prefix(body []byte) uint64 {
+func PrefixHash(body []byte) uint64 {
 	return max(1, xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
@@ -15,11 +15,11 @@
 // gaps, so the place of a prefix is decided by rendezvous hashing alone: every
 // host finds the same server without being told, and a prefix that is in high
 // demand spills to others instead of making its server a hot spot.
-func (p *Placed) cached(t tier, info *Info) (*Server, float64) {
+func (p *LocalityPicker) cached(t tier, info *Attempt) (*Server, float64) {
 	var best *Server
 	var rank uint64
 	for _, s := range t {
-		if r := mix(info.Affinity, s.State.Hash()); (best == nil || r > rank) && p.usable(t, s, info) {
+		if r := mix(info.PrefixHash, s.State.Hash()); (best == nil || r > rank) && p.usable(t, s, info) {
 			best, rank = s, r
 		}
 	}
@@ -27,14 +27,14 @@
 		return nil, 0
 	}
 	load := p.load(best, info.Now)
-	if load >= p.opts.SpillAt || load > p.bound(t, best, info) {
+	if load >= p.opts.SpilloverLoad || load > p.bound(t, best, info) {
 		return nil, 0
 	}
 	return best, load
 }
 
 // bound returns the load up to which best may take requests for its prefixes.
-func (p *Placed) bound(t tier, best *Server, info *Info) float64 {
+func (p *LocalityPicker) bound(t tier, best *Server, info *Attempt) float64 {
 	var sum, n float64
 	for _, s := range t {
 		if p.usable(t, s, info) {
@@ -42,5 +42,5 @@
 			n++
 		}
 	}
-	return p.opts.AffinityBound*sum/n + 1/best.capacity()
+	return p.opts.MaxAffinityLoadFactor*sum/n + 1/best.capacity()
 }
--- a/version/pick/explain.go
+++ b/version/pick/explain.go
@@ -8,18 +8,18 @@
 
 // Candidate is one server as the picker sees it.
 type Candidate struct {
-	Name   string  `json:"name"`
-	Tier   string  `json:"tier"` // domain, region, remote or unused
-	Load   float64 `json:"load"` // requests for a slot
-	State  string  `json:"state"`
-	Own    int64   `json:"own"`              // requests of this host in flight
-	Report float64 `json:"report,omitempty"` // age of the load report in seconds
+	Name        string  `json:"name"`
+	Tier        string  `json:"tier"` // domain, region, remote or unused
+	Load        float64 `json:"load"` // requests for a slot
+	State       string  `json:"state"`
+	OwnInFlight int64   `json:"own"`              // requests of this host in flight
+	ReportAge   float64 `json:"report,omitempty"` // age of the load report in seconds
 	// Latency is the mean of this host's attempts that succeeded, in seconds.
-	Latency float64 `json:"latency,omitempty"`
+	MeanLatency float64 `json:"latency,omitempty"`
 }
 
 // Explain describes every server of the pool.
-func (p *Placed) Explain(now time.Time) []Candidate {
+func (p *LocalityPicker) Explain(now time.Time) []Candidate {
 	tiers := map[*Server]string{}
 	for name, t := range map[string]tier{"domain": p.near, "region": p.region, "remote": p.remote} {
 		for _, s := range t {
@@ -29,13 +29,13 @@
 	out := make([]Candidate, 0, len(p.servers))
 	for i := range p.servers {
 		s := &p.servers[i]
-		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: describe(s, now), Own: s.State.InFlight()}
-		c.Latency = s.State.Latency().Mean()
+		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: describe(s, now), OwnInFlight: s.State.InFlight()}
+		c.MeanLatency = s.State.Latency().Mean()
 		if c.Tier == "" {
 			c.Tier = "unused"
 		}
 		if l := s.State.Load(); l != nil {
-			c.Report = now.Sub(l.Received).Seconds()
+			c.ReportAge = now.Sub(l.Received).Seconds()
 		}
 		out = append(out, c)
 	}
@@ -61,12 +61,12 @@
 }
 
 // Reach returns the servers that this host may use, near ones first.
-func (p *Placed) Reach() []*server.State {
-	return append(p.near.states(), p.Outside()...)
+func (p *LocalityPicker) Eligible() []*server.State {
+	return append(p.near.states(), p.EligibleOutsideDomain()...)
 }
 
 // Outside returns the servers in other domains that this host may use.
-func (p *Placed) Outside() []*server.State {
+func (p *LocalityPicker) EligibleOutsideDomain() []*server.State {
 	return append(p.region.states(), p.remote.states()...)
 }
 
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -8,13 +8,13 @@
 
 // Load is what a picker's host can use of its pool.
 type Load struct {
-	Slots float64 // of usable servers near by, with what others can spare
-	Busy  float64 // requests on the servers near by
-	Own   float64 // of those, this host's
+	Slots       float64 // of usable servers near by, with what others can spare
+	InFlight    float64 // requests on the servers near by
+	OwnInFlight float64 // of those, this host's
 	// Then and OwnThen are Busy and Own as of the servers' last reports.
-	Then    float64
-	OwnThen float64
-	Trials  int // servers that would be tried now
+	ReportedInFlight    float64
+	OwnInFlightAtReport float64
+	ProbesDue           int // servers that would be tried now
 }
 
 // spareShare is the part of other regions' free slots that this host's region
@@ -24,7 +24,7 @@
 // Load estimates the pool's load as this host sees it. Ejected servers count as
 // gone, without the bound that picking keeps: admission had better expect too
 // little.
-func (p *Placed) Load(now time.Time) Load {
+func (p *LocalityPicker) Load(now time.Time) Load {
 	var out Load
 	for _, t := range []tier{p.near, p.region} {
 		for _, s := range t {
@@ -35,18 +35,18 @@
 		// Nothing near by can serve: the pool is the servers elsewhere, not
 		// what they can spare. Else a pool of another region would look down
 		// and be refused.
-		trials := out.Trials
+		trials := out.ProbesDue
 		for _, s := range p.remote {
 			out.add(s, now)
 		}
 		if len(p.near)+len(p.region) > 0 {
-			out.Trials = trials // one of the near ones shows it as well
+			out.ProbesDue = trials // one of the near ones shows it as well
 		}
 		return out
 	}
 	for _, s := range p.remote {
 		if s.serves(now) {
-			spare := (p.opts.RemoteBelow - p.load(s, now)) * s.capacity()
+			spare := (p.opts.MaxRemoteLoad - p.load(s, now)) * s.capacity()
 			out.Slots += spareShare * max(0, spare)
 		}
 	}
@@ -56,16 +56,16 @@
 func (l *Load) add(s *Server, now time.Time) {
 	if !s.serves(now) {
 		if s.State.Usable() && s.State.Health(now) == server.TrialDue {
-			l.Trials++
+			l.ProbesDue++
 		}
 		return
 	}
 	l.Slots += s.capacity()
-	l.Busy += s.State.EstimatedRequests(now)
-	l.Own += float64(s.State.InFlight())
+	l.InFlight += s.State.EstimatedRequests(now)
+	l.OwnInFlight += float64(s.State.InFlight())
 	all, own := s.State.ReportedRequests()
-	l.Then += all
-	l.OwnThen += own
+	l.ReportedInFlight += all
+	l.OwnInFlightAtReport += own
 }
 
 // serves reports whether the server can be counted on.
@@ -78,7 +78,7 @@
 const freeShare = .75
 
 // Free reports whether work sent to the server now surely finds a slot.
-func (s *Server) Free(now time.Time) bool {
+func (s *Server) HasFreeSlot(now time.Time) bool {
 	return s.State.EstimatedRequests(now) <= freeShare*s.capacity()
 }
 
--- a/version/pick/pick.go
+++ b/version/pick/pick.go
@@ -12,7 +12,7 @@
 )
 
 // ErrNone is returned when no backend server may take the attempt.
-var ErrNone = errors.New("pick: no usable backend server")
+var ErrNoServer = errors.New("pick: no usable backend server")
 
 // Server is one backend server as a picker sees it.
 type Server struct {
@@ -24,18 +24,18 @@
 }
 
 // Info describes the attempt to place.
-type Info struct {
-	Now      time.Time
-	Rand     clock.Rand
-	Affinity uint64 // hash of the prompt prefix; 0: none
-	Class    table.Class
-	Bytes    int // size of the stage's input, for billed links
+type Attempt struct {
+	Now        time.Time
+	Rand       clock.Rand
+	PrefixHash uint64 // hash of the prompt prefix; 0: none
+	Class      table.Class
+	InputBytes int // size of the stage's input, for billed links
 	// Exclude holds servers already tried by this request; at most a few.
 	Exclude []*server.State
 }
 
 // Excluded reports whether the request already tried s.
-func (i *Info) Excluded(s *server.State) bool {
+func (i *Attempt) Excluded(s *server.State) bool {
 	for _, x := range i.Exclude {
 		if x == s {
 			return true
@@ -48,25 +48,25 @@
 // and called by any number of requests at once.
 type Picker interface {
 	// Pick returns the chosen server or ErrNone.
-	Pick(info *Info) (*Server, error)
+	Pick(info *Attempt) (*Server, error)
 	// Servers returns every server of the pool, for status and explanation.
 	Servers() []Server
 }
 
 // Random is the naive picker: any usable server, uniformly.
-type Random struct{ servers []Server }
+type RandomPicker struct{ servers []Server }
 
 // NewRandom returns a Random picker over servers.
-func NewRandom(servers []Server) *Random { return &Random{servers} }
+func NewRandomPicker(servers []Server) *RandomPicker { return &RandomPicker{servers} }
 
 // Servers implements Picker.
-func (r *Random) Servers() []Server { return r.servers }
+func (r *RandomPicker) Servers() []Server { return r.servers }
 
 // Pick implements Picker.
-func (r *Random) Pick(info *Info) (*Server, error) {
+func (r *RandomPicker) Pick(info *Attempt) (*Server, error) {
 	n := len(r.servers)
 	if n == 0 {
-		return nil, ErrNone
+		return nil, ErrNoServer
 	}
 	start := info.Rand.IntN(n)
 	for i := range n {
@@ -75,5 +75,5 @@
 			return s, nil
 		}
 	}
-	return nil, ErrNone
+	return nil, ErrNoServer
 }
--- a/version/pick/placed.go
+++ b/version/pick/placed.go
@@ -15,38 +15,38 @@
 
 	// SubsetRegion and SubsetRemote bound the servers used in other domains of
 	// the region and in each other region.
-	SubsetRegion int
-	SubsetRemote int
+	RegionSubsetSize int
+	RemoteSubsetSize int
 	// SpillAt is the load (requests for a slot) of the nearest servers from
 	// which the rest of the region is tried.
-	SpillAt float64
+	SpilloverLoad float64
 	// RemoteAt is the load of the own region from which other regions are
 	// tried, RemoteShort the same while servers of the own region are out of
 	// use, RemoteBelow the load that the others may have.
-	RemoteAt    float64
-	RemoteShort float64
-	RemoteBelow float64
+	RemoteSpilloverLoad   float64
+	DegradedSpilloverLoad float64
+	MaxRemoteLoad         float64
 	// RemotePerMB is the load by which another region has to be better for
 	// each billed megabyte of input.
-	RemotePerMB float64
+	RemoteLoadPerMB float64
 	// AffinityBound is how far, as a factor of the mean load, a server that
 	// has the prefix cached may be above the others.
-	AffinityBound float64
+	MaxAffinityLoadFactor float64
 	// SlowStart is how long a new server's load counts as higher than it is.
-	SlowStart time.Duration
+	SlowStartDuration time.Duration
 	// ReportLife is the age up to which the report of a server in another
 	// domain is believed.
-	ReportLife time.Duration
+	MaxReportAge time.Duration
 	// EjectShare bounds the part of a tier that ejections may take out.
-	EjectShare float64
+	MaxEjectedFraction float64
 }
 
 // DefaultOptions returns the defaults for a host at the given place.
 func DefaultOptions(host, domain, region string) Options {
 	return Options{
-		Host: host, Domain: domain, Region: region, SubsetRegion: 8, SubsetRemote: 4,
-		SpillAt: 1, RemoteAt: 1.6, RemoteShort: 1.2, RemoteBelow: .8, RemotePerMB: 1,
-		AffinityBound: 1.25, SlowStart: 5 * time.Second, ReportLife: 15 * time.Second, EjectShare: .5,
+		Host: host, Domain: domain, Region: region, RegionSubsetSize: 8, RemoteSubsetSize: 4,
+		SpilloverLoad: 1, RemoteSpilloverLoad: 1.6, DegradedSpilloverLoad: 1.2, MaxRemoteLoad: .8, RemoteLoadPerMB: 1,
+		MaxAffinityLoadFactor: 1.25, SlowStartDuration: 5 * time.Second, MaxReportAge: 15 * time.Second, MaxEjectedFraction: .5,
 	}
 }
 
@@ -54,7 +54,7 @@
 // other regions. Within a tier it takes the better of two at random, so that
 // hosts that share no queue and see reports late do not all send to the server
 // that was least loaded a moment ago.
-type Placed struct {
+type LocalityPicker struct {
 	opts    Options
 	servers []Server
 	near    tier // own failure domain
@@ -66,8 +66,8 @@
 type tier []*Server
 
 // NewPlaced returns a picker over servers.
-func NewPlaced(opts Options, servers []Server) *Placed {
-	p := &Placed{opts: opts, servers: servers}
+func NewLocalityPicker(opts Options, servers []Server) *LocalityPicker {
+	p := &LocalityPicker{opts: opts, servers: servers}
 	others := map[string]tier{}
 	var regions []string
 	var rest tier
@@ -86,25 +86,25 @@
 			others[s.Region] = append(others[s.Region], s)
 		}
 	}
-	p.region = subset(opts.Host, rest, opts.SubsetRegion)
+	p.region = subset(opts.Host, rest, opts.RegionSubsetSize)
 	for _, r := range regions {
-		p.remote = append(p.remote, subset(opts.Host, others[r], opts.SubsetRemote)...)
+		p.remote = append(p.remote, subset(opts.Host, others[r], opts.RemoteSubsetSize)...)
 	}
 	return p
 }
 
 // Servers implements Picker.
-func (p *Placed) Servers() []Server { return p.servers }
+func (p *LocalityPicker) Servers() []Server { return p.servers }
 
 // Pick implements Picker.
-func (p *Placed) Pick(info *Info) (*Server, error) {
+func (p *LocalityPicker) Pick(info *Attempt) (*Server, error) {
 	for range maxTrials {
 		s, err := p.pick(info)
 		if err != nil || s.State.Health(info.Now) != server.TrialDue || s.State.ClaimTrial(info.Now) {
 			return s, err
 		}
 	}
-	return nil, ErrNone
+	return nil, ErrNoServer
 }
 
 // maxTrials bounds how often another request takes a trial first.
@@ -112,11 +112,11 @@
 
 // Prefer returns the server that Pick would try first, without claiming a
 // trial.
-func (p *Placed) Prefer(info *Info) (*Server, error) { return p.pick(info) }
+func (p *LocalityPicker) Preview(info *Attempt) (*Server, error) { return p.pick(info) }
 
-func (p *Placed) pick(info *Info) (*Server, error) {
+func (p *LocalityPicker) pick(info *Attempt) (*Server, error) {
 	best, load := p.choose(p.near, info)
-	if best != nil && load < p.opts.SpillAt {
+	if best != nil && load < p.opts.SpilloverLoad {
 		return best, nil
 	}
 	if s, l := p.choose(p.region, info); s != nil && (best == nil || l < load) {
@@ -128,7 +128,7 @@
 	s, l := p.choose(p.remote, info)
 	switch {
 	case s == nil && best == nil:
-		return nil, ErrNone
+		return nil, ErrNoServer
 	case s == nil:
 		return best, nil
 	case best == nil || p.worthLeaving(info, load, l):
@@ -138,16 +138,16 @@
 }
 
 // mayLeave reports whether the own region is so full that another is tried.
-func (p *Placed) mayLeave(info *Info, load float64) bool {
-	if info.Class == table.Background || load < p.opts.RemoteShort {
+func (p *LocalityPicker) mayLeave(info *Attempt, load float64) bool {
+	if info.Class == table.Background || load < p.opts.DegradedSpilloverLoad {
 		return false
 	}
-	return load >= p.opts.RemoteAt || p.short(info.Now)
+	return load >= p.opts.RemoteSpilloverLoad || p.short(info.Now)
 }
 
 // short reports whether more than a few servers of the own region are out of
 // use: then its queue is no swing of the moment, and waiting will not end it.
-func (p *Placed) short(now time.Time) bool {
+func (p *LocalityPicker) short(now time.Time) bool {
 	out := 0
 	for _, t := range []tier{p.near, p.region} {
 		for _, s := range t {
@@ -163,17 +163,17 @@
 const shortShare = .2
 
 // worthLeaving weighs a shorter queue in another region against its bytes.
-func (p *Placed) worthLeaving(info *Info, here, there float64) bool {
+func (p *LocalityPicker) worthLeaving(info *Attempt, here, there float64) bool {
 	const megabyte = 1 << 20
-	return there < p.opts.RemoteBelow && here-there >= p.opts.RemotePerMB*float64(info.Bytes)/megabyte
+	return there < p.opts.MaxRemoteLoad && here-there >= p.opts.RemoteLoadPerMB*float64(info.InputBytes)/megabyte
 }
 
 // choose returns the server of t to use and its load, or nil.
-func (p *Placed) choose(t tier, info *Info) (*Server, float64) {
+func (p *LocalityPicker) choose(t tier, info *Attempt) (*Server, float64) {
 	if len(t) == 0 {
 		return nil, 0
 	}
-	if info.Affinity != 0 {
+	if info.PrefixHash != 0 {
 		if s, l := p.cached(t, info); s != nil {
 			return s, l
 		}
@@ -186,14 +186,14 @@
 	if b != nil && lb < la {
 		a, la = b, lb
 	}
-	if la < p.opts.SpillAt {
+	if la < p.opts.SpilloverLoad {
 		return a, la
 	}
 	return p.least(t, info)
 }
 
 // from returns the first usable server at or after start, other than not.
-func (p *Placed) from(t tier, info *Info, start int, not *Server) (*Server, float64) {
+func (p *LocalityPicker) from(t tier, info *Attempt, start int, not *Server) (*Server, float64) {
 	for i := range t {
 		s := t[(start+i)%len(t)]
 		if s != not && p.usable(t, s, info) {
@@ -205,7 +205,7 @@
 
 // least returns the least loaded server: used only when two at random are both
 // full, to see whether any slot is free before work leaves the tier.
-func (p *Placed) least(t tier, info *Info) (*Server, float64) {
+func (p *LocalityPicker) least(t tier, info *Attempt) (*Server, float64) {
 	var best *Server
 	var load float64
 	start := info.Rand.IntN(len(t))
@@ -221,7 +221,7 @@
 	return best, load
 }
 
-func (p *Placed) usable(t tier, s *Server, info *Info) bool {
+func (p *LocalityPicker) usable(t tier, s *Server, info *Attempt) bool {
 	return s.State.Usable() && !info.Excluded(s.State) && !p.ejected(t, s, info.Now)
 }
 
@@ -229,14 +229,14 @@
 // failures are passed over only within the bound of their tier: a fault that
 // makes every server look bad, such as a poisoned request, must not leave none.
 // A server to which no connection can be made is of no use in any case.
-func (p *Placed) ejected(t tier, s *Server, now time.Time) bool {
+func (p *LocalityPicker) ejected(t tier, s *Server, now time.Time) bool {
 	switch s.State.Health(now) {
 	case server.Healthy, server.TrialDue:
 		return false
 	case server.Disconnected:
 		return true
 	}
-	bound := max(1, int(p.opts.EjectShare*float64(len(t))))
+	bound := max(1, int(p.opts.MaxEjectedFraction*float64(len(t))))
 	for _, x := range t {
 		if x == s {
 			return bound > 0
@@ -249,14 +249,14 @@
 }
 
 // load returns requests for a slot, raised while the server is new.
-func (p *Placed) load(s *Server, now time.Time) float64 {
+func (p *LocalityPicker) load(s *Server, now time.Time) float64 {
 	nano := now.UnixNano()
 	l := s.State.EstimatedRequestsAt(nano) / s.capacity()
-	if s.outside && s.State.ReportAge(nano) > p.opts.ReportLife {
+	if s.outside && s.State.ReportAge(nano) > p.opts.MaxReportAge {
 		l += unknownLoad
 	}
-	if age := s.State.Age(nano); age < p.opts.SlowStart {
-		ramp := max(leastRamp, float64(age)/float64(p.opts.SlowStart))
+	if age := s.State.Age(nano); age < p.opts.SlowStartDuration {
+		ramp := max(leastRamp, float64(age)/float64(p.opts.SlowStartDuration))
 		l = (l + 1/s.capacity()) / ramp
 	}
 	return l
@@ -271,4 +271,4 @@
 // leastRamp bounds how much higher the load of a new server counts.
 const leastRamp = .1
 
-var _ Picker = (*Placed)(nil)
+var _ Picker = (*LocalityPicker)(nil)
--- a/version/pick/placed_test.go
+++ b/version/pick/placed_test.go
@@ -27,7 +27,7 @@
 
 func near(int) (string, string) { return "a1", "a" }
 
-func info() *Info { return &Info{Now: start, Rand: clock.NewSeeded(1), Class: table.Standard} }
+func info() *Attempt { return &Attempt{Now: start, Rand: clock.NewSeeded(1), Class: table.Standard} }
 
 func fill(s *Server, n int) {
 	for range n {
@@ -43,8 +43,8 @@
 	for i := range all {
 		all[i].State.SetLoad(&server.Load{Received: start})
 	}
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
-	want := func(name string, in *Info) {
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
+	want := func(name string, in *Attempt) {
 		t.Helper()
 		s, err := p.Pick(in)
 		g.Expect(err).NotTo(HaveOccurred())
@@ -61,7 +61,7 @@
 	fill(&all[0], 1)
 	want("s2", info())
 	heavy := info()
-	heavy.Bytes = 4 << 20
+	heavy.InputBytes = 4 << 20
 	want("s0", heavy) // too many billed bytes for the gain
 	background := info()
 	background.Class = table.Background
@@ -75,7 +75,7 @@
 func TestEjectionsLeaveAShareInUse(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(4, near)
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	for i := range all {
 		for range 5 {
 			all[i].State.RecordOutcome(start, server.Failed, time.Second)
@@ -99,7 +99,7 @@
 func TestDeadServerIsTriedByOneRequestAtATime(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(2, near)
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	fill(&all[1], 3)
 	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	for range 20 {
@@ -126,13 +126,13 @@
 	all := servers(n, func(int) (string, string) { return "a2", "a" })
 	used := map[string]int{}
 	for h := range hosts {
-		p := NewPlaced(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all)
+		p := NewLocalityPicker(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all)
 		g.Expect(p.region).To(HaveLen(k))
 		for _, s := range p.region {
 			used[s.Name]++
 		}
 		// One server less moves at most one place of the subset.
-		fewer := NewPlaced(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all[:n-1])
+		fewer := NewLocalityPicker(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all[:n-1])
 		same := 0
 		for _, s := range fewer.region {
 			for _, x := range p.region {
@@ -153,9 +153,9 @@
 func TestAffinityKeepsPlaceButMakesNoHotSpot(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(8, near)
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	in := info()
-	in.Affinity = Prefix([]byte("you are a soap boiler"))
+	in.PrefixHash = PrefixHash([]byte("you are a soap boiler"))
 	first, err := p.Pick(in)
 	g.Expect(err).NotTo(HaveOccurred())
 	for range 10 {
@@ -187,8 +187,8 @@
 			}
 			all[i].State.SetLoad(&server.Load{Running: running, Received: start.Add(-time.Second)})
 		}
-		p := NewPlaced(DefaultOptions(fmt.Sprint("h", h), "a1", "a"), all)
-		in := &Info{Now: start, Rand: clock.NewSeeded(uint64(h))}
+		p := NewLocalityPicker(DefaultOptions(fmt.Sprint("h", h), "a1", "a"), all)
+		in := &Attempt{Now: start, Rand: clock.NewSeeded(uint64(h))}
 		for range each {
 			s, err := p.Pick(in)
 			g.Expect(err).NotTo(HaveOccurred())
@@ -207,7 +207,7 @@
 		return []string{"a1", "a1", "b1"}[i], []string{"a", "a", "b"}[i]
 	})
 	all[2].State.SetLoad(&server.Load{Received: start})
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	fill(&all[0], 5)
 	fill(&all[1], 5)
 	s, err := p.Pick(info())
@@ -227,7 +227,7 @@
 	all := servers(2, func(i int) (string, string) {
 		return []string{"a1", "b1"}[i], []string{"a", "b"}[i]
 	})
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	fill(&all[0], 6)
 	s, err := p.Pick(info())
 	g.Expect(err).NotTo(HaveOccurred())
@@ -246,11 +246,11 @@
 	all := servers(2, func(i int) (string, string) {
 		return []string{"a1", "b1"}[i], []string{"a", "b"}[i]
 	})
-	p := NewPlaced(DefaultOptions("h", "a1", "a"), all)
+	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4), "what the other can spare is unknown")
 	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4))
-	only := NewPlaced(DefaultOptions("h", "a1", "a"), all[1:])
+	only := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all[1:])
 	g.Expect(only.Load(start).Slots).To(BeNumerically("==", 4))
 	all[1].State.RecordOutcome(start, server.Unreachable, 0)
 	g.Expect(only.Load(start).Slots).To(BeZero())
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -57,10 +57,10 @@
 	AdjustPool func(*table.Pool)                                        // changes each pool before its picker is created; may be nil
 }
 
-// Build compiles rel. It returns table.Faults if the tables are invalid; the active snapshot
+// Build compiles rel. It returns table.ValidationErrors if the tables are invalid; the active snapshot
 // is not affected.
 func Build(rel release.Release, opts Options) (*Snapshot, error) {
-	t, err := table.FromRows(rel.Rows)
+	t, err := table.DecodeRows(rel.Rows)
 	if err != nil {
 		return nil, err
 	}
@@ -109,7 +109,7 @@
 
 // admissionProfile returns the route's profile for admission.
 func admissionProfile(r *Route) *admission.Profile {
-	p := &admission.Profile{Route: r.Name, Class: classes[r.Class], Worth: r.Worth, AccountWeights: r.Policy.Shares}
+	p := &admission.Profile{Route: r.Name, Class: classes[r.Class], Worth: r.Worth, AccountWeights: r.Policy.AccountWeights}
 	for _, st := range r.Stages {
 		p.Stages = append(p.Stages, admission.Stage{
 			Pool: st.Pool.Name, Budget: st.Budget.Std(), Cost: st.Cost,
--- a/version/snapshot/snapshot_test.go
+++ b/version/snapshot/snapshot_test.go
@@ -23,7 +23,7 @@
 func build(t *testing.T, routes ...table.Route) *Snapshot {
 	t.Helper()
 	g := NewWithT(t)
-	rows, err := table.Encode(table.Tables{Routes: routes, Pools: []table.Pool{{
+	rows, err := table.EncodeRows(table.Tables{Routes: routes, Pools: []table.Pool{{
 		Name: "p", Kind: table.Service, Slots: 1,
 		Servers: []table.Server{{Name: "a", Address: "10.0.0.1:1", Domain: "d", Region: "r"}},
 	}}})
@@ -34,7 +34,7 @@
 	}
 	s, err := Build(rel, Options{
 		Registry:  server.NewRegistry(),
-		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandom(s) },
+		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandomPicker(s) },
 	})
 	g.Expect(err).NotTo(HaveOccurred())
 	return s
@@ -81,5 +81,5 @@
 
 func TestInvalidTablesAreRejected(t *testing.T) {
 	_, err := Build(release.Release{Rows: []release.Row{{Key: "routes/a", Data: []byte(`{"name":"a"}`)}}}, Options{})
-	NewWithT(t).Expect(err).To(BeAssignableToTypeOf(table.Faults{}))
+	NewWithT(t).Expect(err).To(BeAssignableToTypeOf(table.ValidationErrors{}))
 }
--- a/version/table/decode.go
+++ b/version/table/decode.go
@@ -16,7 +16,7 @@
 	file   string
 	offset map[string]int // rows that earlier files gave, by table
 	places places
-	faults Faults
+	faults ValidationErrors
 }
 
 // document decodes one file's bytes into t. Rows are numbered on from those
@@ -41,7 +41,7 @@
 
 func (d *decoder) add(line int, at, problem, fix string) {
 	row, field := splitPlace(at)
-	d.faults = append(d.faults, Fault{File: d.file, Line: line, Row: row, Field: field, Problem: problem, Fix: fix, at: at})
+	d.faults = append(d.faults, ValidationError{File: d.file, Line: line, Row: row, Field: field, Problem: problem, Fix: fix, at: at})
 }
 
 // splitPlace cuts "routes[2].stages[1].pool" after the row. What lies in no
--- a/version/table/dir.go
+++ b/version/table/dir.go
@@ -53,7 +53,7 @@
 // Parse decodes and validates files as the tables of one release.
 func Parse(files []File) (Tables, error) {
 	var all Tables
-	var faults Faults
+	var faults ValidationErrors
 	found := places{}
 	for _, f := range files {
 		d := &decoder{
@@ -74,7 +74,7 @@
 }
 
 // nameRows replaces "routes[2]" by the row's own name where it has one.
-func nameRows(faults Faults, t Tables) {
+func nameRows(faults ValidationErrors, t Tables) {
 	byPlace := map[string]string{}
 	for i, r := range t.Routes {
 		byPlace[fmt.Sprintf("routes[%d]", i)] = r.Name
@@ -87,21 +87,21 @@
 		switch {
 		case name == "":
 		case f.Row[0] == 'r':
-			faults[i].Row = RoutePrefix + name
+			faults[i].Row = RouteKeyPrefix + name
 		default:
-			faults[i].Row = PoolPrefix + name
+			faults[i].Row = PoolKeyPrefix + name
 		}
 	}
 }
 
 // withoutRepeats drops what validation says of a field that could not even be
 // decoded: it would report the empty value in its place.
-func withoutRepeats(decoded, checked Faults) Faults {
+func withoutRepeats(decoded, checked ValidationErrors) ValidationErrors {
 	known := map[string]bool{}
 	for _, f := range decoded {
 		known[f.at] = true
 	}
-	var out Faults
+	var out ValidationErrors
 	for _, f := range checked {
 		if !known[f.at] {
 			out = append(out, f)
--- a/version/table/fault.go
+++ b/version/table/fault.go
@@ -6,7 +6,7 @@
 )
 
 // Fault is one thing wrong in the tables.
-type Fault struct {
+type ValidationError struct {
 	File    string `json:"file,omitempty"` // empty: the row did not come from a file
 	Line    int    `json:"line,omitempty"`
 	Row     string `json:"row"`   // "routes/draft"
@@ -18,7 +18,7 @@
 }
 
 // Error implements error: the place, what is wrong there and its fix.
-func (f Fault) Error() string {
+func (f ValidationError) Error() string {
 	place := ""
 	if f.File != "" {
 		place = fmt.Sprintf("%s:%d: ", f.File, f.Line)
@@ -27,10 +27,10 @@
 }
 
 // Faults is the error that reports every fault of a pair of tables at once.
-type Faults []Fault
+type ValidationErrors []ValidationError
 
 // Error implements error: one line a fault.
-func (f Faults) Error() string {
+func (f ValidationErrors) Error() string {
 	lines := make([]string, len(f))
 	for i, x := range f {
 		lines[i] = x.Error()
@@ -64,7 +64,7 @@
 	return place{}, false
 }
 
-func (p places) locate(faults Faults) {
+func (p places) locate(faults ValidationErrors) {
 	for i := range faults {
 		if pos, ok := p.find(faults[i].at); ok {
 			faults[i].File, faults[i].Line = pos.file, pos.line
--- a/version/table/fuzz_test.go
+++ b/version/table/fuzz_test.go
@@ -28,7 +28,7 @@
 			}
 			return
 		}
-		faults, ok := err.(Faults) //nolint:errorlint // Parse returns nothing else
+		faults, ok := err.(ValidationErrors) //nolint:errorlint // Parse returns nothing else
 		if !ok {
 			t.Fatalf("not a list of faults: %v", err)
 		}
@@ -47,19 +47,19 @@
 	f.Add("hosts/x", `{}`)
 	f.Add("routes/a", `{"name":"a"}{}`)
 	f.Fuzz(func(t *testing.T, key, data string) {
-		tables, err := FromRows([]release.Row{{Key: key, Data: []byte(data)}})
+		tables, err := DecodeRows([]release.Row{{Key: key, Data: []byte(data)}})
 		if err != nil {
 			return
 		}
-		rows, err := Encode(tables)
+		rows, err := EncodeRows(tables)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := FromRows([]release.Row{{Key: key, Data: rows[key]}})
+		again, err := DecodeRows([]release.Row{{Key: key, Data: rows[key]}})
 		if err != nil {
 			t.Fatalf("%s no longer decodes: %v", rows[key], err)
 		}
-		second, err := Encode(again)
+		second, err := EncodeRows(again)
 		if err != nil || string(second[key]) != string(rows[key]) {
 			t.Fatalf("%s became %s (%v)", rows[key], second[key], err)
 		}
--- a/version/table/rows.go
+++ b/version/table/rows.go
@@ -13,19 +13,19 @@
 
 // Prefixes of row keys, one a table.
 const (
-	RoutePrefix = "routes/"
-	PoolPrefix  = "pools/"
+	RouteKeyPrefix = "routes/"
+	PoolKeyPrefix  = "pools/"
 )
 
 // FromRows decodes a release's rows. Unknown fields and unknown tables are
 // faults, and so is a row whose key is not its name: the key decides conflicts
 // between operators and the name what requests use, so they have to agree.
-func FromRows(rows []release.Row) (Tables, error) {
+func DecodeRows(rows []release.Row) (Tables, error) {
 	var t Tables
-	var faults Faults
+	var faults ValidationErrors
 	for _, r := range rows {
 		if err := t.appendRow(r); err != nil {
-			faults = append(faults, Fault{Row: r.Key, Field: "row", Problem: err.Error(), Fix: "correct or remove the row"})
+			faults = append(faults, ValidationError{Row: r.Key, Field: "row", Problem: err.Error(), Fix: "correct or remove the row"})
 		}
 	}
 	if faults != nil {
@@ -38,7 +38,7 @@
 	if len(r.Data) > MaxRowBytes {
 		return fmt.Errorf("has %d bytes, over %d", len(r.Data), MaxRowBytes)
 	}
-	if name, ok := strings.CutPrefix(r.Key, RoutePrefix); ok {
+	if name, ok := strings.CutPrefix(r.Key, RouteKeyPrefix); ok {
 		v, err := decodeRow[Route](r.Data)
 		if err == nil && v.Name != name {
 			err = fmt.Errorf("holds the name %q", v.Name)
@@ -46,7 +46,7 @@
 		t.Routes = append(t.Routes, v)
 		return err
 	}
-	if name, ok := strings.CutPrefix(r.Key, PoolPrefix); ok {
+	if name, ok := strings.CutPrefix(r.Key, PoolKeyPrefix); ok {
 		v, err := decodeRow[Pool](r.Data)
 		if err == nil && v.Name != name {
 			err = fmt.Errorf("holds the name %q", v.Name)
@@ -71,8 +71,8 @@
 }
 
 // Check decodes and validates rows; it is the publisher's Validator.
-func Check(rows []release.Row) error {
-	t, err := FromRows(rows)
+func ValidateRows(rows []release.Row) error {
+	t, err := DecodeRows(rows)
 	if err != nil {
 		return err
 	}
@@ -80,21 +80,21 @@
 }
 
 // Encode returns the tables' rows as canonical JSON by key.
-func Encode(t Tables) (map[string]json.RawMessage, error) {
+func EncodeRows(t Tables) (map[string]json.RawMessage, error) {
 	out := map[string]json.RawMessage{}
 	for _, r := range t.Routes {
 		data, err := json.Marshal(r)
 		if err != nil {
 			return nil, fmt.Errorf("encode route %s: %w", r.Name, err)
 		}
-		out[RoutePrefix+r.Name] = data
+		out[RouteKeyPrefix+r.Name] = data
 	}
 	for _, p := range t.Pools {
 		data, err := json.Marshal(p)
 		if err != nil {
 			return nil, fmt.Errorf("encode pool %s: %w", p.Name, err)
 		}
-		out[PoolPrefix+p.Name] = data
+		out[PoolKeyPrefix+p.Name] = data
 	}
 	return out, nil
 }
--- a/version/table/table_test.go
+++ b/version/table/table_test.go
@@ -69,8 +69,8 @@
 			g.Expect(Validate(tables)).To(Succeed())
 			c.edit(&tables)
 			err := Validate(tables)
-			g.Expect(err).To(BeAssignableToTypeOf(Faults{}))
-			got := err.(Faults)[0] //nolint:errorlint // the type is asserted above
+			g.Expect(err).To(BeAssignableToTypeOf(ValidationErrors{}))
+			got := err.(ValidationErrors)[0] //nolint:errorlint // the type is asserted above
 			g.Expect([]string{got.Row, got.Field}).To(Equal([]string{c.row, c.field}), err.Error())
 			g.Expect(got.Fix).NotTo(BeEmpty())
 		})
@@ -109,9 +109,9 @@
 func TestOneReportHoldsEveryFaultOfBothFiles(t *testing.T) {
 	g := NewWithT(t)
 	_, err := Parse([]File{{"pools.yaml", []byte(faultyPools)}, {"routes.yaml", []byte(faultyRoutes)}})
-	var faults Faults
+	var faults ValidationErrors
 	g.Expect(err).To(BeAssignableToTypeOf(faults))
-	faults = err.(Faults) //nolint:errorlint // the type is asserted above
+	faults = err.(ValidationErrors) //nolint:errorlint // the type is asserted above
 	var got []string
 	for _, f := range faults {
 		got = append(got, fmt.Sprintf("%s:%d %s %s", f.File, f.Line, f.Row, f.Field))
@@ -176,7 +176,7 @@
 		"bad duration":  row("routes/a", `{"name":"a","deadline":"soon"}`),
 		"too large":     row("routes/a", `{"name":"`+strings.Repeat("a", MaxRowBytes)+`"}`),
 	} {
-		_, err := FromRows([]release.Row{r})
+		_, err := DecodeRows([]release.Row{r})
 		NewWithT(t).Expect(err).To(HaveOccurred(), name)
 	}
 }
@@ -269,16 +269,16 @@
 		got, err := ReadDir(dir)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(got).To(Equal(want))
-		rows, err := Encode(got)
+		rows, err := EncodeRows(got)
 		g.Expect(err).NotTo(HaveOccurred())
 		var list []release.Row
 		for _, r := range want.Routes {
-			list = append(list, release.Row{Key: RoutePrefix + r.Name, Data: rows[RoutePrefix+r.Name]})
+			list = append(list, release.Row{Key: RouteKeyPrefix + r.Name, Data: rows[RouteKeyPrefix+r.Name]})
 		}
 		for _, p := range want.Pools {
-			list = append(list, release.Row{Key: PoolPrefix + p.Name, Data: rows[PoolPrefix+p.Name]})
+			list = append(list, release.Row{Key: PoolKeyPrefix + p.Name, Data: rows[PoolKeyPrefix+p.Name]})
 		}
-		back, err := FromRows(list)
+		back, err := DecodeRows(list)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(back).To(Equal(want))
 	})
--- a/version/table/validate.go
+++ b/version/table/validate.go
@@ -11,7 +11,7 @@
 
 // checker collects the faults of one pair of tables.
 type checker struct {
-	faults Faults
+	faults ValidationErrors
 	row    string // "routes/draft"
 	at     string // "routes[2]"
 }
@@ -27,11 +27,11 @@
 }
 
 func (c *checker) add(field, problem, fix string) {
-	c.faults = append(c.faults, Fault{Row: c.row, Field: field, Problem: problem, Fix: fix, at: c.at + "." + field})
+	c.faults = append(c.faults, ValidationError{Row: c.row, Field: field, Problem: problem, Fix: fix, at: c.at + "." + field})
 }
 
 func (c *checker) whole(table, problem, fix string) {
-	c.faults = append(c.faults, Fault{Row: table, Field: "table", Problem: problem, Fix: fix, at: table})
+	c.faults = append(c.faults, ValidationError{Row: table, Field: "table", Problem: problem, Fix: fix, at: table})
 }
 
 // Validate checks both tables together and returns Faults, or nil.
@@ -42,7 +42,7 @@
 	return nil
 }
 
-func check(t Tables) Faults {
+func check(t Tables) ValidationErrors {
 	c := &checker{}
 	if n := len(t.Pools); n > MaxPools {
 		c.whole("pools", fmt.Sprintf("has %d rows", n), fmt.Sprintf("keep it at %d or fewer", MaxPools))
@@ -60,7 +60,7 @@
 // name checks one name and that it is the first of its kind.
 func (c *checker) name(field, name string, seen map[string]bool) {
 	if !validName(name) {
-		c.add(field, fmt.Sprintf("%q is not a name", name), fmt.Sprintf("use 1 to %d letters, digits, -, _ and .", MaxName))
+		c.add(field, fmt.Sprintf("%q is not a name", name), fmt.Sprintf("use 1 to %d letters, digits, -, _ and .", MaxNameBytes))
 		return
 	}
 	if seen[name] {
@@ -70,7 +70,7 @@
 }
 
 func validName(s string) bool {
-	if s == "" || len(s) > MaxName {
+	if s == "" || len(s) > MaxNameBytes {
 		return false
 	}
 	for _, r := range s {
@@ -111,8 +111,8 @@
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return fmt.Errorf("%q does not start with /", path)
-	case len(path) > MaxPath:
-		return fmt.Errorf("has %d bytes, over %d", len(path), MaxPath)
+	case len(path) > MaxPathBytes:
+		return fmt.Errorf("has %d bytes, over %d", len(path), MaxPathBytes)
 	case strings.ContainsAny(path, " ?#\t\r\n\x00"):
 		return fmt.Errorf("%q holds a blank, ? or #", path)
 	}
--- a/version/table/validate_pools.go
+++ b/version/table/validate_pools.go
@@ -18,7 +18,7 @@
 	seen := map[string]bool{}
 	f := &fleet{names: map[string]string{}, servers: map[string]string{}, regions: map[string]string{}}
 	for i, p := range pools {
-		c.enter(PoolPrefix, p.Name, i)
+		c.enter(PoolKeyPrefix, p.Name, i)
 		c.name("name", p.Name, seen)
 		c.pool(p)
 		c.servers(p.Servers, f)
--- a/version/table/validate_routes.go
+++ b/version/table/validate_routes.go
@@ -13,7 +13,7 @@
 	seen := map[string]bool{}
 	matches := map[string]string{}
 	for i, r := range routes {
-		c.enter(RoutePrefix, r.Name, i)
+		c.enter(RouteKeyPrefix, r.Name, i)
 		c.name("name", r.Name, seen)
 		c.match(r, matches)
 		switch r.Class {
@@ -39,8 +39,8 @@
 	if m := r.Match.Method; m != "" && !methods[m] {
 		c.add("match.method", fmt.Sprintf("%q is not a method", m), "use GET, HEAD, POST, PUT, PATCH or DELETE, or leave it out for any")
 	}
-	if n := len(r.Match.Headers); n > MaxHeaders {
-		c.add("match.headers", fmt.Sprintf("has %d headers", n), fmt.Sprintf("use at most %d", MaxHeaders))
+	if n := len(r.Match.Headers); n > MaxMatchHeaders {
+		c.add("match.headers", fmt.Sprintf("has %d headers", n), fmt.Sprintf("use at most %d", MaxMatchHeaders))
 	}
 	for name, value := range r.Match.Headers {
 		if !isHeaderValue(value) {
