--- a/cmd/bilberryedge/main.go
+++ b/cmd/bilberryedge/main.go
@@ -33,11 +33,11 @@
 const memoryShare = 0.6
 
 func run(args []string, hup <-chan os.Signal) error {
-	path := os.Getenv(platform.SettingsVariable)
+	path := os.Getenv(platform.SettingsEnvVar)
 	p := flaggy.NewParser("bilberryedge")
 	p.Version = settings.Version()
 	p.Description = "Serves clients' requests on a platform that keeps configuration and backend servers."
-	p.String(&path, "", "settings", "path of the platform's settings file ["+platform.SettingsVariable+"]")
+	p.String(&path, "", "settings", "path of the platform's settings file ["+platform.SettingsEnvVar+"]")
 	check := flaggy.NewSubcommand("check")
 	check.Description = "Reads and checks the settings file, and ends."
 	p.AttachSubcommand(check, 1)
@@ -50,7 +50,7 @@
 		return err
 	}
 	if check.Used {
-		fmt.Printf("%s: host %s in %s, clients at %s, store at %s\n", path, set.Host, set.Domain, set.Callers, set.StoreAddress)
+		fmt.Printf("%s: host %s in %s, clients at %s, store at %s\n", path, set.Host, set.Domain, set.ClientAddress, set.StoreAddress)
 		return nil
 	}
 	return serve(set, read, hup)
--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -115,7 +115,7 @@
 func (b *stageBackend) Run(ctx context.Context, call *batcher.Call) batcher.Response {
 	ctx, cancel := context.WithTimeout(ctx, stageCallTimeout)
 	defer cancel()
-	request, err := platform.StageRun(call, b.clock.Now())
+	request, err := platform.NewStageRunRequest(call, b.clock.Now())
 	if err != nil {
 		return batcher.Response{Err: err}
 	}
@@ -130,10 +130,10 @@
 	}
 	response.Close()
 	b.recordLoad(call.Server, response.Status, response.Header)
-	if platform.StageBusy(response.Status, response.Header) {
+	if platform.IsStageServerBusy(response.Status, response.Header) {
 		return batcher.Response{Err: errServerBusy, Busy: true}
 	}
-	results, err := platform.DecodeStageRun(response.Status, body, call.Server, len(call.Items))
+	results, err := platform.DecodeStageRunResponse(response.Status, body, call.Server, len(call.Items))
 	if err != nil {
 		return batcher.Response{Err: err}
 	}
@@ -153,7 +153,7 @@
 
 // FreeResultMemory implements batcher.Backend.
 func (b *stageBackend) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
-	response, err := b.upstream.Do(ctx, s.Address, platform.StageReport(s.ID))
+	response, err := b.upstream.Do(ctx, s.Address, platform.NewStageReportRequest(s.ID))
 	if err != nil {
 		b.log.Warn("stage server", "outcome", "did not tell its room", "server", s.ID, "err", err)
 		return 0, err
@@ -182,7 +182,7 @@
 
 // ReleaseResults implements batcher.Backend.
 func (b *stageBackend) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
-	request, err := platform.StageFree(s.ID, handles)
+	request, err := platform.NewStageFreeRequest(s.ID, handles)
 	if err != nil {
 		return err
 	}
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -61,7 +61,7 @@
 	logLimits logLimits
 	meter     *meter.Meter
 
-	store          *platform.Store
+	store          *platform.StoreClient
 	plan           inforce.Value[plan.Plan]
 	directory      *directory.Directory
 	configFollower *follow.Follower[plan.Config]
@@ -110,7 +110,7 @@
 	settings := opts.Settings
 	h := &Host{
 		opts: opts, settings: settings, clock: clock.System{}, bootClock: clock.Boot{}, rand: clock.SystemRand{},
-		logWriter: record.NewAsyncWriter(opts.LogOutput), meter: meter.New(), store: platform.NewStore(settings.StoreAddress),
+		logWriter: record.NewAsyncWriter(opts.LogOutput), meter: meter.New(), store: platform.NewStoreClient(settings.StoreAddress),
 		directory: directory.New(), stopRequested: make(chan struct{}), hostsListed: make(chan struct{}),
 	}
 	h.log = record.NewLogger(h.logWriter, settings.Host)
@@ -169,8 +169,8 @@
 		name, address string
 		to            *net.Listener
 	}{
-		{"clients", h.settings.Callers, &h.listeners.clients},
-		{"readiness", h.settings.Ready, &h.listeners.ready},
+		{"clients", h.settings.ClientAddress, &h.listeners.clients},
+		{"readiness", h.settings.ReadinessAddress, &h.listeners.ready},
 		{"peers", h.internalAddress(peerPort), &h.listeners.peers},
 		{"metrics", h.internalAddress(metricsPort), &h.listeners.metrics},
 	} {
@@ -194,8 +194,8 @@
 // The system assigns a free port if the settings contain no port range.
 func (h *Host) internalAddress(portIndex int) string {
 	port := 0
-	if h.settings.FirstPort > 0 {
-		port = h.settings.FirstPort + portIndex
+	if h.settings.FirstInternalPort > 0 {
+		port = h.settings.FirstInternalPort + portIndex
 	}
 	return net.JoinHostPort(h.settings.IP, strconv.Itoa(port))
 }
@@ -230,7 +230,7 @@
 // finish within the platform's time to stop. It returns the first error of a
 // component, or nil after a regular shutdown. It may be called once.
 func (h *Host) Run(ctx context.Context) error {
-	h.log.Info("start", "domain", h.settings.Domain, "callers", h.settings.Callers, "incarnation", h.self.Incarnation)
+	h.log.Info("start", "domain", h.settings.Domain, "callers", h.settings.ClientAddress, "incarnation", h.self.Incarnation)
 	backgroundCtx, cancelBackground := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancelBackground()
 	g, gctx := errgroup.WithContext(backgroundCtx)
@@ -317,7 +317,7 @@
 		h.log.Error("reload", "outcome", "refused; the settings in force stay", "err", err)
 		return
 	}
-	h.log.Info("reload", "outcome", "read", "same_addresses", reloaded.Callers == h.settings.Callers && reloaded.Ready == h.settings.Ready)
+	h.log.Info("reload", "outcome", "read", "same_addresses", reloaded.ClientAddress == h.settings.ClientAddress && reloaded.ReadinessAddress == h.settings.ReadinessAddress)
 }
 
 // Assumed one-way network delays. The platform's settings contain failure domains
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -15,10 +15,10 @@
 // createEvacuationFollower creates the follower of evacuations if the platform supports
 // them. It reads through other hosts as the follower of backend servers does.
 func (h *Host) createEvacuationFollower() {
-	if h.settings.EvacuateBound <= 0 {
+	if h.settings.MaxEvacuationDelay <= 0 {
 		return
 	}
-	wait := watchWait(h.settings.EvacuateBound, evacuationsWaitShare)
+	wait := watchWait(h.settings.MaxEvacuationDelay, evacuationsWaitShare)
 	h.evacuationFollower = follow.New(follow.Options[platform.Evacuation]{
 		Source: relaySource(h, "evacuations", wait, platform.EvacuationSource(h.store)), Clock: h.bootClock, Rand: h.rand,
 		WatchWait: wait, ResponseTimeout: responseTimeout, OnChange: h.evacuationsChanged,
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -54,15 +54,15 @@
 // from the limit for applying a configuration or that for rejecting a revoked key,
 // whichever is shorter.
 func (h *Host) configWatchWait() time.Duration {
-	bound := cmp.Or(h.settings.ConfigBound, defaultConfigBound)
-	if h.settings.StrictRevoke {
-		bound = min(bound, h.settings.RevokeBound-keyFreshnessMargin)
+	bound := cmp.Or(h.settings.MaxConfigDelay, defaultConfigBound)
+	if h.settings.StrictKeyRevocation {
+		bound = min(bound, h.settings.MaxKeyRevocationDelay-keyFreshnessMargin)
 	}
 	return watchWait(bound, configWaitShare)
 }
 
 // drainBound is the time after which a draining server may get no new requests.
-func (h *Host) drainBound() time.Duration { return cmp.Or(h.settings.DrainBound, defaultDrainBound) }
+func (h *Host) drainBound() time.Duration { return cmp.Or(h.settings.MaxDrainDelay, defaultDrainBound) }
 
 // serversWatchWait returns the wait time of a watch on the backend servers.
 func (h *Host) serversWatchWait() time.Duration { return watchWait(h.drainBound(), serversWaitShare) }
@@ -75,10 +75,10 @@
 // hostSource returns the source of the list of entry hosts. The first list may be some
 // seconds old, except at the first start of the whole system, when it would be empty.
 func (h *Host) hostSource() follow.Source[peer.Identity] {
-	if h.settings.FirstStart {
+	if h.settings.Bootstrap {
 		return platform.HostSource(h.store)
 	}
-	return platform.HostSourceAtStart(h.store)
+	return platform.StartupHostSource(h.store)
 }
 
 // createFollowers creates the followers of the platform's objects. Each reads through
@@ -180,7 +180,7 @@
 // configChanged activates a newer configuration. A configuration that cannot be decoded,
 // or is older than the active one, is logged and ignored.
 func (h *Host) configChanged(objects map[string]follow.Object[plan.Config], trigger string) {
-	o, ok := objects[platform.NewestConfig]
+	o, ok := objects[platform.ConfigObjectName]
 	if !ok {
 		return
 	}
@@ -217,7 +217,7 @@
 		return false, 0
 	}
 	age := time.Duration(h.bootClock.Now().UnixNano() - at)
-	return !h.settings.StrictRevoke || age < h.settings.RevokeBound-keyFreshnessMargin, age
+	return !h.settings.StrictKeyRevocation || age < h.settings.MaxKeyRevocationDelay-keyFreshnessMargin, age
 }
 
 // platformAvailabilityChanged logs and counts that the platform's object API no longer
--- a/edge/host_test.go
+++ b/edge/host_test.go
@@ -22,7 +22,7 @@
 // as not run; requests to public routes are still served.
 func TestKeysAreRefusedWhenTheyCannotBeConfirmed(t *testing.T) {
 	g, p, h := newTestHost(t)
-	p.store.SetBefore(func(w http.ResponseWriter, _ *http.Request) bool {
+	p.store.SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
 	})
@@ -34,7 +34,7 @@
 	g.Expect(statusOf("http://" + ready + "/ready")).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(p.send(h, "GET", "/open/1", "").status).To(Equal(http.StatusOK))
 
-	p.store.SetBefore(nil)
+	p.store.SetInterceptor(nil)
 	g.Eventually(func() int { return p.send(h, "GET", "/status/1", "").status }, "20s").Should(Equal(http.StatusOK))
 }
 
@@ -49,7 +49,7 @@
 	p.config.Version = 7
 	p.config.Accounts[0].Keys = []string{testKey}
 	p.store.PutConfig(p.config)
-	p.store.PutForeignConfig()
+	p.store.PutUnrelatedConfig()
 	g.Consistently(func() int { return p.send(h, "GET", "/status/1", "").status }, "1s").Should(Equal(http.StatusUnauthorized))
 }
 
@@ -60,7 +60,7 @@
 	g := NewWithT(t)
 	p := newTestPlatform(t)
 	for i, spec := range []string{`7`, `{"service":"ledger"}`, `{"service":"ledger","address":5}`, `null`, `"x"`} {
-		p.store.PutForeignServer(fmt.Sprintf("foreign-%d", i), spec)
+		p.store.PutRawServer(fmt.Sprintf("foreign-%d", i), spec)
 	}
 	h := p.startHost("front-1")
 	g.Expect(p.send(h, "GET", "/status/1", "").status).To(Equal(http.StatusOK))
@@ -79,10 +79,10 @@
 	p.store.PutServer(p.servers["ledger-1"], "a", true)
 	usable := func() int { return len(h.directory.View().Servers("ledger")) }
 	g.Eventually(usable, "10s").Should(Equal(2))
-	p.store.SetSilent(true)
+	p.store.SuppressEvents(true)
 	p.store.DeleteServer("ledger-2")
-	p.store.Forget()
-	p.store.SetSilent(false)
+	p.store.DropHistory()
+	p.store.SuppressEvents(false)
 	g.Eventually(usable, "10s").Should(Equal(1))
 	for range 5 {
 		g.Expect(p.send(h, "GET", "/status/1", "").body).To(Equal("answer of ledger-3"))
@@ -98,13 +98,13 @@
 	p.stopBound = 20 * time.Second // much longer than needed on a busy machine
 	h := p.startHost("front-1")
 	release := make(chan struct{})
-	p.servers["model-1"].SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+	p.servers["model-1"].SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 		s := p.servers["model-1"]
-		s.Note(r)
+		s.RecordRequest(r)
 		platformtest.Sign(w.Header(), "s")
-		s.Events(w, 1, 2)
+		s.WriteEvents(w, 1, 2)
 		<-release
-		s.Events(w, 3, 5)
+		s.WriteEvents(w, 3, 5)
 		return true
 	})
 	got := make(chan clientResponse, 1)
@@ -184,7 +184,7 @@
 	hold := make(chan struct{})
 	defer close(hold)
 	arrived := make(chan struct{}, 10)
-	p.servers["portal-1"].SetHandle(func(http.ResponseWriter, *http.Request) bool {
+	p.servers["portal-1"].SetInterceptor(func(http.ResponseWriter, *http.Request) bool {
 		arrived <- struct{}{}
 		<-hold
 		return false
@@ -192,7 +192,7 @@
 	got := make(chan clientResponse, 1)
 	go func() {
 		got <- p.send(h, "POST", "/stream/staged/1", "x", func(q *platformtest.Request) {
-			q.Items, q.Deadline = []int{1, 1}, 20*time.Second
+			q.StageItems, q.Timeout = []int{1, 1}, 20*time.Second
 		})
 	}()
 	g.Eventually(arrived, "10s").Should(Receive(), func() string {
@@ -242,7 +242,7 @@
 	h.batchers.mu.Lock() // blocks the configuration of the batchers
 	go func() {
 		defer close(done)
-		h.configChanged(map[string]follow.Object[plan.Config]{platform.NewestConfig: {Value: c}}, "test")
+		h.configChanged(map[string]follow.Object[plan.Config]{platform.ConfigObjectName: {Value: c}}, "test")
 	}()
 	g.Consistently(func() int64 { return h.plan.Load().Version }, "200ms").Should(BeEquivalentTo(5))
 	h.batchers.mu.Unlock()
@@ -255,7 +255,7 @@
 // decoded. The newest may have revoked keys, so the active keys expire at the limit.
 func TestUnreadableConfigurationDoesNotConfirmKeys(t *testing.T) {
 	g, p, h := newTestHost(t)
-	p.store.PutUnreadableConfig()
+	p.store.PutInvalidConfig()
 	g.Eventually(h.configUnreadable.Load, "10s").Should(BeTrue())
 	g.Eventually(func() string { return p.send(h, "GET", "/status/1", "").body }, "20s").Should(ContainSubstring("keys_not_fresh"))
 	p.config.Version = 12
@@ -276,7 +276,7 @@
 		{100 * time.Millisecond, 100 * time.Millisecond, 5 * time.Second, minWatchWait, minWatchWait},
 	} {
 		g := NewWithT(t)
-		h := &Host{settings: platform.Settings{ConfigBound: c.config, DrainBound: c.drain, RevokeBound: c.revoke, StrictRevoke: true}}
+		h := &Host{settings: platform.Settings{MaxConfigDelay: c.config, MaxDrainDelay: c.drain, MaxKeyRevocationDelay: c.revoke, StrictKeyRevocation: true}}
 		g.Expect(h.configWatchWait()).To(Equal(c.wantConfig))
 		g.Expect(h.serversWatchWait()).To(Equal(c.wantServers))
 	}
--- a/edge/logging.go
+++ b/edge/logging.go
@@ -158,7 +158,7 @@
 // whether a stale response was allowed.
 func (h *Host) countPlatformCall(c platform.Call) {
 	name := "platform_calls_" + c.Kind + "_" + strings.ToLower(c.Method)
-	if c.Stale {
+	if c.StaleRead {
 		name += "_stale"
 	}
 	h.meter.Add(name, 1)
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -74,7 +74,7 @@
 // the whole system, so that all hosts can register first. Otherwise each host would
 // be notified of every other one separately.
 func (h *Host) awaitFirstRegistrations(ctx context.Context) {
-	if !h.settings.FirstStart {
+	if !h.settings.Bootstrap {
 		return
 	}
 	select {
@@ -94,7 +94,7 @@
 			return err
 		}
 		secret, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (string, error) {
-			return platform.PeerSecret(ctx, h.store, hex.EncodeToString(candidate[:]), h.settings.FirstStart)
+			return platform.EnsurePeerSecret(ctx, h.store, hex.EncodeToString(candidate[:]), h.settings.Bootstrap)
 		})
 		if err != nil {
 			return err
@@ -102,7 +102,7 @@
 		h.peerSecret.Store(&secret)
 	}
 	_, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (struct{}, error) {
-		return struct{}{}, platform.RegisterHost(ctx, h.store, h.self, h.settings.FirstStart)
+		return struct{}{}, platform.RegisterHost(ctx, h.store, h.self, h.settings.Bootstrap)
 	})
 	return err
 }
@@ -155,7 +155,7 @@
 // stop. A stopping host removes its entry before its last requests are complete, and
 // closing its connections at that point would abort their stage work.
 func (h *Host) forgetAfterStop(id peer.Identity) {
-	time.AfterFunc(h.settings.StopBound, func() {
+	time.AfterFunc(h.settings.ShutdownGracePeriod, func() {
 		for _, current := range h.mesh.Peers() {
 			if current.Host == id.Host && current.Incarnation == id.Incarnation {
 				h.mesh.RemovePeer(id.Host)
@@ -188,7 +188,7 @@
 		Host: h.settings.Host, Incarnation: uint64(time.Now().UnixNano()), Domain: h.settings.Domain,
 		Region:  h.settings.Regions[h.settings.Domain],
 		Address: h.listeners.peers.Addr().String(),
-		Cores:   h.settings.ProcessorShare,
+		Cores:   h.settings.CPUCores,
 	}
 	h.mesh = peer.NewMesh(peer.MeshOptions{
 		Self: h.self, Clock: h.clock, Rand: h.rand, MaxBackoff: time.Second,
--- a/edge/platform_test.go
+++ b/edge/platform_test.go
@@ -125,9 +125,9 @@
 func (p *testPlatform) settings(name string) platform.Settings {
 	return platform.Settings{
 		Host: name, IP: "127.0.0.1", Domain: "a", Regions: map[string]string{"a": "r", "b": "q", "c": "r"},
-		Callers: "127.0.0.1:0", Ready: "127.0.0.1:0", StoreAddress: p.storeAddress,
-		RevokeBound: 5 * time.Second, EvacuateBound: 5 * time.Second, StrictRevoke: true, StopBound: cmp.Or(p.stopBound, 5*time.Second),
-		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 500, Heartbeat: time.Second,
+		ClientAddress: "127.0.0.1:0", ReadinessAddress: "127.0.0.1:0", StoreAddress: p.storeAddress,
+		MaxKeyRevocationDelay: 5 * time.Second, MaxEvacuationDelay: 5 * time.Second, StrictKeyRevocation: true, ShutdownGracePeriod: cmp.Or(p.stopBound, 5*time.Second),
+		RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 500, HeartbeatInterval: time.Second,
 	}
 }
 
@@ -201,11 +201,11 @@
 		p.t.Fatal(err)
 	}
 	req.Host = "soap.example"
-	request := platformtest.Request{ID: fmt.Sprintf("a%015x", requestCount.Add(1)), Deadline: 3 * time.Second, Key: testKey}
+	request := platformtest.Request{AttemptID: fmt.Sprintf("a%015x", requestCount.Add(1)), Timeout: 3 * time.Second, APIKey: testKey}
 	for _, f := range options {
 		f(&request)
 	}
-	request.Set(req.Header)
+	request.SetHeaders(req.Header)
 	req.Header.Set("User-Agent", userAgent)
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	resp, err := client.Do(req)
@@ -227,16 +227,16 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	req, err := http.NewRequest(http.MethodPost, "http://soap.example"+path, strings.NewReader("x"))
 	g.Expect(err).NotTo(HaveOccurred())
-	platformtest.Request{ID: "leaver", Key: testKey}.Set(req.Header)
+	platformtest.Request{AttemptID: "leaver", APIKey: testKey}.SetHeaders(req.Header)
 	g.Expect(req.Write(conn)).To(Succeed())
 	return conn
 }
 
-func (p *testPlatform) runs(service string) []platformtest.Run {
-	var out []platformtest.Run
+func (p *testPlatform) runs(service string) []platformtest.ExecutedRequest {
+	var out []platformtest.ExecutedRequest
 	for _, s := range p.servers {
 		if s.Service == service {
-			out = append(out, s.Runs()...)
+			out = append(out, s.ExecutedRequests()...)
 		}
 	}
 	return out
--- a/edge/readers_test.go
+++ b/edge/readers_test.go
@@ -19,7 +19,7 @@
 	t.Helper()
 	p := newTestPlatform(t)
 	set := p.settings("front-1")
-	set.ProcessorShare = share
+	set.CPUCores = share
 	h, err := New(Options{Settings: set, LogOutput: io.Discard})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(h.closeListeners)
--- a/edge/regions_requests_test.go
+++ b/edge/regions_requests_test.go
@@ -10,7 +10,7 @@
 	"bilberrydale/version/plan"
 )
 
-func staged(r *platformtest.Request) { r.Items, r.ItemKey = []int{2, 1}, "k" }
+func staged(r *platformtest.Request) { r.StageItems, r.StageInputKey = []int{2, 1}, "k" }
 
 func retryAfter(r clientResponse) string { return r.header.Get("Retry-After") }
 
@@ -29,13 +29,13 @@
 	p.config.Accounts = append(p.config.Accounts, plan.Account{Name: "bound", Keys: []string{"bound"}, Regions: []string{"r"}})
 	p.store.PutConfig(p.config)
 	h := p.startHost("front-1")
-	bound := func(r *platformtest.Request) { r.Key = "bound" }
+	bound := func(r *platformtest.Request) { r.APIKey = "bound" }
 	for range 5 {
 		g.Expect(p.send(h, "GET", "/status/1", "").body).To(Equal("answer of ledger-far"))
 	}
 	g.Expect(p.send(h, "POST", "/stream/staged/1", "x", staged).status).To(Equal(http.StatusOK))
 	for _, service := range []string{"model", "floor", "portal"} {
-		g.Expect(p.servers[service+"-1"].Made()+len(p.servers[service+"-1"].Runs())).To(BeZero(), service)
+		g.Expect(p.servers[service+"-1"].ResultCount()+len(p.servers[service+"-1"].ExecutedRequests())).To(BeZero(), service)
 	}
 	g.Expect(p.send(h, "GET", "/open/1", "", bound).body).To(HavePrefix("answer of ledger"))
 	refused := p.send(h, "POST", "/transfer/1", "x", bound)
@@ -68,14 +68,14 @@
 		for range 5 {
 			g.Expect(p.send(host, "POST", "/stream/staged/1", "x", staged).status).To(Equal(http.StatusOK))
 		}
-		g.Expect(p.servers["floor-1"].Made() + p.servers["portal-1"].Made()).To(BeZero())
+		g.Expect(p.servers["floor-1"].ResultCount() + p.servers["portal-1"].ResultCount()).To(BeZero())
 		refused := p.send(host, "POST", "/stream/stream/1", "x")
 		g.Expect(refused.status).To(Equal(http.StatusServiceUnavailable))
 		g.Expect(refused.body).To(ContainSubstring(`"ran":"no"`))
 		g.Expect(retryAfter(refused)).NotTo(BeEmpty())
 	}
 	g.Expect(late.state().EvacuatedDomains).To(Equal([]string{"a"}))
-	p.store.Reopen("a")
+	p.store.EndEvacuation("a")
 	g.Eventually(usable, "10s").Should(Equal(2))
 	g.Expect(p.send(h, "POST", "/stream/stream/1", "x").status).To(Equal(http.StatusOK))
 }
--- a/edge/requests_test.go
+++ b/edge/requests_test.go
@@ -17,9 +17,9 @@
 func TestRequestsOfEachKindAreServed(t *testing.T) {
 	g, p, h := newTestHost(t)
 	ledger := p.servers["ledger-1"]
-	ledger.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+	ledger.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 		w.Header()["Date"], w.Header()["Content-Type"] = nil, nil
-		ledger.Serve(w, r)
+		ledger.Execute(w, r)
 		return true
 	})
 
@@ -34,11 +34,11 @@
 	g.Expect(run.Body).To(Equal("soap"))
 	g.Expect(run.Host).To(Equal("soap.example"))
 	g.Expect(run.Account()).To(Equal("boilers"))
-	g.Expect(run.HasKey()).To(BeFalse(), "the API key must not be forwarded")
+	g.Expect(run.HasAPIKey()).To(BeFalse(), "the API key must not be forwarded")
 	g.Expect(run.Header.Get("User-Agent")).To(Equal(userAgent))
 
 	g.Expect(p.send(h, "GET", "/status/1", "").body).To(Equal("answer of ledger-1"))
-	g.Expect(p.send(h, "GET", "/open/1", "", func(q *platformtest.Request) { q.Key = "" }).status).To(Equal(http.StatusOK))
+	g.Expect(p.send(h, "GET", "/open/1", "", func(q *platformtest.Request) { q.APIKey = "" }).status).To(Equal(http.StatusOK))
 
 	s := p.send(h, "POST", "/stream/stream/1", "prompt")
 	g.Expect(s.err).NotTo(HaveOccurred())
@@ -48,16 +48,16 @@
 func TestStagesRunBeforeTheRequestAndTheirResultsAreFreed(t *testing.T) {
 	g, p, h := newTestHost(t)
 	r := p.send(h, "POST", "/stream/staged/1", "prompt", func(q *platformtest.Request) {
-		q.Items, q.ItemKey = []int{2, 3}, "k"
+		q.StageItems, q.StageInputKey = []int{2, 3}, "k"
 	})
 	g.Expect(r.status).To(Equal(http.StatusOK), r.body)
-	inputs := p.runs("model")[0].Inputs()
+	inputs := p.runs("model")[0].InputHandles()
 	g.Expect(inputs).To(HaveLen(3))
 	for _, in := range inputs {
 		g.Expect(in).To(HavePrefix(p.servers["portal-1"].Address() + "/"))
 	}
-	g.Eventually(func() int { return len(p.servers["floor-1"].Freed()) }, "10s").Should(Equal(2))
-	g.Eventually(func() int { return len(p.servers["portal-1"].Freed()) }, "10s").Should(Equal(3))
+	g.Eventually(func() int { return len(p.servers["floor-1"].ReleasedResults()) }, "10s").Should(Equal(2))
+	g.Eventually(func() int { return len(p.servers["portal-1"].ReleasedResults()) }, "10s").Should(Equal(3))
 }
 
 // Guards against failing requests when the host that coordinates the stage work stops.
@@ -70,7 +70,7 @@
 	first, second := p.startHost("front-1"), p.startHost("front-2")
 	g.Eventually(func() int { return len(second.mesh.Peers()) }, "20s").Should(Equal(1))
 	staged := func(h *Host) int {
-		return p.send(h, "POST", "/stream/staged/1", "x", func(q *platformtest.Request) { q.Items = []int{1, 1} }).status
+		return p.send(h, "POST", "/stream/staged/1", "x", func(q *platformtest.Request) { q.StageItems = []int{1, 1} }).status
 	}
 	g.Expect(staged(second)).To(Equal(http.StatusOK))
 	g.Expect(second.meter.Counter("stage_calls_floor")).To(BeZero())
@@ -85,21 +85,21 @@
 // headers in Connection to have them removed.
 func TestClientCannotSetSystemHeaders(t *testing.T) {
 	g, p, h := newTestHost(t)
-	r := p.send(h, "POST", "/transfer/1", "x", func(q *platformtest.Request) { q.Forged = true })
+	r := p.send(h, "POST", "/transfer/1", "x", func(q *platformtest.Request) { q.ForgeInternalHeaders = true })
 	g.Expect(r.status).To(Equal(http.StatusOK))
 	got := p.runs("ledger")[0]
-	g.Expect(got.Forged()).To(BeEmpty())
+	g.Expect(got.ForgedHeaders()).To(BeEmpty())
 	g.Expect(got.Account()).To(Equal("boilers"))
 	g.Expect(got.Header.Get("User-Agent")).To(Equal(userAgent))
-	g.Expect(got.ID()).NotTo(BeEmpty())
+	g.Expect(got.AttemptID()).NotTo(BeEmpty())
 }
 
 func TestRequestsRefusedBeforeExecution(t *testing.T) {
 	g, p, h := newTestHost(t)
 	g.Expect(p.send(h, "GET", "/nowhere/1", "").status).To(Equal(http.StatusNotFound))
-	g.Expect(p.send(h, "GET", "/status/1", "", func(q *platformtest.Request) { q.Key = "x" }).status).To(Equal(http.StatusUnauthorized))
+	g.Expect(p.send(h, "GET", "/status/1", "", func(q *platformtest.Request) { q.APIKey = "x" }).status).To(Equal(http.StatusUnauthorized))
 	g.Expect(p.send(h, "POST", "/transfer/1", strings.Repeat("x", 5000)).status).To(Equal(http.StatusRequestEntityTooLarge))
-	g.Expect(p.send(h, "GET", "/status/1", "", func(q *platformtest.Request) { q.ID = "" }).status).To(Equal(http.StatusBadRequest))
+	g.Expect(p.send(h, "GET", "/status/1", "", func(q *platformtest.Request) { q.AttemptID = "" }).status).To(Equal(http.StatusBadRequest))
 	g.Expect(p.runs("ledger")).To(BeEmpty())
 }
 
@@ -114,8 +114,8 @@
 	h := p.startHost("front-1")
 	var broken int
 	breakOff := func(s *platformtest.Server) {
-		s.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
-			s.Note(r)
+		s.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+			s.RecordRequest(r)
 			broken++
 			conn, _, err := http.NewResponseController(w).Hijack()
 			g.Expect(err).NotTo(HaveOccurred())
@@ -130,7 +130,7 @@
 	g.Expect(r.header).NotTo(HaveKey("Retry-After"))
 	g.Expect(p.runs("ledger")).To(HaveLen(1))
 
-	other.SetHandle(nil)
+	other.SetInterceptor(nil)
 	g.Eventually(func() int { return p.send(h, "GET", "/status/1", "").status }, "10s").Should(Equal(http.StatusOK))
 }
 
@@ -145,7 +145,7 @@
 	cut := map[string]bool{}
 	first := make(chan string, 1)
 	for _, id := range []string{"ledger-1", "ledger-2"} {
-		p.servers[id].SetHandle(func(w http.ResponseWriter, _ *http.Request) bool {
+		p.servers[id].SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 			select {
 			case first <- id:
 			default:
@@ -174,14 +174,14 @@
 	other := p.addServer("ledger-2", "ledger")
 	h := p.startHost("front-1")
 	full := func(w http.ResponseWriter, _ *http.Request) bool {
-		platformtest.RefuseNotRun(w)
+		platformtest.RespondNotRun(w)
 		return true
 	}
-	p.servers["ledger-1"].SetHandle(full)
+	p.servers["ledger-1"].SetInterceptor(full)
 	r := p.send(h, "POST", "/transfer/1", "x")
 	g.Expect(r.body).To(Equal("answer of ledger-2"))
 
-	other.SetHandle(full)
+	other.SetInterceptor(full)
 	r = p.send(h, "POST", "/transfer/2", "x")
 	g.Expect(r.status).To(Equal(http.StatusServiceUnavailable))
 	g.Expect(r.header.Get("Retry-After")).NotTo(BeEmpty())
@@ -192,8 +192,8 @@
 // status alone means that the request has not run.
 func TestUnmarkedUnavailableStatusIsNotForwarded(t *testing.T) {
 	g, p, h := newTestHost(t)
-	p.servers["ledger-1"].SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
-		p.servers["ledger-1"].Note(r)
+	p.servers["ledger-1"].SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+		p.servers["ledger-1"].RecordRequest(r)
 		platformtest.Sign(w.Header(), "s")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return true
@@ -205,9 +205,9 @@
 // connection by a surplus response. An unsafe request must not be repeated either.
 func TestResponseForAnotherRequestIsNotForwarded(t *testing.T) {
 	g, p, h := newTestHost(t)
-	p.servers["ledger-1"].SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
-		p.servers["ledger-1"].Note(r)
-		platformtest.NameAnother(w.Header(), "of-another")
+	p.servers["ledger-1"].SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+		p.servers["ledger-1"].RecordRequest(r)
+		platformtest.SetAttemptID(w.Header(), "of-another")
 		platformtest.Sign(w.Header(), "s")
 		_, _ = io.WriteString(w, "not yours")
 		return true
@@ -221,7 +221,7 @@
 // Guards against forwarding a success response without the server's signature.
 func TestUnsignedSuccessIsNotForwarded(t *testing.T) {
 	g, p, h := newTestHost(t)
-	p.servers["ledger-1"].SetHandle(func(w http.ResponseWriter, _ *http.Request) bool {
+	p.servers["ledger-1"].SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
 		_, _ = io.WriteString(w, "unsigned")
 		return true
 	})
@@ -234,25 +234,25 @@
 func TestInterruptedStream(t *testing.T) {
 	g, p, h := newTestHost(t)
 	second := p.addServer("model-2", "model")
-	second.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
-		second.Note(r)
+	second.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+		second.RecordRequest(r)
 		platformtest.Sign(w.Header(), "second")
-		if platformtest.LastEvent(r) == 0 {
-			second.Events(w, 1, 2)
+		if platformtest.LastEventID(r) == 0 {
+			second.WriteEvents(w, 1, 2)
 			panic(http.ErrAbortHandler)
 		}
-		second.Events(w, 3, 5)
+		second.WriteEvents(w, 3, 5)
 		return true
 	})
-	p.servers["model-1"].SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+	p.servers["model-1"].SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 		s := p.servers["model-1"]
-		s.Note(r)
+		s.RecordRequest(r)
 		platformtest.Sign(w.Header(), "first")
-		if platformtest.LastEvent(r) != 0 {
-			s.Events(w, 3, 5)
+		if platformtest.LastEventID(r) != 0 {
+			s.WriteEvents(w, 3, 5)
 			return true
 		}
-		s.Events(w, 1, 2)
+		s.WriteEvents(w, 1, 2)
 		_, _ = io.WriteString(w, "id: 3\ndata: pie")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -280,13 +280,13 @@
 	g.Eventually(func() int { return h.directory.View().Count() }, "10s").Should(Equal(5))
 	var broken atomic.Bool
 	for _, s := range []*platformtest.Server{p.servers["model-1"], second} {
-		s.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+		s.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 			platformtest.Sign(w.Header(), s.ID)
 			if !broken.Swap(true) {
-				s.Events(w, 1, 3)
+				s.WriteEvents(w, 1, 3)
 				panic(http.ErrAbortHandler)
 			}
-			s.Events(w, 1, 5)
+			s.WriteEvents(w, 1, 5)
 			return true
 		})
 	}
@@ -309,23 +309,23 @@
 	h := p.startHost("front-1")
 	var sends, calls atomic.Int32
 	for _, s := range []*platformtest.Server{p.servers["model-1"], second} {
-		s.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+		s.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 			if sends.Add(1) == 1 {
-				s.Note(r)
+				s.RecordRequest(r)
 				panic(http.ErrAbortHandler)
 			}
-			platformtest.RefuseInputs(w)
+			platformtest.RespondInputsLost(w)
 			return true
 		})
 	}
-	p.servers["floor-1"].SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
+	p.servers["floor-1"].SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
 		if !platformtest.IsStageCall(r) || calls.Add(1) == 1 {
 			return false
 		}
 		w.WriteHeader(http.StatusInternalServerError)
 		return true
 	})
-	r := p.send(h, "POST", "/stream/resume/1", "x", func(q *platformtest.Request) { q.Items = []int{1} })
+	r := p.send(h, "POST", "/stream/resume/1", "x", func(q *platformtest.Request) { q.StageItems = []int{1} })
 	g.Expect(calls.Load()).To(BeNumerically(">", 1), "the inputs must be computed again")
 	g.Expect(r.status).To(Equal(http.StatusBadGateway), r.body)
 	g.Expect(r.header).NotTo(HaveKey("Retry-After"))
@@ -337,7 +337,7 @@
 func TestClientDisconnectClosesServerConnection(t *testing.T) {
 	g, p, h := newTestHost(t)
 	arrived, stopped := make(chan struct{}), make(chan struct{})
-	p.servers["model-1"].SetHandle(func(_ http.ResponseWriter, r *http.Request) bool {
+	p.servers["model-1"].SetInterceptor(func(_ http.ResponseWriter, r *http.Request) bool {
 		_, _ = io.ReadAll(r.Body)
 		close(arrived)
 		<-r.Context().Done()
@@ -356,11 +356,11 @@
 	g, p, h := newTestHost(t)
 	model := p.servers["model-1"]
 	stopped := make(chan struct{})
-	model.SetHandle(func(w http.ResponseWriter, r *http.Request) bool {
-		model.Note(r)
+	model.SetInterceptor(func(w http.ResponseWriter, r *http.Request) bool {
+		model.RecordRequest(r)
 		platformtest.Sign(w.Header(), "s")
 		for i := 1; r.Context().Err() == nil; i++ {
-			model.Events(w, i, i)
+			model.WriteEvents(w, i, i)
 		}
 		close(stopped)
 		return true
@@ -405,8 +405,8 @@
 	p := newTestPlatform(t)
 	p.addServer("ledger-2", "ledger")
 	h := p.startHost("front-1")
-	p.servers["ledger-1"].SetHandle(func(w http.ResponseWriter, _ *http.Request) bool {
-		platformtest.NameAnother(w.Header(), "")
+	p.servers["ledger-1"].SetInterceptor(func(w http.ResponseWriter, _ *http.Request) bool {
+		platformtest.SetAttemptID(w.Header(), "")
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return true
 	})
--- a/edge/shutdown.go
+++ b/edge/shutdown.go
@@ -41,12 +41,12 @@
 	// The configuration is active slightly before it counts as confirmed. A host that is
 	// ready in between refuses the API keys of its first requests.
 	confirmed, age := h.keysFresh()
-	return !h.settings.StrictRevoke || confirmed && age < maxReadyConfigAge
+	return !h.settings.StrictKeyRevocation || confirmed && age < maxReadyConfigAge
 }
 
 // serveReady responds to readiness probes: 200 if the host is ready, otherwise 503.
 func (h *Host) serveReady(w http.ResponseWriter, r *http.Request) {
-	if r.URL.Path != platform.PathReady {
+	if r.URL.Path != platform.ReadinessPath {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
@@ -64,7 +64,7 @@
 // requests that can still be served.
 func (h *Host) shutdown() error {
 	start := h.clock.Now()
-	deadline := start.Add(h.settings.StopBound - stopMargin)
+	deadline := start.Add(h.settings.ShutdownGracePeriod - stopMargin)
 	h.stopDeadline.Store(&deadline)
 	h.stopping.Store(true)
 	close(h.stopRequested)
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -93,7 +93,7 @@
 	h := &Host{
 		opts: opts, incarnation: uint64(time.Now().UnixNano()), log: logger,
 		clock: clock.System{}, rand: clock.SystemRand{}, flushSpans: flush, tracer: tracer,
-		store:    objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(opts.Platform, opts.PlatformToken)), objectapi.ClientOptions{}),
+		store:    objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(opts.Platform, opts.PlatformToken)), objectapi.ClientOptions{}),
 		registry: server.NewRegistry(),
 	}
 	// The order matters: later parts use what earlier ones made.
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -75,7 +75,7 @@
 	}
 	return &Env{
 		Out: out, JSON: o.json, Author: o.author, Note: o.note, Hosts: hosts,
-		Store: objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(o.platform, o.platformToken)), objectapi.ClientOptions{}),
+		Store: objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(o.platform, o.platformToken)), objectapi.ClientOptions{}),
 	}, nil
 }
 
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -77,7 +77,7 @@
 	var mode atomic.Int32
 	mode.Store(int32(r.IntN(4)))
 	delay := someTime(r, 50, 400)
-	p.store.SetBefore(func(w http.ResponseWriter, q *http.Request) bool {
+	p.store.SetInterceptor(func(w http.ResponseWriter, q *http.Request) bool {
 		switch mode.Load() {
 		case 0:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -99,7 +99,7 @@
 		}
 	})
 	p.log.more(some(r, 40, 400))
-	p.store.SetBefore(nil)
+	p.store.SetInterceptor(nil)
 }
 
 var faults = []fault{
@@ -120,15 +120,15 @@
 	{"link to a server", func(p *place, r *rand.Rand, _ string) { relayFault(p, r, p.anyServer(r).relay) }},
 	{"store", func(p *place, r *rand.Rand, _ string) { storeFault(p, r) }},
 	{"history", func(p *place, r *rand.Rand, _ string) {
-		p.store.SetSilent(true)
+		p.store.SuppressEvents(true)
 		p.log.more(some(r, 15, 130))
-		p.store.Forget()
-		p.store.SetSilent(false)
+		p.store.DropHistory()
+		p.store.SuppressEvents(false)
 	}},
 	{"key", func(p *place, _ *rand.Rand, _ string) { p.revoke() }},
 	{"configuration", func(p *place, _ *rand.Rand, _ string) { p.configure() }},
 	{"foreign entry", func(p *place, r *rand.Rand, _ string) {
-		p.store.PutForeignServer(fmt.Sprintf("foreign-%d", r.IntN(5)), `{"service":"ledger","address":7}`)
+		p.store.PutRawServer(fmt.Sprintf("foreign-%d", r.IntN(5)), `{"service":"ledger","address":7}`)
 	}},
 	{"server leaves", func(p *place, r *rand.Rand, _ string) {
 		b := p.anyServer(r)
@@ -149,7 +149,7 @@
 		domain := []string{nearDomain, farDomain}[r.IntN(2)]
 		p.store.Evacuate(domain)
 		p.log.more(some(r, 60, 300))
-		p.store.Reopen(domain)
+		p.store.EndEvacuation(domain)
 	}},
 	{"region is cut off", func(p *place, r *rand.Rand, _ string) {
 		for _, b := range p.servers {
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -112,10 +112,10 @@
 	r, err := relay.New(s.Address())
 	p.must(err)
 	p.t.Cleanup(r.Close)
-	s.Listed = r.Address()
+	s.ListedAddress = r.Address()
 	b := &backend{Server: s, relay: r, domain: domain}
 	p.servers = append(p.servers, b)
-	s.SetHandle(func(w http.ResponseWriter, q *http.Request) bool { return p.serve(b, w, q) })
+	s.SetInterceptor(func(w http.ResponseWriter, q *http.Request) bool { return p.serve(b, w, q) })
 	p.list(b, false)
 }
 
@@ -140,7 +140,7 @@
 		p.noteStage(b, q)
 		return false
 	}
-	id := platformtest.RequestID(q.Header)
+	id := platformtest.AttemptID(q.Header)
 	_, _ = io.Copy(io.Discard, q.Body)
 	p.mu.Lock()
 	p.ran[id] = append(p.ran[id], b.ID)
@@ -150,8 +150,8 @@
 	p.mu.Unlock()
 	platformtest.Sign(w.Header(), "stamp-"+id)
 	if strings.HasPrefix(q.URL.Path, "/stream/") {
-		for i := platformtest.LastEvent(q) + 1; i <= streamEvents; i++ {
-			b.Events(w, i, i)
+		for i := platformtest.LastEventID(q) + 1; i <= streamEvents; i++ {
+			b.WriteEvents(w, i, i)
 			work(q, eventTime)
 		}
 		return true
@@ -167,7 +167,7 @@
 	q.Body = io.NopCloser(bytes.NewReader(body))
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, id := range platformtest.StageIDs(body) {
+	for _, id := range platformtest.StageRequestIDs(body) {
 		p.made[id] = append(p.made[id], b.ID)
 	}
 }
@@ -265,9 +265,9 @@
 	p.t.Cleanup(r.Close)
 	h := &host{number: i, name: fmt.Sprintf("front-%d", i), ip: ip, relay: r, settings: filepath.Join(p.dir, fmt.Sprintf("host-%d.json", i))}
 	data, err := platformtest.HostSettings{
-		Name: h.name, IP: ip, Domain: nearDomain, Region: nearRegion, Elsewhere: map[string]string{farDomain: farRegion}, Callers: ip + ":8625", Ready: ip + ":8621",
-		FirstPort: 7740, LastPort: 7755, StoreAddress: r.Address(), StopBound: stopBound, RevokeBound: revokeBound, EvacuateBound: 5 * time.Second,
-		Heartbeat: 1200 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 200,
+		Name: h.name, IP: ip, Domain: nearDomain, Region: nearRegion, OtherRegions: map[string]string{farDomain: farRegion}, ClientAddress: ip + ":8625", ReadinessAddress: ip + ":8621",
+		FirstInternalPort: 7740, LastInternalPort: 7755, StoreAddress: r.Address(), ShutdownGracePeriod: stopBound, MaxKeyRevocationDelay: revokeBound, MaxEvacuationDelay: 5 * time.Second,
+		HeartbeatInterval: 1200 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 200,
 	}.JSON()
 	p.must(err)
 	p.must(os.WriteFile(h.settings, data, 0o600))
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -115,8 +115,8 @@
 }
 
 func (p *place) settle() {
-	p.store.SetBefore(nil)
-	p.store.SetSilent(false)
+	p.store.SetInterceptor(nil)
+	p.store.SuppressEvents(false)
 	for _, h := range p.hosts {
 		h.relay.Heal()
 	}
@@ -172,7 +172,7 @@
 		}
 	}
 	c.drop()
-	p.store.Reopen(nearDomain)
+	p.store.EndEvacuation(nearDomain)
 }
 
 // ranIn reports whether all that was done for an attempt was done in a failure domain.
@@ -319,7 +319,7 @@
 		var body []byte
 		body, err = io.ReadAll(resp.Body)
 		s.status, s.body = resp.StatusCode, string(body)
-		if id := platformtest.RequestID(resp.Header); id != s.id {
+		if id := platformtest.AttemptID(resp.Header); id != s.id {
 			c.p.t.Errorf("%s got the answer to %q", s.id, id)
 		}
 	}
@@ -334,7 +334,7 @@
 	if err != nil {
 		return err
 	}
-	platformtest.Request{ID: s.id, Key: s.key, Deadline: routeTime, Items: []int{1, 2}, ItemKey: "k"}.Set(req.Header)
+	platformtest.Request{AttemptID: s.id, APIKey: s.key, Timeout: routeTime, StageItems: []int{1, 2}, StageInputKey: "k"}.SetHeaders(req.Header)
 	return req.Write(c.conn)
 }
 
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -12,7 +12,7 @@
 // /admin the failure switches, the call counts and the host list.
 func (o *Objects) Handler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", platformtest.ObjectsHandler(o))
+	mux.Handle("/", platformtest.NewObjectStoreHandler(o))
 	mux.HandleFunc("GET /admin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(o.Counts()) // a caller that left gets nothing
--- a/process/objectapi/client_test.go
+++ b/process/objectapi/client_test.go
@@ -17,7 +17,7 @@
 )
 
 func newClient(url string, opts objectapi.ClientOptions) *objectapi.Client {
-	return objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(url, "")), opts)
+	return objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(url, "")), opts)
 }
 
 // A connection to the platform stops delivering responses while new ones work. A
--- a/process/order/suspended_test.go
+++ b/process/order/suspended_test.go
@@ -33,7 +33,7 @@
 func startHolder(ctx context.Context, name, store, address, model string) (*lease.Elector, *order.Manager) {
 	const unit = 100 * time.Millisecond
 	elector := lease.NewElector(lease.Options{
-		Store: objectapi.NewClient(platform.NewObjects(platform.NewStoreAt(store, "")), objectapi.ClientOptions{}), Clock: clock.System{}, Rand: clock.SystemRand{},
+		Store: objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(store, "")), objectapi.ClientOptions{}), Clock: clock.System{}, Rand: clock.SystemRand{},
 		Key: lease.KeyPrefix + "d", Host: name, IsCandidate: func() bool { return true },
 		TTL: 15 * unit, Margin: 5 * unit, MaxOrderDuration: 3 * unit,
 	})
