--- a/connection/backend/http_test.go
+++ b/connection/backend/http_test.go
@@ -27,9 +27,9 @@
 	conns    atomic.Int32
 }
 
-// newRawServer starts a server that calls answer for each request with the request's
+// newRawServer starts a server that calls respond for each request with the request's
 // number on the server and on its connection, both from 1. false closes the connection.
-func newRawServer(t *testing.T, answer func(c net.Conn, r *http.Request, n, onConn int) bool) *rawServer {
+func newRawServer(t *testing.T, respond func(c net.Conn, r *http.Request, n, onConn int) bool) *rawServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -43,13 +43,13 @@
 				return
 			}
 			s.conns.Add(1)
-			go s.serve(c, answer)
+			go s.serve(c, respond)
 		}
 	}()
 	return s
 }
 
-func (s *rawServer) serve(c net.Conn, answer func(net.Conn, *http.Request, int, int) bool) {
+func (s *rawServer) serve(c net.Conn, respond func(net.Conn, *http.Request, int, int) bool) {
 	defer c.Close()
 	in := bufio.NewReader(c)
 	for onConn := 1; ; onConn++ {
@@ -60,7 +60,7 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		if !answer(c, r, int(s.received.Add(1)), onConn) {
+		if !respond(c, r, int(s.received.Add(1)), onConn) {
 			return
 		}
 	}
@@ -152,7 +152,7 @@
 	closed := newRawServer(t, nil)
 	closed.listener.Close()
 	dropping := newRawServer(t, func(net.Conn, *http.Request, int, int) bool { return false })
-	refusing := newRawServer(t, func(c net.Conn, r *http.Request, _, _ int) bool {
+	notStarting := newRawServer(t, func(c net.Conn, r *http.Request, _, _ int) bool {
 		writeResponse(c, r, 503, HeaderNotStarted+": true\r\n"+contentLength(""), "")
 		return true
 	})
@@ -162,18 +162,18 @@
 	})
 	h := NewHTTPClient(HTTPOptions{})
 	for _, c := range []struct {
-		server  *rawServer
-		sent    Delivery
-		refused bool
-		reset   bool
+		server           *rawServer
+		delivery         Delivery
+		notStarted       bool
+		connectionFailed bool
 	}{
 		{closed, NotSent, false, true},
 		{dropping, MaybeSent, false, true},
-		{refusing, Responded, true, false},
+		{notStarting, Responded, true, false},
 		{failing, Responded, false, false},
 	} {
 		_, err := h.Do(t.Context(), newCall(c.server.state(), "a"))
-		g.Expect(asError(g, err)).To(And(HaveField("Delivery", c.sent), HaveField("NotStarted", c.refused), HaveField("ConnectionFailed", c.reset)))
+		g.Expect(asError(g, err)).To(And(HaveField("Delivery", c.delivery), HaveField("NotStarted", c.notStarted), HaveField("ConnectionFailed", c.connectionFailed)))
 	}
 }
 
@@ -239,16 +239,16 @@
 	f.Add(head + "Transfer-Encoding: chunked\r\n\r\n1e\r\n{\"offset\":0,\"data\":\"hello\"}\n\n\n\r\n0\r\n\r\n")
 	f.Add(head + "\r\n{\"offset\":0,\"data\":\"x\"}\n{\"offset\":1,\"final\":true}\n")
 	f.Add("HTTP/1.1 100 Continue\r\n\r\n" + head + "Content-Length: 100\r\n\r\nshort")
-	f.Fuzz(func(t *testing.T, answer string) {
+	f.Fuzz(func(t *testing.T, response string) {
 		s := newRawServer(t, func(c net.Conn, _ *http.Request, _, _ int) bool {
-			_, _ = io.WriteString(c, answer)
+			_, _ = io.WriteString(c, response)
 			return false
 		})
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
 		h, state := NewHTTPClient(HTTPOptions{MaxResponseBytes: 4096}), s.state()
-		if r, err := h.Do(ctx, newCall(state, "a")); err == nil && !strings.Contains(answer, string(r.Body)) && !strings.Contains(answer, "hunked") {
-			t.Fatalf("body %q is not in %q", r.Body, answer)
+		if r, err := h.Do(ctx, newCall(state, "a")); err == nil && !strings.Contains(response, string(r.Body)) && !strings.Contains(response, "hunked") {
+			t.Fatalf("body %q is not in %q", r.Body, response)
 		}
 		next := int64(0)
 		_ = h.Stream(ctx, newCall(state, "a"), func(ch Chunk) error {
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -55,12 +55,12 @@
 func (x *execution) runOnce(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
 	var lastErr *kind.Error
 	for {
-		a, refusal := x.newAttempt(ctx, st, in)
-		if refusal != nil {
-			if lastErr != nil && refusal.Kind == kind.NoBackend {
+		a, attemptErr := x.newAttempt(ctx, st, in)
+		if attemptErr != nil {
+			if lastErr != nil && attemptErr.Kind == kind.NoBackend {
 				return nil, lastErr
 			}
-			return nil, refusal
+			return nil, attemptErr
 		}
 		o, failure := x.awaitAttempt(ctx, st, a, in)
 		if failure != nil {
--- a/request/pipeline/streamed.go
+++ b/request/pipeline/streamed.go
@@ -41,9 +41,9 @@
 	var a *attempt
 	for {
 		if s.offset == 0 {
-			next, refusal := x.newAttempt(ctx, st, in)
-			if refusal != nil {
-				return nil, refusal
+			next, attemptErr := x.newAttempt(ctx, st, in)
+			if attemptErr != nil {
+				return nil, attemptErr
 			}
 			a = next
 		}
