--- a/entryhost/admin.go
+++ b/entryhost/admin.go
@@ -19,7 +19,7 @@
 	Incarnation uint64 `json:"incarnation"`
 	Ready       bool   `json:"ready"`
 	Draining    bool   `json:"draining"`
-	Active      int64  `json:"active"`
+	InFlight    int64  `json:"active"`
 	Release     uint64 `json:"release"`
 	Hash        string `json:"hash"`
 	LastError   string `json:"last_error,omitempty"`
@@ -34,7 +34,7 @@
 	s := Status{
 		Build: settings.Version(),
 		Name:  h.opts.Name, Domain: h.opts.Domain, Region: h.opts.Region, Incarnation: h.incarnation,
-		Ready: h.ready(), Draining: h.draining(), Active: h.gate.Active(),
+		Ready: h.ready(), Draining: h.draining(), InFlight: h.gate.Active(),
 		Release: rel.Number, Hash: rel.Hash,
 		Completed: h.requests.counters.Completed.Load(), Refused: h.requests.counters.Refused.Load(), Failed: h.requests.counters.Failed.Load(),
 	}
--- a/entryhost/callers.go
+++ b/entryhost/callers.go
@@ -19,7 +19,7 @@
 // request.
 func (h *Host) callersHandler() http.Handler {
 	requests := h.requests.handler
-	path, most := h.opts.HealthPath, int64(h.opts.MaxActive)
+	path, most := h.opts.HealthPath, int64(h.opts.MaxInFlight)
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if path != "" && r.URL.Path == path {
 			h.health(w, r)
@@ -42,10 +42,10 @@
 func (h *Host) refuseUnread(w http.ResponseWriter, r *http.Request) {
 	h.requests.counters.Refused.Add(1)
 	id := r.Header.Get(h.opts.Headers.RequestID)
-	if id == "" || len(id) > h.opts.MaxKey {
+	if id == "" || len(id) > h.opts.MaxKeyBytes {
 		id = uuid.NewString()
 	}
-	e := kind.New(kind.Overloaded, "%d requests are in this entry host", h.opts.MaxActive)
+	e := kind.New(kind.Overloaded, "%d requests are in this entry host", h.opts.MaxInFlight)
 	// A resend may have run here or elsewhere before; only this send did not.
 	e.EarlierAttempt = r.Header.Get(h.opts.Headers.Key) != ""
 	a := kind.Lookup(e.Kind)
--- a/entryhost/explain.go
+++ b/entryhost/explain.go
@@ -11,11 +11,11 @@
 
 // Explanation says what this entry host would do with a request now.
 type Explanation struct {
-	Release uint64             `json:"release"`
-	Route   string             `json:"route"` // empty: no route matches
-	Class   string             `json:"class,omitempty"`
-	Verdict admission.Decision `json:"verdict"`
-	Stages  []StagePlan        `json:"stages,omitempty"`
+	Release  uint64             `json:"release"`
+	Route    string             `json:"route"` // empty: no route matches
+	Class    string             `json:"class,omitempty"`
+	Decision admission.Decision `json:"verdict"`
+	Stages   []StagePlan        `json:"stages,omitempty"`
 }
 
 // StagePlan is where one stage would run now.
@@ -54,7 +54,7 @@
 func (h *Host) explainRoute(out *Explanation, rt *snapshot.Route, account string) {
 	now := h.clock.Now()
 	out.Route, out.Class = rt.Name, string(rt.Class)
-	out.Verdict = h.policy.control.Explain(now, &admission.Request{
+	out.Decision = h.policy.control.Explain(now, &admission.Request{
 		Profile: rt.Profile, Account: account, ArrivedAt: now, Deadline: now.Add(rt.Deadline.Std()),
 	})
 	for i := range rt.Stages {
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -80,7 +80,7 @@
 	}
 	tel := telemetry.Options{
 		Service: "bilberryd", Host: opts.Name, LogLevel: opts.LogLevel, LogJSON: opts.LogJSON,
-		ExporterName: opts.Spans, Endpoint: opts.SpansTo, SampleRatio: opts.SpansShare, SpanExporter: opts.SpanExporter,
+		ExporterName: opts.SpanExporterName, Endpoint: opts.OTLPEndpoint, SampleRatio: opts.SpanSampleRatio, SpanExporter: opts.SpanExporter,
 	}
 	logger, err := telemetry.NewLog(tel)
 	if err != nil {
@@ -93,7 +93,7 @@
 	h := &Host{
 		opts: opts, incarnation: uint64(time.Now().UnixNano()), log: logger,
 		clock: clock.System{}, rand: clock.SystemRand{}, flushSpans: flush, tracer: tracer,
-		store:    objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(opts.Platform, opts.PlatformToken)), objectapi.ClientOptions{}),
+		store:    objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(opts.PlatformURL, opts.PlatformToken)), objectapi.ClientOptions{}),
 		registry: server.NewRegistry(),
 	}
 	// The order matters: later parts use what earlier ones made.
@@ -105,12 +105,12 @@
 	h.wireRequests()
 	h.publishVars()
 	h.callers = &http.Server{
-		Handler: h.callersHandler(), ReadHeaderTimeout: opts.HeaderTimeout, ReadTimeout: opts.ReadTimeout,
-		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeader, ErrorLog: h.serverLog("callers"),
+		Handler: h.callersHandler(), ReadHeaderTimeout: opts.ReadHeaderTimeout, ReadTimeout: opts.ReadTimeout,
+		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.serverLog("callers"),
 	}
 	h.admin = &http.Server{
-		Handler: h.adminHandler(), ReadHeaderTimeout: opts.HeaderTimeout, ReadTimeout: opts.ReadTimeout,
-		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeader, ErrorLog: h.serverLog("admin"),
+		Handler: h.adminHandler(), ReadHeaderTimeout: opts.ReadHeaderTimeout, ReadTimeout: opts.ReadTimeout,
+		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.serverLog("admin"),
 	}
 	if err := h.listen(); err != nil {
 		_ = h.members.listener.Close()
@@ -126,8 +126,8 @@
 
 func (h *Host) listen() error {
 	ports := []struct{ name, addr, cert, key string }{
-		{"callers", h.opts.Listen, h.opts.CertFile, h.opts.KeyFile},
-		{"admin", h.opts.Admin, h.opts.AdminCertFile, h.opts.AdminKeyFile},
+		{"callers", h.opts.ListenAddress, h.opts.CertFile, h.opts.KeyFile},
+		{"admin", h.opts.AdminAddress, h.opts.AdminCertFile, h.opts.AdminKeyFile},
 	}
 	for i, p := range ports {
 		l, err := net.Listen("tcp", p.addr)
--- a/entryhost/members.go
+++ b/entryhost/members.go
@@ -35,14 +35,14 @@
 // checkPeer refuses a peer port that strangers could reach without a secret to
 // keep them out.
 func (o *Options) checkPeer() error {
-	if o.PeerSecret == "" && !loopback(o.Peer) {
+	if o.PeerSecret == "" && !loopback(o.PeerAddress) {
 		return errors.New("--peer: an address other than loopback needs --peer-secret")
 	}
 	return nil
 }
 
 func (h *Host) wireMembers() error {
-	l, err := net.Listen("tcp", h.opts.Peer)
+	l, err := net.Listen("tcp", h.opts.PeerAddress)
 	if err != nil {
 		return fmt.Errorf("listen for peers: %w", err)
 	}
@@ -50,8 +50,8 @@
 		Host: h.opts.Name, Incarnation: h.incarnation, Domain: h.opts.Domain, Region: h.opts.Region,
 		Address: l.Addr().String(),
 	}
-	if h.opts.Members.Advertise != "" {
-		self.Address = h.opts.Members.Advertise
+	if h.opts.Membership.AdvertiseAddress != "" {
+		self.Address = h.opts.Membership.AdvertiseAddress
 	}
 	conns := peerconn.Options{Self: self, Secret: []byte(h.opts.PeerSecret)}
 	mesh := peer.NewMesh(peer.MeshOptions{
@@ -118,7 +118,7 @@
 
 func (o *Options) seeds() []string {
 	var out []string
-	for address := range strings.SplitSeq(o.Peers, ",") {
+	for address := range strings.SplitSeq(o.PeerSeeds, ",") {
 		if address = strings.TrimSpace(address); address != "" {
 			out = append(out, address)
 		}
--- a/entryhost/members_test.go
+++ b/entryhost/members_test.go
@@ -16,10 +16,10 @@
 // peered starts an entry host that knows the peer addresses given.
 func (w *world) peered(name string, peers string) (*Host, context.CancelFunc) {
 	opts := DefaultOptions()
-	opts.Name, opts.Domain, opts.Region, opts.Platform = name, "d1", "r1", w.store.URL
-	opts.Listen, opts.Admin, opts.Peer, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
-	opts.PeerSecret, opts.Peers = "secret", peers
-	opts.Members.LeaseTTL, opts.Members.OrderRate = 1500*time.Millisecond, 100
+	opts.Name, opts.Domain, opts.Region, opts.PlatformURL = name, "d1", "r1", w.store.URL
+	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
+	opts.PeerSecret, opts.PeerSeeds = "secret", peers
+	opts.Membership.LeaseTTL, opts.Membership.OrdersPerSecond = 1500*time.Millisecond, 100
 	ctx, cancel := context.WithCancel(context.Background())
 	h, err := New(ctx, opts)
 	Expect(err).NotTo(HaveOccurred())
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -24,47 +24,47 @@
 	Domain string // failure domain
 	Region string
 
-	Listen string // callers, host:port
-	Admin  string // operators, host:port
-	Peer   string // other entry hosts, host:port
-	Peers  string // addresses of other entry hosts, separated by commas
+	ListenAddress string // callers, host:port
+	AdminAddress  string // operators, host:port
+	PeerAddress   string // other entry hosts, host:port
+	PeerSeeds     string // addresses of other entry hosts, separated by commas
 
-	Platform      string // base URL of the object API
+	PlatformURL   string // base URL of the object API
 	PlatformToken string
 	AdminToken    string
 	PeerSecret    string
 
 	// DrainDelay is the time between readiness going false and the first
 	// refusal, in which the balancer takes this host out of service.
-	DrainDelay   time.Duration
-	DrainTimeout time.Duration
-	LogLevel     string
-	LogJSON      bool
-	LogRefusals  int // lines a second about error answers
-	Spans        string
-	SpansTo      string
-	SpansShare   float64
+	DrainDelay           time.Duration
+	DrainTimeout         time.Duration
+	LogLevel             string
+	LogJSON              bool
+	RefusalLogsPerSecond int // lines a second about error answers
+	SpanExporterName     string
+	OTLPEndpoint         string
+	SpanSampleRatio      float64
 	// SpanExporter gets the spans in place of Spans, if set.
 	SpanExporter sdktrace.SpanExporter
 
 	callerOptions
 	tlsOptions
 
-	Requests RequestOptions
-	Policy   PolicyOptions
-	Members  MembersOptions
-	Releases ReleaseOptions
+	Requests   RequestOptions
+	Policy     PolicyOptions
+	Membership MembershipOptions
+	Releases   ReleaseOptions
 }
 
 // DefaultOptions returns the defaults.
 func DefaultOptions() Options {
 	return Options{
-		Listen: "127.0.0.1:8080", Admin: "127.0.0.1:8081", Peer: "127.0.0.1:8082",
-		Platform: "http://127.0.0.1:8090", DrainTimeout: 30 * time.Second,
-		LogLevel: "info", LogRefusals: 50, Spans: telemetry.ExportNone, SpansShare: 1,
+		ListenAddress: "127.0.0.1:8080", AdminAddress: "127.0.0.1:8081", PeerAddress: "127.0.0.1:8082",
+		PlatformURL: "http://127.0.0.1:8090", DrainTimeout: 30 * time.Second,
+		LogLevel: "info", RefusalLogsPerSecond: 50, SpanExporterName: telemetry.ExportNone, SpanSampleRatio: 1,
 		Requests:      DefaultRequestOptions(),
 		Policy:        defaultPolicyOptions(),
-		Members:       defaultMembersOptions(),
+		Membership:    defaultMembersOptions(),
 		callerOptions: defaultCallerOptions(),
 		Releases:      defaultReleaseOptions(),
 	}
@@ -75,11 +75,11 @@
 	set.String(&o.Name, "name", "name of this entry host", settings.Required)
 	set.String(&o.Domain, "domain", "failure domain of this entry host", settings.Required)
 	set.String(&o.Region, "region", "region of this entry host", settings.Required)
-	set.String(&o.Listen, "listen", "callers' address, host:port", address)
-	set.String(&o.Admin, "admin", "operators' address, host:port; without a token loopback only", address)
-	set.String(&o.Peer, "peer", "address for other entry hosts, host:port", address)
-	set.String(&o.Peers, "peers", "peer addresses of other entry hosts, separated by commas", addresses)
-	set.String(&o.Platform, "platform", "base URL of the platform's object API", baseURL)
+	set.String(&o.ListenAddress, "listen", "callers' address, host:port", address)
+	set.String(&o.AdminAddress, "admin", "operators' address, host:port; without a token loopback only", address)
+	set.String(&o.PeerAddress, "peer", "address for other entry hosts, host:port", address)
+	set.String(&o.PeerSeeds, "peers", "peer addresses of other entry hosts, separated by commas", addresses)
+	set.String(&o.PlatformURL, "platform", "base URL of the platform's object API", baseURL)
 	set.Secret(&o.PlatformToken, "platform-token", "bearer token for the platform")
 	set.Secret(&o.AdminToken, "admin-token", "bearer token that admin calls need")
 	set.Secret(&o.PeerSecret, "peer-secret", "secret that entry hosts prove to each other")
@@ -87,15 +87,15 @@
 	set.Duration(&o.DrainTimeout, "drain-timeout", "longest wait for requests in flight at shutdown", time.Second, 10*time.Minute)
 	set.String(&o.LogLevel, "log-level", "debug, info, warn or error", settings.OneOf("debug", "info", "warn", "error"))
 	set.Bool(&o.LogJSON, "log-json", "write logs as JSON")
-	set.Int(&o.LogRefusals, "log-refusals", "log lines a second about error answers", 0, 100000)
-	set.String(&o.Spans, "spans", "span exporter: none, stdout or otlp", settings.OneOf(telemetry.ExportNone, telemetry.ExportStdout, telemetry.ExportOTLP))
-	set.String(&o.SpansTo, "spans-to", "OTLP collector, host:port", nil)
-	set.Float(&o.SpansShare, "spans-share", "share of requests traced", 0, 1)
+	set.Int(&o.RefusalLogsPerSecond, "log-refusals", "log lines a second about error answers", 0, 100000)
+	set.String(&o.SpanExporterName, "spans", "span exporter: none, stdout or otlp", settings.OneOf(telemetry.ExportNone, telemetry.ExportStdout, telemetry.ExportOTLP))
+	set.String(&o.OTLPEndpoint, "spans-to", "OTLP collector, host:port", nil)
+	set.Float(&o.SpanSampleRatio, "spans-share", "share of requests traced", 0, 1)
 	o.callerOptions.register(set)
 	o.tlsOptions.register(set)
 	o.Requests.register(set)
 	o.Policy.register(set)
-	o.Members.register(set)
+	o.Membership.register(set)
 	o.Releases.register(set)
 }
 
@@ -127,12 +127,12 @@
 
 // Check reports every fault between settings.
 func (o *Options) Check() error {
-	faults := []error{o.tlsOptions.check(), o.callerOptions.check(), o.distinctPorts(), o.checkPeer(), o.Requests.Headers.Check()}
-	if o.AdminToken == "" && !loopback(o.Admin) {
+	faults := []error{o.tlsOptions.check(), o.callerOptions.check(), o.distinctPorts(), o.checkPeer(), o.Requests.BackendHeaders.Check()}
+	if o.AdminToken == "" && !loopback(o.AdminAddress) {
 		faults = append(faults, errors.New("--admin: an address other than loopback needs --admin-token"))
 	}
-	if o.Spans == telemetry.ExportOTLP {
-		if err := address(o.SpansTo); err != nil {
+	if o.SpanExporterName == telemetry.ExportOTLP {
+		if err := address(o.OTLPEndpoint); err != nil {
 			faults = append(faults, fmt.Errorf("--spans-to: %w; the exporter otlp needs its collector", err))
 		}
 	}
@@ -143,7 +143,7 @@
 func (o *Options) distinctPorts() error {
 	seen := map[string]string{}
 	var faults []error
-	for _, p := range []struct{ name, addr string }{{"listen", o.Listen}, {"admin", o.Admin}, {"peer", o.Peer}} {
+	for _, p := range []struct{ name, addr string }{{"listen", o.ListenAddress}, {"admin", o.AdminAddress}, {"peer", o.PeerAddress}} {
 		if other, dup := seen[p.addr]; dup && !strings.HasSuffix(p.addr, ":0") {
 			faults = append(faults, fmt.Errorf("--%s: %s is also --%s", p.name, p.addr, other))
 		}
--- a/entryhost/options_callers.go
+++ b/entryhost/options_callers.go
@@ -17,23 +17,23 @@
 	// it goes before the table of routes.
 	HealthPath string
 
-	Headers   entry.Headers
-	MaxBody   int // bytes
-	MaxHeader int // bytes of all headers of a request
-	MaxKey    int // bytes of the idempotency key
-	MaxActive int // requests in the host at once
+	Headers        entry.Headers
+	MaxBodyBytes   int // bytes
+	MaxHeaderBytes int // bytes of all headers of a request
+	MaxKeyBytes    int // bytes of the idempotency key
+	MaxInFlight    int // requests in the host at once
 
-	HeaderTimeout time.Duration // for a request's headers
-	ReadTimeout   time.Duration // for a whole request
-	IdleTimeout   time.Duration // between two requests of a connection
+	ReadHeaderTimeout time.Duration // for a request's headers
+	ReadTimeout       time.Duration // for a whole request
+	IdleTimeout       time.Duration // between two requests of a connection
 }
 
 func defaultCallerOptions() callerOptions {
 	limits := entry.DefaultLimits()
 	return callerOptions{
 		HealthPath: "/healthz", Headers: entry.DefaultHeaders(),
-		MaxBody: int(limits.Body), MaxKey: limits.Key, MaxHeader: 32 << 10, MaxActive: 4096,
-		HeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute,
+		MaxBodyBytes: int(limits.Body), MaxKeyBytes: limits.Key, MaxHeaderBytes: 32 << 10, MaxInFlight: 4096,
+		ReadHeaderTimeout: 5 * time.Second, ReadTimeout: 30 * time.Second, IdleTimeout: time.Minute,
 	}
 }
 
@@ -43,11 +43,11 @@
 	set.String(&o.Headers.Account, "header-account", "callers' header of the client account", headerName)
 	set.String(&o.Headers.Timeout, "header-timeout", "callers' header that shortens the deadline", headerName)
 	set.String(&o.Headers.Key, "header-key", "callers' header of the idempotency key", headerName)
-	set.Int(&o.MaxBody, "max-body", "bytes of a request's body", 1, 1<<30)
-	set.Int(&o.MaxHeader, "max-header", "bytes of a request's headers", 1<<10, 1<<20)
-	set.Int(&o.MaxKey, "max-key", "bytes of an idempotency key", 1, 4096)
-	set.Int(&o.MaxActive, "max-active", "requests in the host at once; more are refused unread", 1, 1000000)
-	set.Duration(&o.HeaderTimeout, "header-read-timeout", "longest time to read a request's headers", 100*time.Millisecond, time.Minute)
+	set.Int(&o.MaxBodyBytes, "max-body", "bytes of a request's body", 1, 1<<30)
+	set.Int(&o.MaxHeaderBytes, "max-header", "bytes of a request's headers", 1<<10, 1<<20)
+	set.Int(&o.MaxKeyBytes, "max-key", "bytes of an idempotency key", 1, 4096)
+	set.Int(&o.MaxInFlight, "max-active", "requests in the host at once; more are refused unread", 1, 1000000)
+	set.Duration(&o.ReadHeaderTimeout, "header-read-timeout", "longest time to read a request's headers", 100*time.Millisecond, time.Minute)
 	set.Duration(&o.ReadTimeout, "read-timeout", "longest time to read a whole request", 100*time.Millisecond, 10*time.Minute)
 	set.Duration(&o.IdleTimeout, "idle-timeout", "longest idle time of a caller's connection", time.Second, 10*time.Minute)
 }
@@ -78,6 +78,6 @@
 
 func (o *callerOptions) limits() entry.Limits {
 	l := entry.DefaultLimits()
-	l.Body, l.Key = int64(o.MaxBody), o.MaxKey
+	l.Body, l.Key = int64(o.MaxBodyBytes), o.MaxKeyBytes
 	return l
 }
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -16,16 +16,16 @@
 )
 
 // MembersOptions are the settings of membership and orders.
-type MembersOptions struct {
-	Advertise string  // address that peers dial; empty: the listening one
-	OrderRate float64 // orders a second in a failure domain
+type MembershipOptions struct {
+	AdvertiseAddress string  // address that peers dial; empty: the listening one
+	OrdersPerSecond  float64 // orders a second in a failure domain
 	// LeaseTTL is how long one renewal of the lease to give orders lasts. The
 	// next holder waits a fifth more.
 	LeaseTTL time.Duration
 }
 
-func defaultMembersOptions() MembersOptions {
-	return MembersOptions{OrderRate: 1, LeaseTTL: 15 * time.Second}
+func defaultMembersOptions() MembershipOptions {
+	return MembershipOptions{OrdersPerSecond: 1, LeaseTTL: 15 * time.Second}
 }
 
 // Parts of the lease's TTL. An order and its reading back end within the
@@ -36,9 +36,9 @@
 	orderTimeoutPart = 11
 )
 
-func (o *MembersOptions) register(set *settings.Set) {
-	set.String(&o.Advertise, "peer-advertise", "peer address that other entry hosts dial, host:port; default the one listened on", nil)
-	set.Float(&o.OrderRate, "order-rate", "orders a second to the engines of the failure domain, within the weight store's rate", 0.01, 1000)
+func (o *MembershipOptions) register(set *settings.Set) {
+	set.String(&o.AdvertiseAddress, "peer-advertise", "peer address that other entry hosts dial, host:port; default the one listened on", nil)
+	set.Float(&o.OrdersPerSecond, "order-rate", "orders a second to the engines of the failure domain, within the weight store's rate", 0.01, 1000)
 	set.Duration(&o.LeaseTTL, "lease-ttl", "duration of one renewal of the lease to give orders", 5*time.Second, 10*time.Minute)
 }
 
@@ -52,14 +52,14 @@
 // giveOrders lets one host of the failure domain order its engines.
 func (h *Host) giveOrders(m *member.Monitor) {
 	self := h.members.link.Self()
-	p, ttl := &h.members, h.opts.Members.LeaseTTL
+	p, ttl := &h.members, h.opts.Membership.LeaseTTL
 	p.lease = lease.NewElector(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.KeyPrefix + h.opts.Domain, Host: h.opts.Name,
 		IsCandidate: func() bool { return !h.gate.Closed() && member.IsOwner(m, self, "lease", leaseCandidates) },
 		TTL:         ttl, Margin: ttl / marginPart, MaxOrderDuration: ttl / longestOrderPart,
 	})
 	p.orders = order.New(order.Options{
-		Lease: p.lease, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Members.OrderRate,
+		Lease: p.lease, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Membership.OrdersPerSecond,
 		Targets: h.engineTargets, Timeout: ttl / orderTimeoutPart,
 	})
 	h.add("lease", p.lease.Run)
--- a/entryhost/path_test.go
+++ b/entryhost/path_test.go
@@ -83,8 +83,8 @@
 // newHost makes a host that does not run yet.
 func (w *world) newHost(name string, change func(*Options)) *Host {
 	opts := DefaultOptions()
-	opts.Name, opts.Domain, opts.Region, opts.Platform = name, "d1", "r1", w.store.URL
-	opts.Listen, opts.Admin, opts.Peer, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
+	opts.Name, opts.Domain, opts.Region, opts.PlatformURL = name, "d1", "r1", w.store.URL
+	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
 	change(&opts)
 	h, err := New(context.Background(), opts)
 	Expect(err).NotTo(HaveOccurred())
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -18,31 +18,31 @@
 
 // PolicyOptions are the settings of the decisions under load.
 type PolicyOptions struct {
-	LoadTarget      float64
-	BackgroundBelow float64
-	RemoteAt        float64
-	RemotePerMB     float64
-	SubsetRegion    int
-	SubsetRemote    int
-	LoadReports     int
+	TargetLoad           float64
+	BackgroundMaxLoad    float64
+	RemoteSpilloverLoad  float64
+	RemoteLoadPerMB      float64
+	RegionSubsetSize     int
+	RemoteSubsetSize     int
+	LoadReportsPerSecond int
 }
 
 func defaultPolicyOptions() PolicyOptions {
 	a, p := admission.DefaultOptions(), pick.DefaultOptions("", "", "")
 	return PolicyOptions{
-		LoadTarget: a.TargetLoad, BackgroundBelow: a.BackgroundMaxLoad, RemoteAt: p.RemoteSpilloverLoad, RemotePerMB: p.RemoteLoadPerMB,
-		SubsetRegion: p.RegionSubsetSize, SubsetRemote: p.RemoteSubsetSize, LoadReports: 2,
+		TargetLoad: a.TargetLoad, BackgroundMaxLoad: a.BackgroundMaxLoad, RemoteSpilloverLoad: p.RemoteSpilloverLoad, RemoteLoadPerMB: p.RemoteLoadPerMB,
+		RegionSubsetSize: p.RegionSubsetSize, RemoteSubsetSize: p.RemoteSubsetSize, LoadReportsPerSecond: 2,
 	}
 }
 
 func (o *PolicyOptions) register(set *settings.Set) {
-	set.Float(&o.LoadTarget, "load-target", "requests for a slot at which a full pool is held", .5, 10)
-	set.Float(&o.BackgroundBelow, "background-below", "load of every pool below which background requests start", 0, 10)
-	set.Float(&o.RemoteAt, "remote-at", "load of the own region from which other regions are tried", .5, 100)
-	set.Float(&o.RemotePerMB, "remote-per-mb", "load by which another region has to be better for each billed megabyte", 0, 1000)
-	set.Int(&o.SubsetRegion, "subset-region", "servers of a pool used in other domains of the own region", 1, 1000)
-	set.Int(&o.SubsetRemote, "subset-remote", "servers of a pool used in each other region", 1, 1000)
-	set.Int(&o.LoadReports, "load-reports", "load reports fetched a second from servers in other domains", 1, 1000)
+	set.Float(&o.TargetLoad, "load-target", "requests for a slot at which a full pool is held", .5, 10)
+	set.Float(&o.BackgroundMaxLoad, "background-below", "load of every pool below which background requests start", 0, 10)
+	set.Float(&o.RemoteSpilloverLoad, "remote-at", "load of the own region from which other regions are tried", .5, 100)
+	set.Float(&o.RemoteLoadPerMB, "remote-per-mb", "load by which another region has to be better for each billed megabyte", 0, 1000)
+	set.Int(&o.RegionSubsetSize, "subset-region", "servers of a pool used in other domains of the own region", 1, 1000)
+	set.Int(&o.RemoteSubsetSize, "subset-remote", "servers of a pool used in each other region", 1, 1000)
+	set.Int(&o.LoadReportsPerSecond, "load-reports", "load reports fetched a second from servers in other domains", 1, 1000)
 }
 
 // policyPart decides what to admit and where to run it.
@@ -59,12 +59,12 @@
 
 func (h *Host) wirePolicy() {
 	opts := admission.DefaultOptions()
-	opts.TargetLoad, opts.BackgroundMaxLoad = h.opts.Policy.LoadTarget, h.opts.Policy.BackgroundBelow
+	opts.TargetLoad, opts.BackgroundMaxLoad = h.opts.Policy.TargetLoad, h.opts.Policy.BackgroundMaxLoad
 	h.policy.control = admission.NewController(opts, h.rand)
 	h.policy.admit = h.policy.control
 	h.add("admission", h.tick)
 	loads := &outsideLoads{
-		prober: serverprobe.New(serverprobe.Options{}), clock: h.clock, servers: h.outside, perSecond: h.opts.Policy.LoadReports,
+		prober: serverprobe.New(serverprobe.Options{}), clock: h.clock, servers: h.outside, perSecond: h.opts.Policy.LoadReportsPerSecond,
 	}
 	h.add("loads outside", loads.Run)
 	policyVars.Set(h.opts.Name, expvar.Func(func() any {
@@ -75,8 +75,8 @@
 // newPicker makes the picker of one pool of a new snapshot.
 func (h *Host) newPicker(_ table.Pool, servers []pick.Server) pick.Picker {
 	o := pick.DefaultOptions(h.opts.Name, h.opts.Domain, h.opts.Region)
-	o.RemoteSpilloverLoad, o.RemoteLoadPerMB = h.opts.Policy.RemoteAt, h.opts.Policy.RemotePerMB
-	o.RegionSubsetSize, o.RemoteSubsetSize = h.opts.Policy.SubsetRegion, h.opts.Policy.SubsetRemote
+	o.RemoteSpilloverLoad, o.RemoteLoadPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.RemoteLoadPerMB
+	o.RegionSubsetSize, o.RemoteSubsetSize = h.opts.Policy.RegionSubsetSize, h.opts.Policy.RemoteSubsetSize
 	return pick.NewLocalityPicker(o, servers)
 }
 
--- a/entryhost/policy_test.go
+++ b/entryhost/policy_test.go
@@ -76,8 +76,8 @@
 
 		e := h.getExplanation("path=/v1/two&account=a")
 		Expect(e.Route).To(Equal("two"))
-		Expect(e.Verdict.Reason).To(Equal(admission.PoolDown))
-		Expect(e.Verdict.Pool).To(Equal("gone"))
+		Expect(e.Decision.Reason).To(Equal(admission.PoolDown))
+		Expect(e.Decision.Pool).To(Equal("gone"))
 		Expect(e.Stages).To(HaveLen(2))
 		Expect(e.Stages[0].Server).To(HavePrefix("encoders"))
 		Expect(e.Stages[1].Error).NotTo(BeEmpty())
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -13,23 +13,23 @@
 
 // ReleaseOptions are the settings of following releases.
 type ReleaseOptions struct {
-	Hold     time.Duration // from a release's acceptance to the switch
-	Watchers int           // hosts of a failure domain that watch the platform
-	Poll     time.Duration // period of comparing with a peer
-	Loaded   float64       // share of a pool's servers that make a model version usable
+	ActivationDelay     time.Duration // from a release's acceptance to the switch
+	Watchers            int           // hosts of a failure domain that watch the platform
+	SyncInterval        time.Duration // period of comparing with a peer
+	MinModelLoadedShare float64       // share of a pool's servers that make a model version usable
 }
 
 func defaultReleaseOptions() ReleaseOptions {
 	return ReleaseOptions{
-		Hold: release.DefaultActivationDelay, Watchers: release.DefaultWatchers, Poll: release.DefaultSyncInterval, Loaded: .5,
+		ActivationDelay: release.DefaultActivationDelay, Watchers: release.DefaultWatchers, SyncInterval: release.DefaultSyncInterval, MinModelLoadedShare: .5,
 	}
 }
 
 func (o *ReleaseOptions) register(set *settings.Set) {
-	set.Duration(&o.Hold, "release-hold", "time in which a release spreads before hosts switch to it", 0, 5*time.Second)
+	set.Duration(&o.ActivationDelay, "release-hold", "time in which a release spreads before hosts switch to it", 0, 5*time.Second)
 	set.Int(&o.Watchers, "release-watchers", "entry hosts of a failure domain that watch the platform", 1, 16)
-	set.Duration(&o.Poll, "release-poll", "period in which an entry host compares releases with a peer", 100*time.Millisecond, time.Minute)
-	set.Float(&o.Loaded, "model-loaded", "share of a pool's servers that have to have a new model version loaded before it is used", 0, 1)
+	set.Duration(&o.SyncInterval, "release-poll", "period in which an entry host compares releases with a peer", 100*time.Millisecond, time.Minute)
+	set.Float(&o.MinModelLoadedShare, "model-loaded", "share of a pool's servers that have to have a new model version loaded before it is used", 0, 1)
 }
 
 // releasesPart keeps this entry host on the newest accepted release.
@@ -44,13 +44,13 @@
 
 func (h *Host) wireReleases() {
 	p, opts := &h.releases, h.opts.Releases
-	p.models.share = opts.Loaded
+	p.models.share = opts.MinModelLoadedShare
 	p.follower = release.NewFollower(release.FollowerOptions{
-		Host: h.opts.Name, Store: h.store, Clock: h.clock, Rand: h.rand, Compile: h.compile, ActivationDelay: opts.Hold,
+		Host: h.opts.Name, Store: h.store, Clock: h.clock, Rand: h.rand, Compile: h.compile, ActivationDelay: opts.ActivationDelay,
 	})
 	p.spread = release.NewDistributor(release.DistributorOptions{
-		Follower: p.follower, Link: h.members.link, View: h.members.view, PeersConfigured: h.opts.Peers != "",
-		Watchers: opts.Watchers, SyncInterval: opts.Poll,
+		Follower: p.follower, Link: h.members.link, View: h.members.view, PeersConfigured: h.opts.PeerSeeds != "",
+		Watchers: opts.Watchers, SyncInterval: opts.SyncInterval,
 	})
 	h.members.monitor.Attach("release", p.spread.HeartbeatPayload, p.spread.OnHeartbeatPayload)
 	h.add("releases", p.spread.Run)
--- a/entryhost/releases_bench_test.go
+++ b/entryhost/releases_bench_test.go
@@ -76,8 +76,8 @@
 func (r *releaseBench) host(b *testing.B, i int, seeds string) *Host {
 	opts := DefaultOptions()
 	opts.Name, opts.Domain, opts.Region = fmt.Sprintf("e%02d", i), fmt.Sprint("d", i%3), fmt.Sprint("r", i%3)
-	opts.Platform, opts.Peers, opts.LogLevel = r.srv.URL, seeds, "error"
-	opts.Listen, opts.Admin, opts.Peer = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
+	opts.PlatformURL, opts.PeerSeeds, opts.LogLevel = r.srv.URL, seeds, "error"
+	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	ctx, cancel := context.WithCancel(context.Background())
 	h, err := New(ctx, opts)
 	Expect(err).NotTo(HaveOccurred())
--- a/entryhost/releases_test.go
+++ b/entryhost/releases_test.go
@@ -37,7 +37,7 @@
 		Eventually(func() string { return alone.Status().LastError }, 5*time.Second).Should(ContainSubstring("neither the platform nor a peer"))
 		Expect(alone.ready()).To(BeFalse())
 
-		second := w.hostWith(func(o *Options) { o.Name, o.Peers = "e3", first.members.listener.Addr().String() })
+		second := w.hostWith(func(o *Options) { o.Name, o.PeerSeeds = "e3", first.members.listener.Addr().String() })
 		second.members.mesh.AddPeer(first.members.link.Self())
 		Eventually(second.ready, 10*time.Second).Should(BeTrue())
 		Expect(second.Status().Release).To(Equal(rel.Number))
@@ -52,9 +52,9 @@
 		w.engine("model")
 		w.oneRoute("model")
 		rel := w.apply("ada")
-		rare := func(o *Options) { o.Releases.Poll = time.Minute }
+		rare := func(o *Options) { o.Releases.SyncInterval = time.Minute }
 		box := newMiddlebox() // e1's way to e2, shut at first
-		first := w.hostWith(func(o *Options) { o.Name, o.Peers = "e1", box.Addr().String(); rare(o) })
+		first := w.hostWith(func(o *Options) { o.Name, o.PeerSeeds = "e1", box.Addr().String(); rare(o) })
 		Eventually(first.ready, 10*time.Second).Should(BeTrue())
 		w.objects.SetFaults(platform.Faults{Down: true})
 		late := w.hostWith(func(o *Options) { o.Name = "e2"; rare(o) })
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -39,16 +39,16 @@
 	})
 	h.afterDrain = append(h.afterDrain, h.flushClaims)
 	runner := &pipeline.Runner{
-		Backend: backend.NewHTTPClient(backend.HTTPOptions{Headers: h.opts.Requests.Headers, OnLeaving: h.serverLeaves}), Admission: h.policy.admit, Quarantine: p.guard,
+		Backend: backend.NewHTTPClient(backend.HTTPOptions{Headers: h.opts.Requests.BackendHeaders, OnLeaving: h.serverLeaves}), Admission: h.policy.admit, Quarantine: p.guard,
 		Clock: h.clock, Rand: h.rand, Tracer: h.tracer, Host: h.opts.Name, Incarnation: h.incarnation,
-		Options: h.opts.Requests.Run, Isolator: p.guard,
+		Options: h.opts.Requests.Pipeline, Isolator: p.guard,
 	}
 	requestVars.Set(h.opts.Name, expvar.Func(func() any {
 		return map[string]any{"attempts": runner.Counters.Map(), "claims": p.claims.Counters.Map(), "quarantine": p.guard.List()}
 	}))
 	p.handler = &entry.Handler{
 		InForce: &h.inForce, Runner: runner, Admission: h.policy.admit, Claims: p.claims, Quarantine: p.guard,
-		Gate: &h.gate, Clock: h.clock, Log: h.log, LogLimit: rate.NewLimiter(rate.Limit(h.opts.LogRefusals), h.opts.LogRefusals), Tracer: h.tracer,
+		Gate: &h.gate, Clock: h.clock, Log: h.log, LogLimit: rate.NewLimiter(rate.Limit(h.opts.RefusalLogsPerSecond), h.opts.RefusalLogsPerSecond), Tracer: h.tracer,
 		Headers: h.opts.Headers, Limits: h.opts.limits(), Counters: &p.counters,
 	}
 }
@@ -107,17 +107,17 @@
 
 // RequestOptions are the settings of the request path.
 type RequestOptions struct {
-	Claims     claim.Options
-	Quarantine quarantine.Options
-	Run        pipeline.Options
-	Headers    backend.Headers // of the hop to a backend server
+	Claims         claim.Options
+	Quarantine     quarantine.Options
+	Pipeline       pipeline.Options
+	BackendHeaders backend.Headers // of the hop to a backend server
 }
 
 // DefaultRequestOptions returns the defaults.
 func DefaultRequestOptions() RequestOptions {
 	return RequestOptions{
-		Claims: claim.DefaultOptions(), Quarantine: quarantine.DefaultOptions(), Run: pipeline.DefaultOptions(),
-		Headers: backend.DefaultHeaders(),
+		Claims: claim.DefaultOptions(), Quarantine: quarantine.DefaultOptions(), Pipeline: pipeline.DefaultOptions(),
+		BackendHeaders: backend.DefaultHeaders(),
 	}
 }
 
@@ -130,10 +130,10 @@
 	set.Duration(&o.Claims.ResponseTTL, "answer-time", "time for which an answer is kept for resends", time.Second, 24*time.Hour)
 	set.Int(&o.Quarantine.MaxCrashes, "quarantine-deaths", "backend servers lost to a request before it is refused", 1, 100)
 	set.Duration(&o.Quarantine.QuarantineDuration, "quarantine-term", "time for which such a request is refused", time.Second, 24*time.Hour)
-	set.Int(&o.Run.MaxAttempts, "attempts", "attempts of one stage", 1, 10)
-	set.Float(&o.Run.RetryRatio, "retry-share", "retries for each request of a pool", 0, 1)
-	o.Headers.Each(func(setting string, name *string, meaning string) {
+	set.Int(&o.Pipeline.MaxAttempts, "attempts", "attempts of one stage", 1, 10)
+	set.Float(&o.Pipeline.RetryRatio, "retry-share", "retries for each request of a pool", 0, 1)
+	o.BackendHeaders.Each(func(setting string, name *string, meaning string) {
 		set.String(name, "server-header-"+setting, "backend servers' header: "+meaning, backend.CheckHeader)
 	})
-	set.Duration(&o.Run.MinStallTimeout, "min-silence", "least wait for progress before a connection is doubted", time.Millisecond, time.Minute)
+	set.Duration(&o.Pipeline.MinStallTimeout, "min-silence", "least wait for progress before a connection is doubted", time.Millisecond, time.Minute)
 }
--- a/entryhost/shell_test.go
+++ b/entryhost/shell_test.go
@@ -177,7 +177,7 @@
 	It("bounds callers and answers the balancer on their port", func() {
 		w, s := heldWorld()
 		s.letGo()
-		h := w.newHost("e1", func(o *Options) { o.MaxBody, o.MaxHeader, o.HealthPath = 16, 4096, "/up" })
+		h := w.newHost("e1", func(o *Options) { o.MaxBodyBytes, o.MaxHeaderBytes, o.HealthPath = 16, 4096, "/up" })
 		callers, _ := h.Addresses()
 		runHost(h)
 		Eventually(func() int {
@@ -227,7 +227,7 @@
 	// gets its final answer before its body is read; what is within goes on.
 	It("bounds the requests in the host", func() {
 		w, s := heldWorld()
-		h := w.newHost("e1", func(o *Options) { o.MaxActive = 2 })
+		h := w.newHost("e1", func(o *Options) { o.MaxInFlight = 2 })
 		runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		held := []chan sent{sendInBackground(h), sendInBackground(h)}
@@ -246,7 +246,7 @@
 	// A burst of refusals must not cost a log line each; their number stays known.
 	It("bounds the log lines about refusals", func() {
 		w, _ := heldWorld()
-		h := w.newHost("e1", func(o *Options) { o.LogRefusals, o.LogLevel = 1, "info" })
+		h := w.newHost("e1", func(o *Options) { o.RefusalLogsPerSecond, o.LogLevel = 1, "info" })
 		var logged bytes.Buffer
 		h.log.SetOutput(&logged)
 		stop, done := runHost(h)
@@ -269,16 +269,16 @@
 		running := w.newHost("e1", func(*Options) {})
 		runHost(running)
 		o := running.opts
-		o.Admin, _ = running.Addresses()
+		o.AdminAddress, _ = running.Addresses()
 		_, err := New(context.Background(), o)
 		Expect(err).To(MatchError(ContainSubstring("listen for admin")))
 	})
 
 	It("reports every fault of its settings together", func() {
 		o := DefaultOptions()
-		o.Admin, o.Listen, o.Peer = "10.0.0.1:1", "127.0.0.1:9", "127.0.0.1:9"
+		o.AdminAddress, o.ListenAddress, o.PeerAddress = "10.0.0.1:1", "127.0.0.1:9", "127.0.0.1:9"
 		o.CertFile, o.AdminCertFile, o.AdminKeyFile = "c.pem", "none.pem", "none.key"
-		o.Headers.Key, o.HealthPath, o.Spans = "x-request-id", "up", "otlp"
+		o.Headers.Key, o.HealthPath, o.SpanExporterName = "x-request-id", "up", "otlp"
 		err := o.Check()
 		for _, want := range []string{
 			"--admin: an address other than loopback", "--peer: 127.0.0.1:9 is also --listen", "--tls-cert and --tls-key: set both",
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -197,8 +197,8 @@
 	o.t.Helper()
 	g := NewWithT(o.t)
 	opts := entryhost.DefaultOptions()
-	opts.Name, opts.Domain, opts.Region, opts.Platform = name, "khomas-1", "khomas", o.platform
-	opts.Listen, opts.Admin, opts.Peer, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
+	opts.Name, opts.Domain, opts.Region, opts.PlatformURL = name, "khomas-1", "khomas", o.platform
+	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
 	ctx, cancel := context.WithCancel(context.Background())
 	h, err := entryhost.New(ctx, opts)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -49,7 +49,7 @@
 	if doc.Route == "" {
 		return fmt.Errorf("%s: release %d has no route for %s %s", addr, doc.Release, c.method, path)
 	}
-	env.say("release %d, route %s (%s): %s", doc.Release, doc.Route, doc.Class, verdictText(doc.Verdict))
+	env.say("release %d, route %s (%s): %s", doc.Release, doc.Route, doc.Class, verdictText(doc.Decision))
 	return env.print(doc, []string{"STAGE", "POOL", "SERVER", "TIER", "LOAD", "STATE", "CHOICE"}, planRows(doc.Stages))
 }
 
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -185,8 +185,8 @@
 	}
 	store := httptest.NewServer(objects.Handler())
 	o := entryhost.DefaultOptions()
-	o.Name, o.Domain, o.Region, o.Platform, o.LogLevel = "entry", "d1", "r1", store.URL, "error"
-	o.Listen, o.Admin, o.Peer = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
+	o.Name, o.Domain, o.Region, o.PlatformURL, o.LogLevel = "entry", "d1", "r1", store.URL, "error"
+	o.ListenAddress, o.AdminAddress, o.PeerAddress = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	host, err := entryhost.New(ctx, o)
 	if err != nil {
 		store.Close()
