--- a/process/release/release.go
+++ b/process/release/release.go
@@ -46,7 +46,7 @@
 	ErrPlatformBehind = errors.New("release: the platform is behind the entry hosts")
 	// ErrNoRelease: the entry host has started and got no release from the
 	// platform or a peer.
-	ErrNoRelease = errors.New("release: no release available from the platform or any peer")
+	ErrNoRelease = errors.New("release: neither the platform nor a peer has given one")
 	// ErrPending: the outcome is not known; the change set is still queued or
 	// its head update may have taken effect, so it can still be accepted.
 	ErrPending = errors.New("release: outcome not known yet")
