--- a/process/release/queue.go
+++ b/process/release/queue.go
@@ -91,7 +91,7 @@
 // queue. It reports whether the outcome is final. The head is read before the
 // queue; withdraw depends on that order. Rows are read only by the few
 // publishers that prepare a commit.
-func (q *queuedWriter) tryCommit(ctx context.Context, tryCommit int) (Release, bool, error) {
+func (q *queuedWriter) tryCommit(ctx context.Context, attempt int) (Release, bool, error) {
 	head, obj, err := readHead(ctx, q.p.store())
 	if err != nil {
 		return Release{}, false, err
@@ -104,7 +104,7 @@
 	if err != nil {
 		return Release{}, false, err
 	}
-	if q.deferToOthers(len(sets), tryCommit) {
+	if q.deferToOthers(len(sets), attempt) {
 		return Release{}, false, objectapi.ErrConflict
 	}
 	base, err := q.p.loadBase(ctx, head, obj)
