--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -52,7 +52,7 @@
 	if err := p.ParseArgs(args); err != nil {
 		return err
 	}
-	if err := set.Check(); err != nil {
+	if err := set.Validate(); err != nil {
 		return err
 	}
 	return o.run()
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -33,10 +33,10 @@
 	p := flaggy.NewParser("standin")
 	p.Version = settings.Version()
 	listen := "127.0.0.1:0"
-	eng := engine.Options{Name: "engine", Slots: 8, Tokens: 16, Prefill: 20 * time.Millisecond, PerToken: 2 * time.Millisecond, ReportLag: time.Second, Cache: 256, Crash: crash}
-	svc := service.Options{Name: "service", Slots: 64, Time: 5 * time.Millisecond, Crash: crash}
+	eng := engine.Options{Name: "engine", Slots: 8, ResponseTokens: 16, PrefillTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, ReportMaxAge: time.Second, CacheCapacity: 256, Crash: crash}
+	svc := service.Options{Name: "service", Slots: 64, ExecutionTime: 5 * time.Millisecond, Crash: crash}
 
-	store := weights.Options{Size: 64 << 20, Rate: 16 << 20}
+	store := weights.Options{ModelBytes: 64 << 20, BytesPerSecond: 16 << 20}
 
 	pc, ec, sc := flaggy.NewSubcommand("platform"), flaggy.NewSubcommand("engine"), flaggy.NewSubcommand("service")
 	wc := flaggy.NewSubcommand("weights")
@@ -52,15 +52,15 @@
 	registerEngine(sets[1], &eng)
 	sets[2].String(&svc.Name, "name", "name of the backend server", settings.Required)
 	sets[2].Int(&svc.Slots, "slots", "requests run at once", 1, 10000)
-	sets[2].Duration(&svc.Time, "time", "time of one execution", 0, time.Minute)
-	sets[3].Int(&store.Size, "size", "bytes of a model", 1, 1<<40)
-	sets[3].Int(&store.Rate, "rate", "bytes a second for all readers together", 1, 1<<40)
+	sets[2].Duration(&svc.ExecutionTime, "time", "time of one execution", 0, time.Minute)
+	sets[3].Int(&store.ModelBytes, "size", "bytes of a model", 1, 1<<40)
+	sets[3].Int(&store.BytesPerSecond, "rate", "bytes a second for all readers together", 1, 1<<40)
 	if err := settings.Parse(p, args, sets...); err != nil {
 		return err
 	}
 	switch {
 	case pc.Used:
-		return serve(listen, platform.New().Handler())
+		return serve(listen, platform.NewStore().Handler())
 	case ec.Used:
 		return serve(listen, engine.New(eng).Handler())
 	case sc.Used:
@@ -73,18 +73,18 @@
 
 func registerEngine(set *settings.Set, o *engine.Options) {
 	set.String(&o.Name, "name", "name of the backend server", settings.Required)
-	set.String(&o.Model, "model", "model loaded at the start", nil)
+	set.String(&o.InitialModel, "model", "model loaded at the start", nil)
 	set.Int(&o.Slots, "slots", "sequences in a batch", 1, 10000)
-	set.Int(&o.Tokens, "tokens", "tokens of each answer", 1, 100000)
-	set.Duration(&o.Prefill, "prefill", "time to the first token without a cached prefix", 0, time.Minute)
-	set.Duration(&o.PerToken, "per-token", "time between tokens", 0, time.Minute)
-	set.Duration(&o.ReportLag, "report-lag", "age of the load report", 0, time.Minute)
-	set.Int(&o.Cache, "cache", "prompt prefixes kept", 1, 1000000)
-	set.Duration(&o.EventLag, "event-lag", "age at which a cache event is published", 0, time.Hour)
-	set.Int(&o.EventGap, "event-gap", "every so many cache events one is lost; 0 for none", 0, 1000000)
-	set.Duration(&o.OrderTime, "order-time", "time to carry out an order", 0, time.Hour)
-	set.String(&o.Weights, "weights", "base URL of the weight store; empty for none", nil)
-	set.Bool(&o.Fencing, "fencing", "refuse orders with an old fencing number")
+	set.Int(&o.ResponseTokens, "tokens", "tokens of each answer", 1, 100000)
+	set.Duration(&o.PrefillTime, "prefill", "time to the first token without a cached prefix", 0, time.Minute)
+	set.Duration(&o.TokenInterval, "per-token", "time between tokens", 0, time.Minute)
+	set.Duration(&o.ReportMaxAge, "report-lag", "age of the load report", 0, time.Minute)
+	set.Int(&o.CacheCapacity, "cache", "prompt prefixes kept", 1, 1000000)
+	set.Duration(&o.EventDelay, "event-lag", "age at which a cache event is published", 0, time.Hour)
+	set.Int(&o.DropEventEvery, "event-gap", "every so many cache events one is lost; 0 for none", 0, 1000000)
+	set.Duration(&o.OrderDuration, "order-time", "time to carry out an order", 0, time.Hour)
+	set.String(&o.WeightStoreURL, "weights", "base URL of the weight store; empty for none", nil)
+	set.Bool(&o.EnforceFencing, "fencing", "refuse orders with an old fencing number")
 }
 
 // serve listens on addr and tells the address it got, for port 0.
--- a/entryhost/leaving_test.go
+++ b/entryhost/leaving_test.go
@@ -50,7 +50,7 @@
 		}
 		Eventually(func() int64 {
 			Expect(ask()).To(Equal(http.StatusOK))
-			return min(servers[0].Total(), servers[1].Total())
+			return min(servers[0].TotalExecutions(), servers[1].TotalExecutions())
 		}, 10*time.Second, time.Millisecond).Should(BeNumerically(">", 0))
 
 		w.objects.SetFaults(platform.Faults{Down: true})
@@ -58,10 +58,10 @@
 		srv := w.tables.Pools[0].Servers[0]
 		state := h.registry.Get(srv.Name, srv.Address, time.Now())
 		Eventually(state.Leaving, 10*time.Second).Should(BeTrue())
-		before := servers[0].Total()
+		before := servers[0].TotalExecutions()
 		for range 40 {
 			Expect(ask()).To(Equal(http.StatusOK))
 		}
-		Expect(servers[0].Total()).To(Equal(before))
+		Expect(servers[0].TotalExecutions()).To(Equal(before))
 	})
 })
--- a/entryhost/members_test.go
+++ b/entryhost/members_test.go
@@ -67,7 +67,7 @@
 	// holder that ordered only what is in force would wait for ever.
 	It("have one holder that makes engines load a new model version before the switch", func() {
 		w := newWorld()
-		e := engine.New(engine.Options{Name: "model-1", Tokens: 20, Model: "m", Fencing: true, Crash: func() {}})
+		e := engine.New(engine.Options{Name: "model-1", ResponseTokens: 20, InitialModel: "m", EnforceFencing: true, Crash: func() {}})
 		w.pool(table.Pool{Name: "model", Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}, Fencing: true}, e.Handler())
 		route := fourStages()
 		route.Stages = route.Stages[3:]
@@ -77,13 +77,13 @@
 		e2, _ := w.peered("e2", e1.members.listener.Addr().String())
 		held := func(h *Host) bool { _, ok := h.members.lease.Held(time.Now()); return ok }
 		Eventually(func() bool { return held(e1) || held(e2) }, 15*time.Second).Should(BeTrue())
-		Expect(e.Applied()).To(BeEmpty(), "the engine has what it should")
+		Expect(e.AppliedFences()).To(BeEmpty(), "the engine has what it should")
 		w.tables.Pools[0].Model.Version = "2"
 		w.apply("bo")
-		Eventually(func() []string { return e.Load().Models }, 15*time.Second).Should(ConsistOf("m", "m@2"))
+		Eventually(func() []string { return e.LoadReport().Models }, 15*time.Second).Should(ConsistOf("m", "m@2"))
 		for _, h := range []*Host{e1, e2} {
 			Eventually(func() string { return h.inForce.Load().Pools["model"].Model.String() }, 15*time.Second).Should(Equal("m@2"))
 		}
-		Eventually(func() []string { return e.Load().Models }, 15*time.Second).Should(ConsistOf("m@2"))
+		Eventually(func() []string { return e.LoadReport().Models }, 15*time.Second).Should(ConsistOf("m@2"))
 	})
 })
--- a/entryhost/path_test.go
+++ b/entryhost/path_test.go
@@ -23,14 +23,14 @@
 
 // world is a platform, backend servers and entry hosts on loopback.
 type world struct {
-	objects  *platform.Objects
+	objects  *platform.Store
 	store    *httptest.Server
 	services map[string]*service.Service
 	tables   table.Tables
 }
 
 func newWorld() *world {
-	w := &world{objects: platform.New(), services: map[string]*service.Service{}}
+	w := &world{objects: platform.NewStore(), services: map[string]*service.Service{}}
 	w.store = httptest.NewServer(w.objects.Handler())
 	DeferCleanup(w.store.Close)
 	return w
@@ -43,7 +43,7 @@
 }
 
 func (w *world) engine(pool string) {
-	e := engine.New(engine.Options{Name: pool + "-1", Tokens: 20, Model: "m", Crash: func() {}})
+	e := engine.New(engine.Options{Name: pool + "-1", ResponseTokens: 20, InitialModel: "m", Crash: func() {}})
 	w.pool(table.Pool{Name: pool, Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}}, e.Handler())
 }
 
@@ -157,7 +157,7 @@
 			Expect(resp.Header.Get("Content-Type")).To(Equal(entry.StreamMediaType))
 			Expect(bytes.TrimSpace(body)).To(HaveSuffix(`"final":true}`))
 		}
-		Expect(w.services["rerankers"].Total()).To(BeEquivalentTo(4))
+		Expect(w.services["rerankers"].TotalExecutions()).To(BeEquivalentTo(4))
 
 		second := fourStages()
 		second.Name, second.Match.Path = "other", "/v2/drafts"
--- a/entryhost/policy_test.go
+++ b/entryhost/policy_test.go
@@ -70,9 +70,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seconds).To(BeNumerically(">=", 2))
 
-		before := w.services["encoders"].Total()
+		before := w.services["encoders"].TotalExecutions()
 		send(h, "/v1/two", "", `{}`)
-		Expect(w.services["encoders"].Total()).To(Equal(before))
+		Expect(w.services["encoders"].TotalExecutions()).To(Equal(before))
 
 		e := h.getExplanation("path=/v1/two&account=a")
 		Expect(e.Route).To(Equal("two"))
--- a/entryhost/releases_bench_test.go
+++ b/entryhost/releases_bench_test.go
@@ -22,7 +22,7 @@
 // releaseBench is entry hosts of three domains with their real links over
 // loopback, before a platform that can be switched off for them alone.
 type releaseBench struct {
-	objects *standin.Objects
+	objects *standin.Store
 	down    atomic.Bool
 	srv     *httptest.Server
 	hosts   []*Host
@@ -34,7 +34,7 @@
 
 func newReleaseBench(b *testing.B, n int) *releaseBench {
 	RegisterTestingT(b)
-	r := &releaseBench{objects: standin.New()}
+	r := &releaseBench{objects: standin.NewStore()}
 	handler := r.objects.Handler()
 	r.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		if r.down.Load() {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -26,7 +26,7 @@
 	Author string
 	Note   string
 	Store  objectapi.Store
-	Hosts  *Hosts
+	Admin  *AdminClient
 }
 
 // command is one operators' command. Its name is one word, or a group and a
@@ -69,12 +69,12 @@
 }
 
 func (o *options) env(out io.Writer) (*Env, error) {
-	hosts, err := NewHosts(HostsOptions{Addresses: splitList(o.hosts), Token: o.adminToken, CA: o.ca})
+	hosts, err := NewAdminClient(AdminClientOptions{Addresses: splitList(o.hosts), Token: o.adminToken, CAFile: o.ca})
 	if err != nil {
 		return nil, err
 	}
 	return &Env{
-		Out: out, JSON: o.json, Author: o.author, Note: o.note, Hosts: hosts,
+		Out: out, JSON: o.json, Author: o.author, Note: o.note, Admin: hosts,
 		Store: objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(o.platform, o.platformToken)), objectapi.ClientOptions{}),
 	}, nil
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -25,7 +25,7 @@
 }
 
 func newOperator(t *testing.T) *operator {
-	srv := httptest.NewServer(platform.New().Handler())
+	srv := httptest.NewServer(platform.NewStore().Handler())
 	t.Cleanup(srv.Close)
 	return &operator{t: t, name: "ada", platform: srv.URL, hosts: "127.0.0.1:1"}
 }
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -31,7 +31,7 @@
 
 // run asks the first entry host alone: each answers from its own view.
 func (c *explainCommand) run(ctx context.Context, env *Env, path string) error {
-	if len(env.Hosts.opts.Addresses) == 0 {
+	if len(env.Admin.opts.Addresses) == 0 {
 		return errors.New("name the entry host with --hosts")
 	}
 	q := url.Values{"method": {c.method}, "path": {path}}
@@ -41,9 +41,9 @@
 	for _, h := range splitList(c.headers) {
 		q.Add("header", h)
 	}
-	addr := env.Hosts.opts.Addresses[0]
+	addr := env.Admin.opts.Addresses[0]
 	var doc entryhost.Explanation
-	if err := env.Hosts.call(ctx, http.MethodGet, addr, "/explain?"+q.Encode(), nil, &doc); err != nil {
+	if err := env.Admin.call(ctx, http.MethodGet, addr, "/explain?"+q.Encode(), nil, &doc); err != nil {
 		return fmt.Errorf("%s: %w", addr, err)
 	}
 	if doc.Route == "" {
--- a/internal/ctl/hosts.go
+++ b/internal/ctl/hosts.go
@@ -17,15 +17,15 @@
 )
 
 // HostsOptions configure the client of the admin ports.
-type HostsOptions struct {
+type AdminClientOptions struct {
 	Addresses []string // host:port
 	Token     string
-	CA        string // PEM file; set: TLS
+	CAFile    string // PEM file; set: TLS
 }
 
 // Hosts calls the admin ports of entry hosts.
-type Hosts struct {
-	opts   HostsOptions
+type AdminClient struct {
+	opts   AdminClientOptions
 	scheme string
 	client *http.Client
 }
@@ -39,19 +39,19 @@
 var errNoEndpoint = errors.New("this entry host does not serve that admin call; it may run an older build")
 
 // NewHosts returns a client for opts.Addresses.
-func NewHosts(opts HostsOptions) (*Hosts, error) {
+func NewAdminClient(opts AdminClientOptions) (*AdminClient, error) {
 	tr := &http.Transport{Proxy: nil}
-	h := &Hosts{opts: opts, scheme: "http", client: &http.Client{Timeout: hostTimeout, Transport: tr}}
-	if opts.CA == "" {
+	h := &AdminClient{opts: opts, scheme: "http", client: &http.Client{Timeout: hostTimeout, Transport: tr}}
+	if opts.CAFile == "" {
 		return h, nil
 	}
-	pem, err := os.ReadFile(opts.CA)
+	pem, err := os.ReadFile(opts.CAFile)
 	if err != nil {
 		return nil, fmt.Errorf("--admin-ca: %w", err)
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("--admin-ca: %s holds no certificate", opts.CA)
+		return nil, fmt.Errorf("--admin-ca: %s holds no certificate", opts.CAFile)
 	}
 	tr.TLSClientConfig = &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}
 	h.scheme = "https"
@@ -68,7 +68,7 @@
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.text) }
 
 // call sends one admin call to one entry host; in and out may be nil.
-func (h *Hosts) call(ctx context.Context, method, addr, path string, in, out any) error {
+func (h *AdminClient) call(ctx context.Context, method, addr, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -121,7 +121,7 @@
 }
 
 // each calls every entry host side by side and keeps their order.
-func each[T any](ctx context.Context, h *Hosts, call func(ctx context.Context, addr string) (T, error)) []answer[T] {
+func each[T any](ctx context.Context, h *AdminClient, call func(ctx context.Context, addr string) (T, error)) []answer[T] {
 	out := make([]answer[T], len(h.opts.Addresses))
 	var g errgroup.Group
 	for i, addr := range h.opts.Addresses {
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -25,9 +25,9 @@
 	list := []PeerView{}
 	var rows [][]string
 	var faults []error
-	for _, a := range each(ctx, env.Hosts, func(ctx context.Context, addr string) ([]PeerView, error) {
+	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) ([]PeerView, error) {
 		var out []PeerView
-		err := env.Hosts.call(ctx, http.MethodGet, addr, "/peers", nil, &out)
+		err := env.Admin.call(ctx, http.MethodGet, addr, "/peers", nil, &out)
 		return out, err
 	}) {
 		if a.err != nil {
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -33,9 +33,9 @@
 	list := []QuarantineEntry{}
 	var rows [][]string
 	var faults []error
-	for _, a := range each(ctx, env.Hosts, func(ctx context.Context, addr string) ([]quarantine.Entry, error) {
+	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) ([]quarantine.Entry, error) {
 		var out []quarantine.Entry
-		err := env.Hosts.call(ctx, http.MethodGet, addr, "/quarantine", nil, &out)
+		err := env.Admin.call(ctx, http.MethodGet, addr, "/quarantine", nil, &out)
 		return out, err
 	}) {
 		if a.err != nil {
@@ -61,8 +61,8 @@
 	}
 	lifted := 0
 	var faults []error
-	for _, a := range each(ctx, env.Hosts, func(ctx context.Context, addr string) (struct{}, error) {
-		return struct{}{}, env.Hosts.call(ctx, http.MethodDelete, addr, "/quarantine/"+fingerprint, nil, nil)
+	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
+		return struct{}{}, env.Admin.call(ctx, http.MethodDelete, addr, "/quarantine/"+fingerprint, nil, nil)
 	}) {
 		var refused *statusError
 		switch {
--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -21,7 +21,7 @@
 
 func (c *recoverCommand) run(ctx context.Context, env *Env, addr string) error {
 	var rel release.Release
-	if err := env.Hosts.call(ctx, http.MethodGet, addr, "/tables", nil, &rel); err != nil {
+	if err := env.Admin.call(ctx, http.MethodGet, addr, "/tables", nil, &rel); err != nil {
 		return fmt.Errorf("%s: %w", addr, err)
 	}
 	if rel.Number == 0 {
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -30,7 +30,7 @@
 	LastError string `json:"last_error,omitempty"`
 	// Releases is how releases reach this host.
 	Releases *release.Status `json:"releases,omitempty"`
-	Fault    string          `json:"fault,omitempty"` // why there is no answer
+	Error    string          `json:"fault,omitempty"` // why there is no answer
 }
 
 // faults lists what is wrong with the host, each thing once.
@@ -41,7 +41,7 @@
 			list = append(list, text)
 		}
 	}
-	add(s.Fault)
+	add(s.Error)
 	add(s.LastError)
 	if s.Releases != nil {
 		for _, f := range s.Releases.Faults {
@@ -61,21 +61,21 @@
 }
 
 func (e *Env) statuses(ctx context.Context) ([]HostStatus, error) {
-	if len(e.Hosts.opts.Addresses) == 0 {
+	if len(e.Admin.opts.Addresses) == 0 {
 		return nil, errors.New("name the entry hosts with --hosts")
 	}
 	var out []HostStatus
-	for _, a := range each(ctx, e.Hosts, func(ctx context.Context, addr string) (HostStatus, error) {
+	for _, a := range each(ctx, e.Admin, func(ctx context.Context, addr string) (HostStatus, error) {
 		var s HostStatus
-		if err := e.Hosts.call(ctx, http.MethodGet, addr, "/status", nil, &s); err != nil {
+		if err := e.Admin.call(ctx, http.MethodGet, addr, "/status", nil, &s); err != nil {
 			return s, err
 		}
-		err := e.Hosts.call(ctx, http.MethodGet, addr, "/release", nil, &s.Releases)
+		err := e.Admin.call(ctx, http.MethodGet, addr, "/release", nil, &s.Releases)
 		return s, err
 	}) {
 		a.value.Address = a.addr
 		if a.err != nil {
-			a.value.Fault = a.err.Error()
+			a.value.Error = a.err.Error()
 		}
 		out = append(out, a.value)
 	}
@@ -127,7 +127,7 @@
 	silent, without := 0, 0
 	releases := map[string]bool{}
 	for _, s := range list {
-		if s.Fault != "" {
+		if s.Error != "" {
 			silent++
 			continue
 		}
@@ -154,7 +154,7 @@
 }
 
 func (c *drainCommand) run(ctx context.Context, env *Env, _ string) error {
-	hosts := env.Hosts.opts.Addresses
+	hosts := env.Admin.opts.Addresses
 	if len(hosts) == 0 {
 		return errors.New("name the entry host with --hosts")
 	}
@@ -162,8 +162,8 @@
 		return fmt.Errorf("--hosts names %d entry hosts; name one, or add --all", len(hosts))
 	}
 	var faults []error
-	for _, a := range each(ctx, env.Hosts, func(ctx context.Context, addr string) (struct{}, error) {
-		return struct{}{}, env.Hosts.call(ctx, http.MethodPost, addr, "/drain", nil, nil)
+	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
+		return struct{}{}, env.Admin.call(ctx, http.MethodPost, addr, "/drain", nil, nil)
 	}) {
 		if a.err != nil {
 			faults = append(faults, fmt.Errorf("%s: %w", a.addr, a.err))
--- a/internal/e2e/builds_test.go
+++ b/internal/e2e/builds_test.go
@@ -104,7 +104,7 @@
 		_, a := start(t, "standin", "service", "--listen", "127.0.0.1:0", "--name", name)
 		addrs = append(addrs, a["callers"])
 		if name != "ledger-1" {
-			(&fleet{t: t}).faults(a["callers"], hop.Faults{Poison: "poison"})
+			(&fleet{t: t}).faults(a["callers"], hop.Faults{CrashOnBody: "poison"})
 		}
 	}
 	f.ledger = addrs[0].(string)
--- a/internal/faultrun/at_most_once_test.go
+++ b/internal/faultrun/at_most_once_test.go
@@ -105,7 +105,7 @@
 	start := time.Now()
 	go func() { done <- w.send(0, transfer("a"), "key") }()
 	w.booking(g, "a")
-	w.servers[0].relay.Forget(false)
+	w.servers[0].relay.Blackhole(false)
 	release(-1)
 	var a Answer
 	g.Eventually(done, patience).Should(Receive(&a))
@@ -125,7 +125,7 @@
 	go func() { done <- w.send(0, transfer("a"), "") }()
 	g.Eventually(func() int { return w.ledger.Executions("a#0") }, patience).Should(Equal(1))
 	for _, s := range w.servers {
-		s.relay.Reset()
+		s.relay.ResetConnections()
 	}
 	g.Eventually(done, patience).Should(Receive(HaveField("Kind", "outcome_unknown")))
 	g.Expect(w.ledger.Executions("a#0")).To(Equal(1))
--- a/internal/faultrun/backend_test.go
+++ b/internal/faultrun/backend_test.go
@@ -22,7 +22,7 @@
 type backendServer struct {
 	name        string
 	ledger      *Ledger
-	relay       *relay.Relay
+	relay       *relay.Proxy
 	refuse      atomic.Bool
 	fail        atomic.Bool
 	cross       atomic.Bool
@@ -40,8 +40,8 @@
 
 // die ends the server's connections and refuses new ones, as a crash does.
 func (s *backendServer) die() {
-	s.relay.Refuse(true)
-	s.relay.Reset()
+	s.relay.RefuseConnections(true)
+	s.relay.ResetConnections()
 }
 
 // work is the body of every operation.
@@ -152,7 +152,7 @@
 	enc := json.NewEncoder(w)
 	for off := from; off < len(text); off += chunkBytes {
 		if s.dieInStream.Load() && off > len(text)/2 {
-			s.relay.Refuse(true)
+			s.relay.RefuseConnections(true)
 			panic(http.ErrAbortHandler)
 		}
 		if (s.cut.Load() || s.cutStream.Load()) && off > len(text)/2 && from == 0 {
--- a/internal/faultrun/bench_test.go
+++ b/internal/faultrun/bench_test.go
@@ -67,7 +67,7 @@
 					wg.Go(func() { draft(i) })
 				}
 				wg.Wait()
-				w.servers[0].relay.Forget(false)
+				w.servers[0].relay.Blackhole(false)
 				start := time.Now()
 				recovered, waited, failed := time.Duration(0), 0, 0
 				for i := range 200 {
--- a/internal/faultrun/faults_test.go
+++ b/internal/faultrun/faults_test.go
@@ -205,30 +205,30 @@
 	case PlatformDown:
 		platform(standin.Faults{Down: true})
 	case PlatformLosing:
-		platform(standin.Faults{LoseWrites: 10})
+		platform(standin.Faults{LoseWriteResponses: 10})
 	case PlatformSlow:
 		platform(standin.Faults{Delay: 30 * time.Millisecond})
 	case KillServer:
 		if on {
 			srv.die()
 		} else {
-			srv.relay.Refuse(false)
+			srv.relay.RefuseConnections(false)
 		}
 	case FreezeServer:
 		if on {
-			srv.relay.Hold(false)
+			srv.relay.Pause(false)
 		} else {
-			srv.relay.Release()
+			srv.relay.Resume()
 		}
 	case ResetConns:
-		srv.relay.Reset()
+		srv.relay.ResetConnections()
 	case SilentConns:
 		if on {
-			srv.relay.Forget(false)
+			srv.relay.Blackhole(false)
 		}
 	case LoseAnswers:
 		if on {
-			srv.relay.Forget(true)
+			srv.relay.Blackhole(true)
 		}
 	case RefuseWork:
 		srv.refuse.Store(on)
--- a/internal/faultrun/own_answer_test.go
+++ b/internal/faultrun/own_answer_test.go
@@ -96,13 +96,13 @@
 		wg.Go(func() { draft(i) })
 	}
 	wg.Wait()
-	w.servers[0].relay.Forget(false)
+	w.servers[0].relay.Blackhole(false)
 	start := time.Now()
 	for i := range 30 {
 		g.Expect(draft(100 + i).Whole).To(BeTrue())
 	}
 	t.Logf("30 requests after the connections were forgotten: %s", time.Since(start))
 	g.Expect(w.host(0).runner.Counters.Stalls.Load()).To(BeNumerically(">=", 1))
-	g.Expect(w.servers[0].relay.Lost()).To(BeNumerically("<=", 2), "attempts sent into silence")
+	g.Expect(w.servers[0].relay.BlackholedConnections()).To(BeNumerically("<=", 2), "attempts sent into silence")
 	w.host(0).registry.Each(func(s *server.State) { g.Expect(s.Health(time.Now())).To(Equal(server.Healthy)) })
 }
--- a/internal/faultrun/process_faults_test.go
+++ b/internal/faultrun/process_faults_test.go
@@ -141,7 +141,7 @@
 		_ = json.Unmarshal(data, &problem)
 		return Answer{Ran: Ran(problem.Ran), Kind: string(problem.Kind)}
 	}
-	var a service.Answer
+	var a service.Response
 	var in work
 	right := json.Unmarshal(data, &a) == nil && json.Unmarshal(a.Input, &in) == nil
 	if in.Token != token {
--- a/internal/faultrun/world_test.go
+++ b/internal/faultrun/world_test.go
@@ -40,7 +40,7 @@
 type world struct {
 	t       testing.TB
 	ledger  *Ledger
-	objects *standin.Objects
+	objects *standin.Store
 	net     *peertest.Network
 	servers []*backendServer
 	limit   time.Duration // the routes' deadline, and with it the callers'
@@ -87,7 +87,7 @@
 )
 
 func newWorld(t testing.TB, hosts, servers int) *world {
-	w := &world{t: t, ledger: NewLedger(), objects: standin.New(), net: peertest.NewNetwork(), limit: patience}
+	w := &world{t: t, ledger: NewLedger(), objects: standin.NewStore(), net: peertest.NewNetwork(), limit: patience}
 	for i := range servers {
 		w.servers = append(w.servers, newServer(t, fmt.Sprint("s", i), w.ledger))
 	}
--- a/internal/memberbench/bench_test.go
+++ b/internal/memberbench/bench_test.go
@@ -68,7 +68,7 @@
 
 func (f *fleet) totals() totals {
 	t := totals{bytes: f.bytes.Load(), cpu: cpuTime()}
-	c := f.store.Counts()
+	c := f.store.CallCounts()
 	t.calls = c.Reads + c.Writes + c.Watches
 	for _, h := range f.all {
 		t.sent += h.monitor.Counters.Sent.Load()
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -40,7 +40,7 @@
 	shape
 	b       *testing.B
 	bytes   atomic.Int64 // both ways, all connections between hosts
-	store   *objects.Objects
+	store   *objects.Store
 	backend []*backendServer
 	all     []*host
 }
@@ -92,7 +92,7 @@
 }
 
 func newFleet(b *testing.B, size shape) *fleet {
-	f := &fleet{shape: size, b: b, store: objects.New()}
+	f := &fleet{shape: size, b: b, store: objects.NewStore()}
 	for d := range size.domains {
 		for i := range size.servers {
 			f.addServer(fmt.Sprintf("s%d-%d", d, i), domainName(d))
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -179,7 +179,7 @@
 
 // startHost runs an entry host in front of one backend server.
 func startHost(ctx context.Context, addr string, stages int) (*entryhost.Host, func(), error) {
-	objects := platform.New()
+	objects := platform.NewStore()
 	if err := publish(ctx, objects, addr, stages); err != nil {
 		return nil, nil, err
 	}
@@ -211,7 +211,7 @@
 	return host, stop, nil
 }
 
-func publish(ctx context.Context, objects *platform.Objects, addr string, stages int) error {
+func publish(ctx context.Context, objects *platform.Store, addr string, stages int) error {
 	route := table.Route{
 		Name: "echo", Match: table.Match{Path: path}, Deadline: table.Duration(10 * time.Second), Worth: 1, Class: table.Interactive,
 	}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -14,7 +14,7 @@
 
 // Relay passes the connections to its address on to a target. Its methods are
 // safe for concurrent use; after Close they do nothing.
-type Relay struct {
+type Proxy struct {
 	listener net.Listener
 	target   string
 	lost     atomic.Int64
@@ -49,52 +49,52 @@
 )
 
 // New starts a relay in front of target (host:port).
-func New(target string) (*Relay, error) {
+func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Relay{listener: l, target: target, conns: map[*pair]bool{}, change: make(chan struct{})}
+	r := &Proxy{listener: l, target: target, conns: map[*pair]bool{}, change: make(chan struct{})}
 	go r.accept()
 	return r, nil
 }
 
 // Address is where the relay takes connections.
-func (r *Relay) Address() string { return r.listener.Addr().String() }
+func (r *Proxy) Address() string { return r.listener.Addr().String() }
 
 // Lost is the number of forgotten connections on which something was sent to the
 // target afterwards.
-func (r *Relay) Lost() int64 { return r.lost.Load() }
+func (r *Proxy) BlackholedConnections() int64 { return r.lost.Load() }
 
 // Delay holds each block of bytes up for d; 0: no more.
-func (r *Relay) Delay(d time.Duration) { r.set(func(l *link) { l.delay = d }) }
+func (r *Proxy) SetDelay(d time.Duration) { r.set(func(l *link) { l.delay = d }) }
 
 // Refuse resets new connections; those that are open live on.
-func (r *Relay) Refuse(on bool) { r.set(func(l *link) { l.refuse = on }) }
+func (r *Proxy) RefuseConnections(on bool) { r.set(func(l *link) { l.refuse = on }) }
 
 // Hold keeps back all bytes, or those of answers alone, like a stopped process or
 // a link that works one way. Release lets them pass.
-func (r *Relay) Hold(answersOnly bool) {
+func (r *Proxy) Pause(answersOnly bool) {
 	r.set(func(l *link) { l.holdAnswers, l.holdAll = true, !answersOnly })
 }
 
 // Release ends Hold.
-func (r *Relay) Release() { r.set(func(l *link) { l.holdAnswers, l.holdAll = false, false }) }
+func (r *Proxy) Resume() { r.set(func(l *link) { l.holdAnswers, l.holdAll = false, false }) }
 
 // Heal ends every disturbance. Connections that were held are reset: the two ends
 // have long given them up.
-func (r *Relay) Heal() {
+func (r *Proxy) ClearFaults() {
 	r.mu.Lock()
 	held := r.link.holdAnswers
 	r.mu.Unlock()
 	if held {
-		r.Reset()
+		r.ResetConnections()
 	}
 	r.set(func(l *link) { *l = link{} })
 }
 
 // Reset ends every connection as the crash of a process does.
-func (r *Relay) Reset() {
+func (r *Proxy) ResetConnections() {
 	r.each(func(p *pair) {
 		abort(p.client)
 		abort(p.server)
@@ -103,7 +103,7 @@
 
 // Forget makes the present connections silent for good, in both directions or for
 // answers alone. New ones work.
-func (r *Relay) Forget(answersOnly bool) {
+func (r *Proxy) Blackhole(answersOnly bool) {
 	r.each(func(p *pair) {
 		p.forgot[back].Store(true)
 		if !answersOnly {
@@ -113,16 +113,16 @@
 }
 
 // Close ends the relay and its connections.
-func (r *Relay) Close() {
+func (r *Proxy) Close() {
 	_ = r.listener.Close()
-	r.Reset()
+	r.ResetConnections()
 	r.set(func(l *link) { *l = link{} })
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 }
 
-func (r *Relay) set(f func(*link)) {
+func (r *Proxy) set(f func(*link)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -133,13 +133,13 @@
 	r.change = make(chan struct{})
 }
 
-func (r *Relay) state() (link, chan struct{}) {
+func (r *Proxy) state() (link, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.link, r.change
 }
 
-func (r *Relay) each(f func(*pair)) {
+func (r *Proxy) each(f func(*pair)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
@@ -147,7 +147,7 @@
 	}
 }
 
-func (r *Relay) accept() {
+func (r *Proxy) accept() {
 	for {
 		client, err := r.listener.Accept()
 		if err != nil {
@@ -160,7 +160,7 @@
 // dialBound: the target is on this machine.
 const dialBound = time.Second
 
-func (r *Relay) serve(client net.Conn) {
+func (r *Proxy) serve(client net.Conn) {
 	r.wait(there)
 	if now, _ := r.state(); now.refuse {
 		abort(client)
@@ -191,7 +191,7 @@
 	_ = server.Close()
 }
 
-func (r *Relay) add(p *pair) bool {
+func (r *Proxy) add(p *pair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -202,7 +202,7 @@
 }
 
 // wait blocks while a direction is held, and for the delay of a slow link.
-func (r *Relay) wait(direction int) {
+func (r *Proxy) wait(direction int) {
 	for {
 		now, change := r.state()
 		if now.holdAll || now.holdAnswers && direction == back {
@@ -221,7 +221,7 @@
 
 // copy passes one direction on until it ends: an end is passed on as an end, a
 // reset as a reset. The end of a connection that was forgotten is not told.
-func (r *Relay) copy(p *pair, direction int) {
+func (r *Proxy) copy(p *pair, direction int) {
 	from, to := p.client, p.server
 	if direction == back {
 		from, to = p.server, p.client
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -39,7 +39,7 @@
 	lines chan string // closed at the end of the connection
 }
 
-func dial(t *testing.T, r *Relay) *client {
+func dial(t *testing.T, r *Proxy) *client {
 	c, err := net.Dial("tcp", r.Address())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	return follow(t, c)
@@ -47,7 +47,7 @@
 
 // refused connects and sees the connection reset: while it is being opened, if the
 // reset is there before the system call returns, or as its end.
-func refused(t *testing.T, r *Relay) {
+func refused(t *testing.T, r *Proxy) {
 	c, err := net.Dial("tcp", r.Address())
 	if err != nil {
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
@@ -78,7 +78,7 @@
 func (c *client) hears(text string) { c.g.Eventually(c.lines, "10s").Should(Receive(Equal(text))) }
 func (c *client) ended()            { c.g.Eventually(c.lines, "10s").Should(BeClosed()) }
 
-func start(t *testing.T) (*WithT, *Relay) {
+func start(t *testing.T) (*WithT, *Proxy) {
 	g := NewWithT(t)
 	r, err := New(echo(t))
 	g.Expect(err).NotTo(HaveOccurred())
@@ -99,14 +99,14 @@
 	_, r := start(t)
 	c := dial(t, r)
 	for _, answersOnly := range []bool{false, true} {
-		r.Hold(answersOnly)
+		r.Pause(answersOnly)
 		c.say("a")
 		c.g.Consistently(c.lines, 20*time.Millisecond).ShouldNot(Receive())
-		r.Release()
+		r.Resume()
 		c.hears("a")
 	}
-	r.Hold(true)
-	r.Heal()
+	r.Pause(true)
+	r.ClearFaults()
 	c.ended()
 }
 
@@ -115,15 +115,15 @@
 	old := dial(t, r)
 	old.say("a")
 	old.hears("a")
-	r.Refuse(true)
+	r.RefuseConnections(true)
 	refused(t, r)
 	old.say("b")
 	old.hears("b")
-	r.Heal()
+	r.ClearFaults()
 	c := dial(t, r)
 	c.say("c")
 	c.hears("c")
-	r.Reset()
+	r.ResetConnections()
 	c.ended()
 }
 
@@ -134,9 +134,9 @@
 	c := dial(t, r)
 	c.say("a")
 	c.hears("a")
-	r.Forget(false)
+	r.Blackhole(false)
 	c.say("b")
-	g.Eventually(r.Lost, "10s").Should(BeEquivalentTo(1))
+	g.Eventually(r.BlackholedConnections, "10s").Should(BeEquivalentTo(1))
 	fresh := dial(t, r)
 	fresh.say("c")
 	fresh.hears("c")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -58,7 +58,7 @@
 		}
 	}
 	for _, s := range sets {
-		faults = append(faults, s.Check())
+		faults = append(faults, s.Validate())
 	}
 	return errors.Join(faults...)
 }
@@ -212,7 +212,7 @@
 
 // Check runs every check after parsing and returns all faults together. Parse
 // calls it.
-func (s *Set) Check() error {
+func (s *Set) Validate() error {
 	faults := s.faults
 	for _, c := range s.checks {
 		if err := c.run(); err != nil {
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -54,22 +54,22 @@
 }
 
 // relayFault disturbs the connections of a relay for a while.
-func relayFault(p *place, r *rand.Rand, x *relay.Relay) {
+func relayFault(p *place, r *rand.Rand, x *relay.Proxy) {
 	switch r.IntN(5) {
 	case 0:
-		x.Reset()
+		x.ResetConnections()
 	case 1:
-		x.Delay(someTime(r, 20, 300))
+		x.SetDelay(someTime(r, 20, 300))
 	case 2:
-		x.Hold(false)
+		x.Pause(false)
 	case 3:
-		x.Hold(true)
+		x.Pause(true)
 	case 4:
-		x.Refuse(true)
-		x.Reset()
+		x.RefuseConnections(true)
+		x.ResetConnections()
 	}
 	p.log.more(some(r, 25, 300))
-	x.Heal()
+	x.ClearFaults()
 }
 
 // storeFault disturbs the store itself.
@@ -138,11 +138,11 @@
 	}},
 	{"server returns cold", func(p *place, r *rand.Rand, _ string) {
 		b := p.anyServer(r)
-		b.relay.Refuse(true)
-		b.relay.Reset()
+		b.relay.RefuseConnections(true)
+		b.relay.ResetConnections()
 		p.log.more(some(r, 10, 60))
 		p.returnCold(b)
-		b.relay.Heal()
+		b.relay.ClearFaults()
 		p.log.more(some(r, 100, 200))
 	}},
 	{"evacuation", func(p *place, r *rand.Rand, _ string) {
@@ -154,13 +154,13 @@
 	{"region is cut off", func(p *place, r *rand.Rand, _ string) {
 		for _, b := range p.servers {
 			if b.domain == farDomain {
-				b.relay.Hold(true)
+				b.relay.Pause(true)
 			}
 		}
 		p.log.more(some(r, 60, 300))
 		for _, b := range p.servers {
 			if b.domain == farDomain {
-				b.relay.Heal()
+				b.relay.ClearFaults()
 			}
 		}
 	}},
--- a/internal/soak/place_test.go
+++ b/internal/soak/place_test.go
@@ -50,7 +50,7 @@
 	number   int
 	name, ip string
 	settings string
-	relay    *relay.Relay // to the store
+	relay    *relay.Proxy // to the store
 	log      *os.File
 	// restarting is held while the process is ended and started again.
 	restarting sync.Mutex
@@ -65,7 +65,7 @@
 // backend is a backend server behind a relay.
 type backend struct {
 	*platformtest.Server
-	relay  *relay.Relay
+	relay  *relay.Proxy
 	domain string
 	starts int // how often it has come back cold
 	// while cold: when requests reached it
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -118,10 +118,10 @@
 	p.store.SetInterceptor(nil)
 	p.store.SuppressEvents(false)
 	for _, h := range p.hosts {
-		h.relay.Heal()
+		h.relay.ClearFaults()
 	}
 	for _, b := range p.servers {
-		b.relay.Heal()
+		b.relay.ClearFaults()
 		p.list(b, false)
 	}
 }
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -19,7 +19,7 @@
 
 // Event is one change of the prefix cache. Seq rises by one for each change;
 // an event that is lost leaves a gap.
-type Event struct {
+type CacheEvent struct {
 	Seq    uint64 `json:"seq"`
 	Kind   string `json:"kind"` // stored or evicted
 	Prefix string `json:"prefix"`
@@ -35,7 +35,7 @@
 	lag      time.Duration
 	gap      int
 	prefixes []string // the least recently used first
-	events   []Event
+	events   []CacheEvent
 	seq      uint64
 }
 
@@ -59,15 +59,15 @@
 	if c.gap > 0 && c.seq%uint64(c.gap) == 0 {
 		return
 	}
-	c.events = append(c.events, Event{c.seq, kind, prefixID(prefix), now})
+	c.events = append(c.events, CacheEvent{c.seq, kind, prefixID(prefix), now})
 	if len(c.events) > maxEvents {
 		c.events = c.events[1:]
 	}
 }
 
 // after returns the events above seq that are old enough to be published.
-func (c *cache) after(seq uint64, now time.Time) []Event {
-	out := []Event{}
+func (c *cache) after(seq uint64, now time.Time) []CacheEvent {
+	out := []CacheEvent{}
 	for _, e := range c.events {
 		if e.Seq > seq && now.Sub(e.at) >= c.lag {
 			out = append(out, e)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -20,21 +20,21 @@
 
 // Options configure a stand-in engine.
 type Options struct {
-	Name      string
-	Slots     int           // sequences in a batch
-	Queue     int           // waiting sequences; more are refused as not started
-	Prefill   time.Duration // until the first token, without a cached prefix
-	PerToken  time.Duration
-	Tokens    int           // of each answer
-	ReportLag time.Duration // age of the load report
-	Cache     int           // prompt prefixes kept
-	Fencing   bool          // refuse orders with an old fencing number
-	Model     string        // loaded at the start
-	OrderTime time.Duration // until an accepted order is carried out
-	EventLag  time.Duration // age at which a cache event is published
-	EventGap  int           // every so many cache events one is lost; 0: none
-	Weights   string        // base URL of the weight store; empty: models load at once
-	Crash     func()
+	Name           string
+	Slots          int           // sequences in a batch
+	QueueCapacity  int           // waiting sequences; more are refused as not started
+	PrefillTime    time.Duration // until the first token, without a cached prefix
+	TokenInterval  time.Duration
+	ResponseTokens int           // of each answer
+	ReportMaxAge   time.Duration // age of the load report
+	CacheCapacity  int           // prompt prefixes kept
+	EnforceFencing bool          // refuse orders with an old fencing number
+	InitialModel   string        // loaded at the start
+	OrderDuration  time.Duration // until an accepted order is carried out
+	EventDelay     time.Duration // age at which a cache event is published
+	DropEventEvery int           // every so many cache events one is lost; 0: none
+	WeightStoreURL string        // base URL of the weight store; empty: models load at once
+	Crash          func()
 }
 
 // Engine is one stand-in engine.
@@ -47,12 +47,12 @@
 	streams map[string]string  // whole text by request and stage, for resumption
 	active  map[string]*stream // running streams by request
 	cache   cache
-	report  Load
+	report  LoadReport
 	orders  orders
 }
 
 // Load is the engine's report of itself.
-type Load struct {
+type LoadReport struct {
 	Running int      `json:"running"`
 	Queued  int      `json:"queued"`
 	Slots   int      `json:"slots"`
@@ -68,30 +68,30 @@
 	if opts.Slots <= 0 {
 		opts.Slots = 8
 	}
-	if opts.Queue <= 0 {
-		opts.Queue = 4 * opts.Slots
+	if opts.QueueCapacity <= 0 {
+		opts.QueueCapacity = 4 * opts.Slots
 	}
-	if opts.Tokens <= 0 {
-		opts.Tokens = 16
+	if opts.ResponseTokens <= 0 {
+		opts.ResponseTokens = 16
 	}
-	if opts.Cache <= 0 {
-		opts.Cache = 256
+	if opts.CacheCapacity <= 0 {
+		opts.CacheCapacity = 256
 	}
 	e := &Engine{
 		Server: hop.New(opts.Name, opts.Crash), opts: opts,
-		batch: newBatch(opts.Slots, opts.Queue), streams: map[string]string{},
+		batch: newBatch(opts.Slots, opts.QueueCapacity), streams: map[string]string{},
 		active: map[string]*stream{},
-		cache:  cache{limit: opts.Cache, lag: opts.EventLag, gap: opts.EventGap},
+		cache:  cache{limit: opts.CacheCapacity, lag: opts.EventDelay, gap: opts.DropEventEvery},
 	}
-	e.orders.models = []string{opts.Model}
+	e.orders.models = []string{opts.InitialModel}
 	return e
 }
 
 // Handler serves the engine and its switches.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
-	e.Admin(mux)
-	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(e.Load()) })
+	e.RegisterAdmin(mux)
+	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(e.LoadReport()) })
 	mux.HandleFunc("PUT /orders", e.order)
 	mux.HandleFunc("GET /events", e.events)
 	mux.HandleFunc("GET /kv/{prefix}", e.exportKV)
@@ -102,12 +102,12 @@
 }
 
 // Load returns the report, at most ReportLag old.
-func (e *Engine) Load() Load {
+func (e *Engine) LoadReport() LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.report.taken) >= e.opts.ReportLag {
+	if now := time.Now(); now.Sub(e.report.taken) >= e.opts.ReportMaxAge {
 		running, queued := e.batch.counts()
-		e.report = Load{
+		e.report = LoadReport{
 			Running: running, Queued: queued, Slots: e.opts.Slots,
 			Models: append([]string(nil), e.orders.models...), Role: e.orders.role, Fence: e.orders.fence, taken: now,
 			Leaving: e.Faults().Leaving,
@@ -122,7 +122,7 @@
 		return
 	}
 	f := e.Faults()
-	e.Echo(w, r)
+	e.EchoHeaders(w, r)
 	priority, _ := strconv.Atoi(r.Header.Get(backend.HeaderPriority))
 	if f.Refuse || !e.batch.enter(r.Context(), priority) {
 		w.Header().Set(backend.HeaderNotStarted, "true")
@@ -134,9 +134,9 @@
 	defer e.end(r, running)
 	resume, _ := strconv.ParseInt(r.Header.Get(backend.HeaderResume), 10, 64)
 	if resume == 0 {
-		e.Count(r)
+		e.CountExecution(r)
 	}
-	if f.Poison != "" && strings.Contains(string(body), f.Poison) {
+	if f.CrashOnBody != "" && strings.Contains(string(body), f.CrashOnBody) {
 		e.Crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -157,13 +157,13 @@
 	}
 	wait := f.Delay
 	if resume == 0 && !e.hit(prompt) {
-		wait += e.opts.Prefill
+		wait += e.opts.PrefillTime
 	}
-	cut := e.Take(func(f *hop.Faults) *int { return &f.Cut })
+	cut := e.ConsumeFault(func(f *hop.Faults) *int { return &f.TruncateNext })
 	enc := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	for off := resume; off < int64(len(text)); {
-		if !sleep(r, wait+e.opts.PerToken) {
+		if !sleep(r, wait+e.opts.TokenInterval) {
 			return
 		}
 		wait = 0
@@ -189,7 +189,7 @@
 	}
 	var b strings.Builder
 	fmt.Fprintf(&b, "answer of %s to %s (%d bytes): ", e.Name, id, len(prompt))
-	for b.Len() < e.opts.Tokens*tokenBytes {
+	for b.Len() < e.opts.ResponseTokens*tokenBytes {
 		fmt.Fprintf(&b, "t%04d ", b.Len())
 	}
 	e.streams[id] = b.String()
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -54,8 +54,8 @@
 
 func TestAResumedStreamGivesTheRestAndCountsOnce(t *testing.T) {
 	g := NewWithT(t)
-	e, url := start(t, Options{Tokens: 20})
-	e.SetFaults(hop.Faults{Cut: 1})
+	e, url := start(t, Options{ResponseTokens: 20})
+	e.SetFaults(hop.Faults{TruncateNext: 1})
 	ids := map[string]string{backend.HeaderRequestID: "r", backend.HeaderStage: "s"}
 	part, final := text(t, call(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(final).To(BeFalse())
@@ -63,14 +63,14 @@
 	rest, final := text(t, call(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(final).To(BeTrue())
 	delete(ids, backend.HeaderResume)
-	g.Expect(e.Total()).To(BeEquivalentTo(1))
+	g.Expect(e.TotalExecutions()).To(BeEquivalentTo(1))
 	whole, _ := text(t, call(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(part + rest).To(Equal(whole))
 }
 
 func TestACancelledStreamEndsWithoutItsFinalMark(t *testing.T) {
 	g := NewWithT(t)
-	e, url := start(t, Options{Tokens: 10000, PerToken: time.Millisecond})
+	e, url := start(t, Options{ResponseTokens: 10000, TokenInterval: time.Millisecond})
 	resp := call(t, http.MethodPost, url, "prompt", map[string]string{backend.HeaderRequestID: "r"})
 	_, err := bufio.NewReader(resp.Body).ReadString('\n')
 	g.Expect(err).NotTo(HaveOccurred())
@@ -126,31 +126,31 @@
 
 func TestOrdersLoadWeightsAndHonourFencing(t *testing.T) {
 	g := NewWithT(t)
-	store := weights.New(weights.Options{Size: 128 << 10, Rate: 1 << 30})
+	store := weights.New(weights.Options{ModelBytes: 128 << 10, BytesPerSecond: 1 << 30})
 	srv := httptest.NewServer(store.Handler())
 	t.Cleanup(srv.Close)
 	for _, fencing := range []bool{true, false} {
-		e, url := start(t, Options{Fencing: fencing, Model: "m@1", Weights: srv.URL, OrderTime: time.Millisecond})
+		e, url := start(t, Options{EnforceFencing: fencing, InitialModel: "m@1", WeightStoreURL: srv.URL, OrderDuration: time.Millisecond})
 		before := store.Reads()
 		g.Expect(call(t, http.MethodPut, url+"/orders", `{"fence":2,"models":["m@1","m@2"],"role":"decode"}`, nil).StatusCode).To(Equal(http.StatusNoContent))
 		g.Expect(store.Reads() - before).To(BeEquivalentTo(1))
-		g.Expect(e.Load().Models).To(Equal([]string{"m@1", "m@2"}))
+		g.Expect(e.LoadReport().Models).To(Equal([]string{"m@1", "m@2"}))
 		old := call(t, http.MethodPut, url+"/orders", `{"fence":1,"models":["m@1"]}`, nil)
 		if fencing {
 			g.Expect(old.StatusCode).To(Equal(http.StatusPreconditionFailed))
-			g.Expect(e.Applied()).To(Equal([]uint64{2}))
+			g.Expect(e.AppliedFences()).To(Equal([]uint64{2}))
 		} else {
-			g.Expect(e.Applied()).To(Equal([]uint64{2, 1}))
+			g.Expect(e.AppliedFences()).To(Equal([]uint64{2, 1}))
 		}
 	}
 }
 
 func TestLoadReportLagsAndTellsOfLeaving(t *testing.T) {
 	g := NewWithT(t)
-	e, _ := start(t, Options{ReportLag: time.Hour})
-	g.Expect(e.Load().Leaving).To(BeFalse())
+	e, _ := start(t, Options{ReportMaxAge: time.Hour})
+	g.Expect(e.LoadReport().Leaving).To(BeFalse())
 	e.SetFaults(hop.Faults{Leaving: true})
-	g.Expect(e.Load().Leaving).To(BeFalse())
-	e.opts.ReportLag = 0
-	g.Expect(e.Load().Leaving).To(BeTrue())
+	g.Expect(e.LoadReport().Leaving).To(BeFalse())
+	e.opts.ReportMaxAge = 0
+	g.Expect(e.LoadReport().Leaving).To(BeTrue())
 }
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -56,7 +56,7 @@
 func (e *Engine) accept(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.opts.Fencing && o.Fence < e.orders.fence {
+	if e.opts.EnforceFencing && o.Fence < e.orders.fence {
 		return false
 	}
 	e.orders.fence = max(e.orders.fence, o.Fence)
@@ -65,9 +65,9 @@
 
 // prepare spends the order's time and loads the models that are missing.
 func (e *Engine) prepare(r *http.Request, o Order) error {
-	if e.opts.OrderTime > 0 {
+	if e.opts.OrderDuration > 0 {
 		select {
-		case <-time.After(e.opts.OrderTime):
+		case <-time.After(e.opts.OrderDuration):
 		case <-r.Context().Done():
 			return r.Context().Err()
 		}
@@ -76,7 +76,7 @@
 	loaded := slices.Clone(e.orders.models)
 	e.mu.Unlock()
 	for _, m := range o.Models {
-		if e.opts.Weights == "" || slices.Contains(loaded, m) {
+		if e.opts.WeightStoreURL == "" || slices.Contains(loaded, m) {
 			continue
 		}
 		if err := e.load(r, m); err != nil {
@@ -88,7 +88,7 @@
 
 // load reads a model's weights from the store, at the store's rate.
 func (e *Engine) load(r *http.Request, model string) error {
-	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, e.opts.Weights+"/weights/"+url.PathEscape(model), nil)
+	req, err := http.NewRequestWithContext(r.Context(), http.MethodGet, e.opts.WeightStoreURL+"/weights/"+url.PathEscape(model), nil)
 	if err != nil {
 		return fmt.Errorf("weights of %s: %w", model, err)
 	}
@@ -104,7 +104,7 @@
 }
 
 // Applied returns the fencing numbers of the orders carried out, in order.
-func (e *Engine) Applied() []uint64 {
+func (e *Engine) AppliedFences() []uint64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return append([]uint64(nil), e.orders.applied...)
--- a/internal/standin/hop/hop.go
+++ b/internal/standin/hop/hop.go
@@ -14,13 +14,13 @@
 
 // Faults are the failure switches of one backend server.
 type Faults struct {
-	Delay  time.Duration `json:"delay"`  // nanoseconds added to each execution
-	Fail   int           `json:"fail"`   // answer the next N executions with 500
-	Refuse bool          `json:"refuse"` // refuse new work, marked as not started
-	Hang   bool          `json:"hang"`   // accept and never answer
-	Cut    int           `json:"cut"`    // end the next N answers before they are whole
-	Cross  int           `json:"cross"`  // put another request's id on the next N answers
-	Poison string        `json:"poison"` // a body that contains this kills the server
+	Delay          time.Duration `json:"delay"`  // nanoseconds added to each execution
+	FailNext       int           `json:"fail"`   // answer the next N executions with 500
+	Refuse         bool          `json:"refuse"` // refuse new work, marked as not started
+	Hang           bool          `json:"hang"`   // accept and never answer
+	TruncateNext   int           `json:"cut"`    // end the next N answers before they are whole
+	MisdeliverNext int           `json:"cross"`  // put another request's id on the next N answers
+	CrashOnBody    string        `json:"poison"` // a body that contains this kills the server
 	// Leaving is told in the load report and on each answer; the server goes
 	// on serving.
 	Leaving bool `json:"leaving"`
@@ -57,7 +57,7 @@
 }
 
 // Executed returns how often each operation ran.
-func (s *Server) Executed() map[string]int {
+func (s *Server) ExecutionCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make(map[string]int, len(s.executed))
@@ -68,10 +68,10 @@
 }
 
 // Total returns all executions.
-func (s *Server) Total() int64 { return s.total.Load() }
+func (s *Server) TotalExecutions() int64 { return s.total.Load() }
 
 // Count records one execution of the request.
-func (s *Server) Count(r *http.Request) {
+func (s *Server) CountExecution(r *http.Request) {
 	s.total.Add(1)
 	id := r.Header.Get(backend.HeaderKey)
 	if id == "" {
@@ -83,7 +83,7 @@
 }
 
 // Take uses up one of the counted switches, chosen by field.
-func (s *Server) Take(field func(*Faults) *int) bool {
+func (s *Server) ConsumeFault(field func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := field(&s.faults)
@@ -95,20 +95,20 @@
 }
 
 // Echo puts the hop's ids on the answer.
-func (s *Server) Echo(w http.ResponseWriter, r *http.Request) {
+func (s *Server) EchoHeaders(w http.ResponseWriter, r *http.Request) {
 	for _, h := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(h, r.Header.Get(h))
 	}
 	if s.Faults().Leaving {
 		w.Header().Set(backend.HeaderLeaving, "true")
 	}
-	if s.Take(func(f *Faults) *int { return &f.Cross }) {
+	if s.ConsumeFault(func(f *Faults) *int { return &f.MisdeliverNext }) {
 		w.Header().Set(backend.HeaderRequestID, "another-request")
 	}
 }
 
 // Admin adds the switches and counts to mux.
-func (s *Server) Admin(mux *http.ServeMux) {
+func (s *Server) RegisterAdmin(mux *http.ServeMux) {
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
@@ -119,6 +119,6 @@
 		s.SetFaults(f)
 	})
 	mux.HandleFunc("GET /admin/executed", func(w http.ResponseWriter, _ *http.Request) {
-		_ = json.NewEncoder(w).Encode(s.Executed())
+		_ = json.NewEncoder(w).Encode(s.ExecutionCounts())
 	})
 }
--- a/internal/standin/platform/http.go
+++ b/internal/standin/platform/http.go
@@ -10,12 +10,12 @@
 
 // Handler serves the object API in the form of the platform's store, and under
 // /admin the failure switches, the call counts and the host list.
-func (o *Objects) Handler() http.Handler {
+func (o *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", platformtest.NewObjectStoreHandler(o))
 	mux.HandleFunc("GET /admin/counts", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(o.Counts()) // a caller that left gets nothing
+		_ = json.NewEncoder(w).Encode(o.CallCounts()) // a caller that left gets nothing
 	})
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
 		var f Faults
--- a/internal/standin/platform/objects.go
+++ b/internal/standin/platform/objects.go
@@ -16,41 +16,41 @@
 
 // Faults are the failure switches. The zero value is a healthy platform.
 type Faults struct {
-	Down       bool          `json:"down"`        // refuse every call
-	Delay      time.Duration `json:"delay"`       // nanoseconds added to each call
-	LoseWrites int           `json:"lose_writes"` // answers of the next N writes are lost after the effect
-	StaleReads bool          `json:"stale_reads"` // reads and watches show the state at the time of switching on
-	CallBudget int           `json:"call_budget"` // calls a second; 0: unlimited
+	Down               bool          `json:"down"`        // refuse every call
+	Delay              time.Duration `json:"delay"`       // nanoseconds added to each call
+	LoseWriteResponses int           `json:"lose_writes"` // answers of the next N writes are lost after the effect
+	StaleReads         bool          `json:"stale_reads"` // reads and watches show the state at the time of switching on
+	MaxCallsPerSecond  int           `json:"call_budget"` // calls a second; 0: unlimited
 }
 
 // Counts are the calls seen since the start.
-type Counts struct {
+type CallCounts struct {
 	Reads   int64 `json:"reads"`
 	Writes  int64 `json:"writes"`
 	Watches int64 `json:"watches"`
 }
 
 // Objects is the object API in memory. It implements objectapi.Store.
-type Objects struct {
+type Store struct {
 	mu       sync.Mutex
 	objects  map[string]objectapi.Object
 	revision uint64
 	changed  chan struct{}
 	faults   Faults
 	frozen   map[string]objectapi.Object // what stale reads show
-	counts   Counts
+	counts   CallCounts
 	hosts    []objectapi.Host
 	window   int64 // second that the budget counts
 	spent    int
 }
 
 // New returns an empty object API.
-func New() *Objects {
-	return &Objects{objects: map[string]objectapi.Object{}, changed: make(chan struct{})}
+func NewStore() *Store {
+	return &Store{objects: map[string]objectapi.Object{}, changed: make(chan struct{})}
 }
 
 // SetFaults switches failures on or off.
-func (o *Objects) SetFaults(f Faults) {
+func (o *Store) SetFaults(f Faults) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if f.StaleReads && !o.faults.StaleReads {
@@ -64,21 +64,21 @@
 }
 
 // Faults returns the switches.
-func (o *Objects) Faults() Faults {
+func (o *Store) Faults() Faults {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.faults
 }
 
 // Counts returns the calls seen.
-func (o *Objects) Counts() Counts {
+func (o *Store) CallCounts() CallCounts {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.counts
 }
 
 // SetHosts replaces the host list; the caller applies the lag.
-func (o *Objects) SetHosts(hosts []objectapi.Host) {
+func (o *Store) SetHosts(hosts []objectapi.Host) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.hosts = append([]objectapi.Host(nil), hosts...)
@@ -91,7 +91,7 @@
 }
 
 // Backup returns the present state, for Restore.
-func (o *Objects) Backup() Backup {
+func (o *Store) Backup() Backup {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return Backup{objects: maps.Clone(o.objects), revision: o.revision}
@@ -99,20 +99,20 @@
 
 // Restore puts an earlier state back, its revision included, as operators of
 // the platform do after a loss of data.
-func (o *Objects) Restore(b Backup) {
+func (o *Store) Restore(b Backup) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.objects, o.revision = maps.Clone(b.objects), b.revision
 	o.wake()
 }
 
-func (o *Objects) wake() {
+func (o *Store) wake() {
 	close(o.changed)
 	o.changed = make(chan struct{})
 }
 
 // enter applies the switches that act before a call's effect.
-func (o *Objects) enter(ctx context.Context, count func(*Counts)) error {
+func (o *Store) enter(ctx context.Context, count func(*CallCounts)) error {
 	o.mu.Lock()
 	f := o.faults
 	count(&o.counts)
@@ -134,18 +134,18 @@
 	return ctx.Err()
 }
 
-func (o *Objects) overBudget() bool {
-	if o.faults.CallBudget <= 0 {
+func (o *Store) overBudget() bool {
+	if o.faults.MaxCallsPerSecond <= 0 {
 		return false
 	}
 	if now := time.Now().Unix(); now != o.window {
 		o.window, o.spent = now, 0
 	}
 	o.spent++
-	return o.spent > o.faults.CallBudget
+	return o.spent > o.faults.MaxCallsPerSecond
 }
 
-func (o *Objects) view() map[string]objectapi.Object {
+func (o *Store) view() map[string]objectapi.Object {
 	if o.faults.StaleReads {
 		return o.frozen
 	}
@@ -153,8 +153,8 @@
 }
 
 // Get implements objectapi.Store.
-func (o *Objects) Get(ctx context.Context, key string) (objectapi.Object, error) {
-	if err := o.enter(ctx, func(c *Counts) { c.Reads++ }); err != nil {
+func (o *Store) Get(ctx context.Context, key string) (objectapi.Object, error) {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Reads++ }); err != nil {
 		return objectapi.Object{}, err
 	}
 	o.mu.Lock()
@@ -167,8 +167,8 @@
 }
 
 // List implements objectapi.Store.
-func (o *Objects) List(ctx context.Context, prefix string) ([]objectapi.Object, error) {
-	if err := o.enter(ctx, func(c *Counts) { c.Reads++ }); err != nil {
+func (o *Store) List(ctx context.Context, prefix string) ([]objectapi.Object, error) {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Reads++ }); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
@@ -176,7 +176,7 @@
 	return o.under(prefix, 0), nil
 }
 
-func (o *Objects) under(prefix string, after uint64) []objectapi.Object {
+func (o *Store) under(prefix string, after uint64) []objectapi.Object {
 	var out []objectapi.Object
 	for k, v := range o.view() {
 		if strings.HasPrefix(k, prefix) && v.Version > after {
@@ -188,11 +188,11 @@
 }
 
 // Put implements objectapi.Store.
-func (o *Objects) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+func (o *Store) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
 	if len(value) > objectapi.MaxValueBytes {
 		return 0, objectapi.ErrTooLarge
 	}
-	if err := o.enter(ctx, func(c *Counts) { c.Writes++ }); err != nil {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Writes++ }); err != nil {
 		return 0, err
 	}
 	o.mu.Lock()
@@ -210,8 +210,8 @@
 }
 
 // Delete implements objectapi.Store.
-func (o *Objects) Delete(ctx context.Context, key string, expect uint64) error {
-	if err := o.enter(ctx, func(c *Counts) { c.Writes++ }); err != nil {
+func (o *Store) Delete(ctx context.Context, key string, expect uint64) error {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Writes++ }); err != nil {
 		return err
 	}
 	o.mu.Lock()
@@ -232,17 +232,17 @@
 	return nil
 }
 
-func (o *Objects) loseAnswer() bool {
-	if o.faults.LoseWrites > 0 {
-		o.faults.LoseWrites--
+func (o *Store) loseAnswer() bool {
+	if o.faults.LoseWriteResponses > 0 {
+		o.faults.LoseWriteResponses--
 		return true
 	}
 	return false
 }
 
 // Watch implements objectapi.Store.
-func (o *Objects) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]objectapi.Object, error) {
-	if err := o.enter(ctx, func(c *Counts) { c.Watches++ }); err != nil {
+func (o *Store) Watch(ctx context.Context, prefix string, after uint64, wait time.Duration) ([]objectapi.Object, error) {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Watches++ }); err != nil {
 		return nil, err
 	}
 	timeout := time.NewTimer(wait)
@@ -269,8 +269,8 @@
 }
 
 // Hosts implements objectapi.Store.
-func (o *Objects) Hosts(ctx context.Context) ([]objectapi.Host, error) {
-	if err := o.enter(ctx, func(c *Counts) { c.Reads++ }); err != nil {
+func (o *Store) Hosts(ctx context.Context) ([]objectapi.Host, error) {
+	if err := o.enter(ctx, func(c *CallCounts) { c.Reads++ }); err != nil {
 		return nil, err
 	}
 	o.mu.Lock()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -16,10 +16,10 @@
 
 // Options configure a stand-in service.
 type Options struct {
-	Name  string
-	Slots int           // requests run at once; more are refused as not started
-	Time  time.Duration // one execution
-	Crash func()
+	Name          string
+	Slots         int           // requests run at once; more are refused as not started
+	ExecutionTime time.Duration // one execution
+	Crash         func()
 }
 
 // Service is one stand-in service.
@@ -39,18 +39,18 @@
 
 // Answer is what one stage adds: which stages and servers a request went
 // through, so that a test can tell whose answer it got.
-type Answer struct {
-	Request string          `json:"request"`
-	Stage   string          `json:"stage"`
-	Server  string          `json:"server"`
-	Asked   string          `json:"asked,omitempty"` // method and URI of the caller's request
-	Input   json.RawMessage `json:"input,omitempty"`
+type Response struct {
+	Request         string          `json:"request"`
+	Stage           string          `json:"stage"`
+	Server          string          `json:"server"`
+	OriginalRequest string          `json:"asked,omitempty"` // method and URI of the caller's request
+	Input           json.RawMessage `json:"input,omitempty"`
 }
 
 // Handler serves the service and its switches.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
-	s.Admin(mux)
+	s.RegisterAdmin(mux)
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string]any{"running": len(s.slots), "queued": 0, "slots": cap(s.slots), "leaving": s.Faults().Leaving})
 	})
@@ -64,7 +64,7 @@
 		return
 	}
 	f := s.Faults()
-	s.Echo(w, r)
+	s.EchoHeaders(w, r)
 	select {
 	case s.slots <- struct{}{}:
 		defer func() { <-s.slots }()
@@ -76,8 +76,8 @@
 		http.Error(w, "no free slot", http.StatusServiceUnavailable)
 		return
 	}
-	s.Count(r)
-	if f.Poison != "" && strings.Contains(string(body), f.Poison) {
+	s.CountExecution(r)
+	if f.CrashOnBody != "" && strings.Contains(string(body), f.CrashOnBody) {
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
@@ -94,7 +94,7 @@
 		return false
 	}
 	select {
-	case <-time.After(s.opts.Time + f.Delay):
+	case <-time.After(s.opts.ExecutionTime + f.Delay):
 		return true
 	case <-r.Context().Done():
 		return false
@@ -102,20 +102,20 @@
 }
 
 func (s *Service) answer(w http.ResponseWriter, r *http.Request, body []byte) {
-	if s.Take(func(f *hop.Faults) *int { return &f.Fail }) {
+	if s.ConsumeFault(func(f *hop.Faults) *int { return &f.FailNext }) {
 		http.Error(w, "failed by switch", http.StatusInternalServerError)
 		return
 	}
-	a := Answer{Request: r.Header.Get(backend.HeaderRequestID), Stage: r.Header.Get(backend.HeaderStage), Server: s.Name}
+	a := Response{Request: r.Header.Get(backend.HeaderRequestID), Stage: r.Header.Get(backend.HeaderStage), Server: s.Name}
 	if uri := r.Header.Get(backend.HeaderURI); uri != "" {
-		a.Asked = r.Header.Get(backend.HeaderMethod) + " " + uri
+		a.OriginalRequest = r.Header.Get(backend.HeaderMethod) + " " + uri
 	}
 	if json.Valid(body) {
 		a.Input = body
 	}
 	data, _ := json.Marshal(a)
 	w.Header().Set("Content-Type", "application/json")
-	if s.Take(func(f *hop.Faults) *int { return &f.Cut }) {
+	if s.ConsumeFault(func(f *hop.Faults) *int { return &f.TruncateNext }) {
 		w.Header().Set("Content-Length", "1000000")
 		_, _ = w.Write(data[:len(data)/2])
 		panic(http.ErrAbortHandler)
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -11,8 +11,8 @@
 
 // Options configure the store.
 type Options struct {
-	Size int // bytes of a model
-	Rate int // bytes a second, shared by all readers
+	ModelBytes     int // bytes of a model
+	BytesPerSecond int // bytes a second, shared by all readers
 }
 
 // Store is one stand-in weight store.
@@ -26,7 +26,7 @@
 
 // New returns a store.
 func New(opts Options) *Store {
-	return &Store{opts: opts, limit: rate.NewLimiter(rate.Limit(opts.Rate), chunk)}
+	return &Store{opts: opts, limit: rate.NewLimiter(rate.Limit(opts.BytesPerSecond), chunk)}
 }
 
 // Reads returns how many reads were begun.
@@ -38,7 +38,7 @@
 	mux.HandleFunc("GET /weights/{model}", func(w http.ResponseWriter, r *http.Request) {
 		s.reads.Add(1)
 		buf := make([]byte, chunk)
-		for left := s.opts.Size; left > 0; left -= chunk {
+		for left := s.opts.ModelBytes; left > 0; left -= chunk {
 			n := min(left, chunk)
 			if s.limit.WaitN(r.Context(), n) != nil {
 				return
--- a/process/claim/at_most_once_test.go
+++ b/process/claim/at_most_once_test.go
@@ -20,7 +20,7 @@
 // cluster is an object store and a network for the claim managers of a few entry
 // hosts.
 type cluster struct {
-	objects *standin.Objects
+	objects *standin.Store
 	net     *peertest.Network
 	clock   *clock.Manual
 	opts    Options
@@ -29,7 +29,7 @@
 func newCluster() *cluster {
 	opts := DefaultOptions()
 	opts.Shards, opts.WriteInterval, opts.SealThreshold, opts.WritesPerSecond, opts.WriteBurst = 2, 0, 3, 1e6, 1e6
-	return &cluster{standin.New(), peertest.NewNetwork(), clock.NewManual(time.Unix(1e9, 0)), opts}
+	return &cluster{standin.NewStore(), peertest.NewNetwork(), clock.NewManual(time.Unix(1e9, 0)), opts}
 }
 
 func (c *cluster) start(name string, incarnation uint64) *Manager {
@@ -83,7 +83,7 @@
 	g := NewWithT(t)
 	c := newCluster()
 	a, b := c.start("a", 1), c.start("b", 1)
-	c.objects.SetFaults(standin.Faults{LoseWrites: 1})
+	c.objects.SetFaults(standin.Faults{LoseWriteResponses: 1})
 	g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Granted))
 	g.Expect(a.Counters.LostResponses.Load()).To(BeEquivalentTo(1))
 	a.MarkUnknown(background, testKey("k"))
@@ -92,12 +92,12 @@
 
 // flakyStore loses the response of one write and is down from then on.
 type flakyStore struct {
-	*standin.Objects
+	*standin.Store
 	loseNextResponse atomic.Bool
 }
 
 func (f *flakyStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
-	v, err := f.Objects.Put(ctx, key, value, expect)
+	v, err := f.Store.Put(ctx, key, value, expect)
 	if err == nil && f.loseNextResponse.Swap(false) {
 		f.SetFaults(standin.Faults{Down: true})
 		return 0, objectapi.ErrUnknownOutcome
@@ -112,7 +112,7 @@
 	for _, other := range []bool{false, true} {
 		g := NewWithT(t)
 		c := newCluster()
-		store := &flakyStore{Objects: c.objects}
+		store := &flakyStore{Store: c.objects}
 		a, b := c.startWithStore(store, "a", 1), c.start("b", 1)
 		store.loseNextResponse.Store(true)
 		g.Expect(a.Begin(background, testKey("k")).State).To(Equal(Unavailable))
@@ -198,7 +198,7 @@
 	for range 100 {
 		g.Expect(a.Begin(background, testKey("new")).State).To(Equal(Unavailable))
 	}
-	g.Expect(c.objects.Counts().Writes+c.objects.Counts().Reads).To(BeNumerically("<", 10), "calls during the outage")
+	g.Expect(c.objects.CallCounts().Writes+c.objects.CallCounts().Reads).To(BeNumerically("<", 10), "calls during the outage")
 	g.Expect(a.Begin(background, testKey("old")).State).To(Equal(Done))
 	ticket, err := a.MintTicket(background, "depot")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -224,7 +224,7 @@
 		wg.Wait()
 	}
 	run(0)
-	g.Expect(c.objects.Counts().Writes).To(BeNumerically("<", 100))
+	g.Expect(c.objects.CallCounts().Writes).To(BeNumerically("<", 100))
 	// After the partition each host writes its own claims.
 	c.net.Partition("a", "b")
 	c.net.Partition("a", "c")
--- a/process/claim/bench_test.go
+++ b/process/claim/bench_test.go
@@ -26,7 +26,7 @@
 		for _, mode := range []string{"single", "claims", "tickets"} {
 			b.Run(fmt.Sprintf("%s/%d", mode, rate), func(b *testing.B) {
 				for range b.N {
-					objects := standin.New()
+					objects := standin.NewStore()
 					objects.SetFaults(standin.Faults{Delay: 3 * time.Millisecond})
 					net := peertest.NewNetwork()
 					var managers []*Manager
@@ -43,7 +43,7 @@
 	}
 }
 
-func measureClaims(b *testing.B, mode string, rate int, duration time.Duration, managers []*Manager, objects *standin.Objects) {
+func measureClaims(b *testing.B, mode string, rate int, duration time.Duration, managers []*Manager, objects *standin.Store) {
 	n := int(duration.Seconds() * float64(rate))
 	latency := hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)
 	var mu sync.Mutex
@@ -78,8 +78,8 @@
 		})
 	}
 	wg.Wait()
-	b.ReportMetric(float64(objects.Counts().Writes)*1000/float64(n), "writes/1000")
-	b.ReportMetric(float64(objects.Counts().Reads)*1000/float64(n), "reads/1000")
+	b.ReportMetric(float64(objects.CallCounts().Writes)*1000/float64(n), "writes/1000")
+	b.ReportMetric(float64(objects.CallCounts().Reads)*1000/float64(n), "reads/1000")
 	b.ReportMetric(float64(latency.ValueAtQuantile(50))/1000, "p50-ms")
 	b.ReportMetric(float64(latency.ValueAtQuantile(99))/1000, "p99-ms")
 	b.ReportMetric(float64(refused.Load())*1000/float64(n), "refused/1000")
--- a/process/claim/simulation_test.go
+++ b/process/claim/simulation_test.go
@@ -78,7 +78,7 @@
 	case 0:
 		s.objects.SetFaults(standin.Faults{Down: true})
 	case 1:
-		s.objects.SetFaults(standin.Faults{LoseWrites: 2})
+		s.objects.SetFaults(standin.Faults{LoseWriteResponses: 2})
 	case 2:
 		s.objects.SetFaults(standin.Faults{StaleReads: true})
 	case 3:
--- a/process/lease/elector_test.go
+++ b/process/lease/elector_test.go
@@ -24,7 +24,7 @@
 // testCluster is a set of entry hosts, each with a clock of its own, that share
 // a platform.
 type testCluster struct {
-	store *objects.Objects
+	store *objects.Store
 	hosts []*testHost
 }
 
@@ -52,7 +52,7 @@
 }
 
 func newTestCluster(n int) *testCluster {
-	c := &testCluster{store: objects.New()}
+	c := &testCluster{store: objects.NewStore()}
 	for i := range n {
 		c.start(i)
 	}
@@ -126,7 +126,7 @@
 	h.Step(ctx)
 	h.Step(ctx)
 	c.advance(ttl + maxOrderDuration)
-	c.store.SetFaults(objects.Faults{LoseWrites: 1})
+	c.store.SetFaults(objects.Faults{LoseWriteResponses: 1})
 	h.Step(ctx)
 	_, ok := h.held()
 	g.Expect(ok).To(BeFalse(), "the outcome of the write is not known yet")
@@ -134,7 +134,7 @@
 	fence, ok := h.held()
 	g.Expect(ok).To(BeTrue())
 	for range 5 {
-		c.store.SetFaults(objects.Faults{LoseWrites: 1})
+		c.store.SetFaults(objects.Faults{LoseWriteResponses: 1})
 		c.advance(ttl / 3)
 		h.Step(ctx)
 		again, ok := h.held()
@@ -211,7 +211,7 @@
 	c := newTestCluster(1)
 	c.hosts[0].candidate = false
 	c.hosts[0].Step(context.Background())
-	g.Expect(c.store.Counts()).To(Equal(objects.Counts{}))
+	g.Expect(c.store.CallCounts()).To(Equal(objects.CallCounts{}))
 }
 
 // Random interleavings of steps, time, suspensions of one process between and
@@ -238,7 +238,7 @@
 			case "pass":
 				c.advance(time.Duration(rapid.IntRange(1, 20).Draw(rt, "seconds")) * time.Second)
 			case "lose":
-				c.store.SetFaults(objects.Faults{LoseWrites: rapid.IntRange(1, 3).Draw(rt, "writes")})
+				c.store.SetFaults(objects.Faults{LoseWriteResponses: rapid.IntRange(1, 3).Draw(rt, "writes")})
 			case "down":
 				c.store.SetFaults(objects.Faults{Down: true})
 			case "up":
--- a/process/objectapi/client_test.go
+++ b/process/objectapi/client_test.go
@@ -25,7 +25,7 @@
 // taken effect.
 func TestReadIsRetriedOnceWriteIsNot(t *testing.T) {
 	g := NewWithT(t)
-	objects := standin.New()
+	objects := standin.NewStore()
 	var unresponsive, calls atomic.Int32
 	ctx := t.Context()
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/process/order/order_test.go
+++ b/process/order/order_test.go
@@ -30,16 +30,16 @@
 type testDomain struct {
 	g       Gomega
 	t       *testing.T
-	store   *objects.Objects
+	store   *objects.Store
 	clock   *clock.Manual
 	engines []*engine.Engine
 	targets []order.Target
 }
 
 func newTestDomain(t *testing.T, engines int, fencing bool) *testDomain {
-	d := &testDomain{g: NewWithT(t), t: t, store: objects.New(), clock: clock.NewManual(time.Unix(1000, 0))}
+	d := &testDomain{g: NewWithT(t), t: t, store: objects.NewStore(), clock: clock.NewManual(time.Unix(1000, 0))}
 	for i := range engines {
-		e := engine.New(engine.Options{Name: fmt.Sprint("e", i), Fencing: fencing, Crash: func() {}})
+		e := engine.New(engine.Options{Name: fmt.Sprint("e", i), EnforceFencing: fencing, Crash: func() {}})
 		srv := httptest.NewServer(e.Handler())
 		t.Cleanup(srv.Close)
 		d.engines = append(d.engines, e)
@@ -121,8 +121,8 @@
 	h.Reconcile(ctx)
 	d.g.Expect(h.Counters.Confirmed.Load()).To(BeEquivalentTo(3))
 	for _, e := range d.engines {
-		d.g.Expect(e.Load().Models).To(Equal([]string{"m@1"}))
-		d.g.Expect(e.Applied()).To(Equal([]uint64{fence}))
+		d.g.Expect(e.LoadReport().Models).To(Equal([]string{"m@1"}))
+		d.g.Expect(e.AppliedFences()).To(Equal([]uint64{fence}))
 	}
 	d.clock.Advance(6 * time.Second)
 	h.Reconcile(ctx)
@@ -162,7 +162,7 @@
 			old.Reconcile(context.Background())
 			d.g.Expect(old.Counters.Sent.Load()).To(BeZero())
 			for _, e := range d.engines {
-				d.g.Expect(e.Applied()).To(Equal([]uint64{second}))
+				d.g.Expect(e.AppliedFences()).To(Equal([]uint64{second}))
 			}
 		})
 	}
@@ -189,16 +189,16 @@
 			}
 			old.Reconcile(ctx)
 			if fencing {
-				d.g.Expect(d.engines[0].Applied()).To(Equal([]uint64{second}))
+				d.g.Expect(d.engines[0].AppliedFences()).To(Equal([]uint64{second}))
 				_, ok := old.Held(d.clock.Now())
 				d.g.Expect(ok).To(BeFalse())
 				return
 			}
-			d.g.Expect(d.engines[0].Applied()).To(Equal([]uint64{second, first}))
+			d.g.Expect(d.engines[0].AppliedFences()).To(Equal([]uint64{second, first}))
 			d.clock.Advance(6 * time.Second)
 			next.Step(ctx)
 			next.Reconcile(ctx)
-			d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@2"}))
+			d.g.Expect(d.engines[0].LoadReport().Models).To(Equal([]string{"m@2"}))
 		})
 	}
 }
@@ -219,7 +219,7 @@
 	d.g.Expect(ok).To(BeFalse())
 	d.g.Expect(d.acquire(h)).To(BeNumerically(">", uint64(seen)))
 	h.Reconcile(ctx)
-	d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}))
+	d.g.Expect(d.engines[0].LoadReport().Models).To(Equal([]string{"m@1"}))
 }
 
 // The daemon is stopped while an order is in flight. Canceling the order would
@@ -240,7 +240,7 @@
 			d.g.Eventually(d.clock.Waiters).Should(Equal(1))
 			d.clock.Advance(time.Second)
 			d.g.Eventually(done, 10*time.Second).Should(Receive(BeNil()))
-			d.g.Expect(d.engines[0].Load().Models).To(Equal([]string{"m@1"}), "the order was not canceled")
+			d.g.Expect(d.engines[0].LoadReport().Models).To(Equal([]string{"m@1"}), "the order was not canceled")
 			next.Step(context.Background())
 			_, held := next.Held(d.clock.Now())
 			d.g.Expect(held).To(Equal(answered))
--- a/process/order/suspended_test.go
+++ b/process/order/suspended_test.go
@@ -67,7 +67,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			g := NewWithT(t)
-			store, e := objects.New(), engine.New(engine.Options{Name: "e", Fencing: fencing, Crash: func() {}})
+			store, e := objects.NewStore(), engine.New(engine.Options{Name: "e", EnforceFencing: fencing, Crash: func() {}})
 			api, srv := httptest.NewServer(store.Handler()), httptest.NewServer(e.Handler())
 			defer api.Close()
 			defer srv.Close()
@@ -79,32 +79,32 @@
 				_ = cmd.Process.Kill()
 				_ = cmd.Wait()
 			}()
-			models := func() []string { return e.Load().Models }
+			models := func() []string { return e.LoadReport().Models }
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"old@1"}))
 			g.Expect(cmd.Process.Signal(syscall.SIGSTOP)).To(Succeed())
-			first := e.Applied()[0]
+			first := e.AppliedFences()[0]
 
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
 			elector, manager := startHolder(ctx, "next", api.URL, address, "new@2")
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"new@2"}))
-			second := e.Applied()[len(e.Applied())-1]
+			second := e.AppliedFences()[len(e.AppliedFences())-1]
 			g.Expect(second).To(BeNumerically(">", first))
 
 			// The platform is down when the process resumes, so that only its own
 			// clock can show that its lease has expired.
 			store.SetFaults(objects.Faults{Down: true})
-			before := store.Counts().Writes
+			before := store.CallCounts().Writes
 			g.Expect(cmd.Process.Signal(syscall.SIGCONT)).To(Succeed())
-			g.Eventually(func() int64 { return store.Counts().Writes }, 20*time.Second).Should(BeNumerically(">", before+6))
+			g.Eventually(func() int64 { return store.CallCounts().Writes }, 20*time.Second).Should(BeNumerically(">", before+6))
 			store.SetFaults(objects.Faults{})
-			reads := store.Counts().Reads
-			g.Eventually(func() int64 { return store.Counts().Reads }, 20*time.Second).Should(BeNumerically(">", reads))
+			reads := store.CallCounts().Reads
+			g.Eventually(func() int64 { return store.CallCounts().Reads }, 20*time.Second).Should(BeNumerically(">", reads))
 			g.Eventually(models, 20*time.Second).Should(Equal([]string{"new@2"}))
 			g.Eventually(func() bool { _, held := elector.Held(time.Now()); return held }, 20*time.Second).Should(BeTrue())
 			late := 0
-			for i, fence := range e.Applied() {
-				if i > 0 && fence < e.Applied()[i-1] {
+			for i, fence := range e.AppliedFences() {
+				if i > 0 && fence < e.AppliedFences()[i-1] {
 					late++
 				}
 			}
@@ -113,7 +113,7 @@
 			} else {
 				g.Expect(late).To(BeNumerically("<=", 1))
 			}
-			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.Applied(), manager.Counters.Sent.Load())
+			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.AppliedFences(), manager.Counters.Sent.Load())
 		})
 	}
 }
--- a/process/release/distributor_test.go
+++ b/process/release/distributor_test.go
@@ -87,7 +87,7 @@
 	fl.start(t, 2, 3)
 	fl.awaitInForce(fl.publish("pools/a", "0"))
 	for i := range 3 {
-		fl.objects.SetFaults(standin.Faults{Delay: 20 * time.Millisecond, LoseWrites: 4 + i})
+		fl.objects.SetFaults(standin.Faults{Delay: 20 * time.Millisecond, LoseWriteResponses: 4 + i})
 		fl.awaitInForce(fl.publish("pools/a", fmt.Sprint("slow ", i)))
 	}
 	for name, h := range fl.hosts {
@@ -173,7 +173,7 @@
 		fl.oneWayDelay = func(_, to string) time.Duration { // peers respond after the platform
 			return time.Duration(len(to)) * time.Millisecond
 		}
-		otherPlatform := standin.New()
+		otherPlatform := standin.NewStore()
 		_, err := newPublisher(otherPlatform, 1).Apply(context.Background(), putRow("ada", "pools/a", "0", 0))
 		g.Expect(err).NotTo(HaveOccurred())
 		second := fl.publish("pools/a", "1")
--- a/process/release/fleet_test.go
+++ b/process/release/fleet_test.go
@@ -24,7 +24,7 @@
 // in one process.
 type fleet struct {
 	g              *WithT
-	objects        *standin.Objects
+	objects        *standin.Store
 	net            *peertest.Network
 	hosts          map[string]*fleetHost
 	mu             sync.Mutex
@@ -171,7 +171,7 @@
 
 func newFleet(g *WithT) *fleet {
 	return &fleet{
-		g: g, objects: standin.New(), net: peertest.NewNetwork(), hosts: map[string]*fleetHost{}, syncInterval: 100 * time.Millisecond, watcherTimeout: 400 * time.Millisecond,
+		g: g, objects: standin.NewStore(), net: peertest.NewNetwork(), hosts: map[string]*fleetHost{}, syncInterval: 100 * time.Millisecond, watcherTimeout: 400 * time.Millisecond,
 		opts: FollowerOptions{WatchTimeout: 500 * time.Millisecond, PollInterval: 100 * time.Millisecond},
 	}
 }
--- a/process/release/follower_test.go
+++ b/process/release/follower_test.go
@@ -122,7 +122,7 @@
 // referenceModel runs random operations on the platform and hosts and keeps the
 // expected rows in maps.
 type referenceModel struct {
-	objects      *standin.Objects
+	objects      *standin.Store
 	stale        *staleStore
 	p            *Publisher
 	rows         map[string]string // expected on the platform
@@ -148,7 +148,7 @@
 }
 
 func newReferenceModel() *referenceModel {
-	m := &referenceModel{objects: standin.New(), rows: map[string]string{}, versions: map[string]uint64{}, readVersions: []map[string]uint64{{}}}
+	m := &referenceModel{objects: standin.NewStore(), rows: map[string]string{}, versions: map[string]uint64{}, readVersions: []map[string]uint64{{}}}
 	m.stale = &staleStore{Store: m.objects}
 	m.p = newPublisher(m.objects, 1)
 	m.p.Validate = func([]Row) error { return nil }
@@ -168,7 +168,7 @@
 // editRow applies an edit made from versions read earlier, with lost write
 // responses, and checks whether it should be accepted.
 func (m *referenceModel) editRow(t *rapid.T) {
-	m.objects.SetFaults(standin.Faults{LoseWrites: rapid.IntRange(0, 5).Draw(t, "lose")})
+	m.objects.SetFaults(standin.Faults{LoseWriteResponses: rapid.IntRange(0, 5).Draw(t, "lose")})
 	defer m.objects.SetFaults(standin.Faults{})
 	key := rapid.SampledFrom([]string{"pools/a", "pools/b", "routes/c"}).Draw(t, "key")
 	base := rapid.SampledFrom(m.readVersions).Draw(t, "seen")[key]
--- a/process/release/publisher_test.go
+++ b/process/release/publisher_test.go
@@ -82,7 +82,7 @@
 func TestLostResponseIsResolvedAfterTheHeadAdvanced(t *testing.T) {
 	for _, laterReleases := range []int{0, 1, 2, maxRecentRefs + 4, maxRecentRefs + 5} {
 		g := NewWithT(t)
-		ctx, objects := context.Background(), standin.New()
+		ctx, objects := context.Background(), standin.NewStore()
 		first := mustSucceed(g)(newPublisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 		lossy := &lossyStore{Store: objects, key: HeadKey, afterWrite: func() {
 			for i := range laterReleases {
@@ -112,7 +112,7 @@
 func TestConcurrentPublishersLoseNoChange(t *testing.T) {
 	for _, n := range []int{2, 50, 300} {
 		g := NewWithT(t)
-		ctx, objects := context.Background(), standin.New()
+		ctx, objects := context.Background(), standin.NewStore()
 		objects.SetFaults(standin.Faults{Delay: 1e6})
 		errs := runConcurrently(n, func(i int) error {
 			_, err := newPublisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
@@ -124,10 +124,10 @@
 		remaining, err := objects.List(ctx, queuePrefix)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(remaining).To(BeEmpty())
-		t.Logf("%d operators: %d releases, %+v", n, head.Number, objects.Counts())
+		t.Logf("%d operators: %d releases, %+v", n, head.Number, objects.CallCounts())
 		if n >= 50 {
 			g.Expect(head.Number).To(BeNumerically("<", n/2), "accepted in groups")
-			g.Expect(objects.Counts().Writes).To(BeNumerically("<", 3*n))
+			g.Expect(objects.CallCounts().Writes).To(BeNumerically("<", 3*n))
 		}
 	}
 }
@@ -136,8 +136,8 @@
 // its call rate. They wait and retry, and all changes are accepted.
 func TestBacklogUnderTheCallRateLimit(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
-	objects.SetFaults(standin.Faults{CallBudget: 600})
+	ctx, objects := context.Background(), standin.NewStore()
+	objects.SetFaults(standin.Faults{MaxCallsPerSecond: 600})
 	errs := runConcurrently(100, func(i int) error {
 		_, err := newPublisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), fmt.Sprintf("pools/%03d", i), "x", 0))
 		return err
@@ -162,7 +162,7 @@
 // accepted edit.
 func TestOneOfFiftyEditsOfARowIsAccepted(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	mustSucceed(g)(newPublisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 	errs := runConcurrently(50, func(i int) error {
 		_, err := newPublisher(objects, uint64(i)).Apply(ctx, putRow(fmt.Sprint("op", i), "pools/a", fmt.Sprint("edit", i), 1))
@@ -190,7 +190,7 @@
 func TestEditsThatDangleTogetherAreNotBothAccepted(t *testing.T) {
 	for seed := range 20 {
 		g := NewWithT(t)
-		ctx, objects := context.Background(), standin.New()
+		ctx, objects := context.Background(), standin.NewStore()
 		mustSucceed(g)(newPublisher(objects, 1).Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 		sets := []ChangeSet{deleteRow("ada", "pools/a", 1), putRow("bo", "routes/r", "a", 0)}
 		errs := runConcurrently(2, func(i int) error {
@@ -206,7 +206,7 @@
 // A conflict with a deletion names the author of the deletion.
 func TestConflictWithADeletionNamesItsAuthor(t *testing.T) {
 	g := NewWithT(t)
-	ctx, p := context.Background(), newPublisher(standin.New(), 1)
+	ctx, p := context.Background(), newPublisher(standin.NewStore(), 1)
 	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 	mustSucceed(g)(p.Apply(ctx, deleteRow("bo", "pools/a", 1)))
 	_, err := p.Apply(ctx, putRow("ada", "pools/a", "1", 1))
@@ -227,7 +227,7 @@
 // row is then deleted. The remaining queue entry must not restore the row.
 func TestEntryOfADeadPublisherIsAcceptedOnce(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 	enqueueEntry(g, p, "dead", putRow("cy", "pools/c", "0", 0))
@@ -244,7 +244,7 @@
 // accepted release, and not a conflict with itself.
 func TestPublisherLearnsOfAcceptanceByOthers(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 	q := enqueueEntry(g, p, "slow", putRow("bo", "pools/a", "1", 1))
@@ -262,7 +262,7 @@
 // force.
 func TestWithdrawnSetIsNotAccepted(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "0", 0)))
 	q := enqueueEntry(g, p, "withdrawn", putRow("ada", "routes/r", "a", 0))
@@ -297,7 +297,7 @@
 // release.
 func TestLargeTablesAreAcceptedInOneStep(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	big := strings.Repeat("x", 300<<10)
 	set := ChangeSet{Author: "ada"}
 	for i := range 5 {
@@ -333,7 +333,7 @@
 // the old rows under a higher number.
 func TestHistoryAndRollback(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	const n = 2*maxRecentRefs + 10
 	for i := range n {
@@ -357,7 +357,7 @@
 // of their number is no longer retained, so that the store stays bounded.
 func TestUnretainedObjectsAreCollected(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	for n := uint64(1); n <= 3; n++ {
 		g.Expect(p.putImmutable(ctx, objectKey(Ref{Number: n, ID: "dead"}, "000"), []Row{})).To(Succeed())
@@ -374,7 +374,7 @@
 // above all that hosts have seen.
 func TestRestoredPlatformRefusesUntilRecovered(t *testing.T) {
 	g := NewWithT(t)
-	ctx, objects := context.Background(), standin.New()
+	ctx, objects := context.Background(), standin.NewStore()
 	p := newPublisher(objects, 1)
 	mustSucceed(g)(p.Apply(ctx, putRow("ada", "pools/a", "old", 0)))
 	inForce := Release{Number: 5, Rows: []Row{{Key: "pools/a", Data: []byte(`"new"`), Version: 5}}}
