--- a/version/pick/affinity.go
+++ b/version/pick/affinity.go
@@ -2,43 +2,48 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// PrefixBytes is how much of a prompt decides where it is cached.
+// PrefixBytes is the length of the prompt prefix, in bytes, that is hashed for prefix
+// affinity.
 const PrefixBytes = 256
 
-// Prefix returns the affinity of a prompt: the hash of its start, never 0.
+// PrefixHash returns the hash of the first PrefixBytes bytes of a prompt. It is never 0,
+// which in Attempt.PrefixHash means that there is no prefix.
 func PrefixHash(body []byte) uint64 {
 	return max(1, xxhash.Sum64(body[:min(len(body), PrefixBytes)]))
 }
 
-// cached returns the server that the prefix belongs to, if it has a free slot
-// and is not far above the mean of its tier. Cache events come late and with
-// gaps, so the place of a prefix is decided by rendezvous hashing alone: every
-// host finds the same server without being told, and a prefix that is in high
-// demand spills to others instead of making its server a hot spot.
-func (p *LocalityPicker) cached(t tier, info *Attempt) (*Server, float64) {
+// pickByPrefix returns the server that the attempt's prefix hash is assigned to, and its
+// load. It returns nil if that server has no free slot or its load is far above the mean of
+// the tier. Cache events arrive late and with gaps, so prefixes are assigned to servers by
+// rendezvous hashing alone: all hosts compute the same server without communication. The
+// bound on the load keeps a frequent prefix from overloading its server: the excess requests
+// go to other servers.
+func (p *LocalityPicker) pickByPrefix(t tier, attempt *Attempt) (*Server, float64) {
 	var best *Server
-	var rank uint64
+	var highest uint64
 	for _, s := range t {
-		if r := mix(info.PrefixHash, s.State.Hash()); (best == nil || r > rank) && p.usable(t, s, info) {
-			best, rank = s, r
+		if r := mixHashes(attempt.PrefixHash, s.State.Hash()); (best == nil || r > highest) && p.usable(t, s, attempt) {
+			best, highest = s, r
 		}
 	}
 	if best == nil {
 		return nil, 0
 	}
-	load := p.load(best, info.Now)
-	if load >= p.opts.SpilloverLoad || load > p.bound(t, best, info) {
+	load := p.load(best, attempt.Now)
+	if load >= p.opts.SpilloverLoad || load > p.maxAffinityLoad(t, best, attempt) {
 		return nil, 0
 	}
 	return best, load
 }
 
-// bound returns the load up to which best may take requests for its prefixes.
-func (p *LocalityPicker) bound(t tier, best *Server, info *Attempt) float64 {
+// maxAffinityLoad returns the load up to which server best of the tier receives requests for
+// the prefixes assigned to it: MaxAffinityLoadFactor times the mean load of the tier's usable
+// servers, plus one request.
+func (p *LocalityPicker) maxAffinityLoad(t tier, best *Server, attempt *Attempt) float64 {
 	var sum, n float64
 	for _, s := range t {
-		if p.usable(t, s, info) {
-			sum += p.load(s, info.Now)
+		if p.usable(t, s, attempt) {
+			sum += p.load(s, attempt.Now)
 			n++
 		}
 	}
--- a/version/pick/explain.go
+++ b/version/pick/explain.go
@@ -6,22 +6,22 @@
 	"bilberrydale/process/server"
 )
 
-// Candidate is one server as the picker sees it.
+// Candidate describes a server of the pool as the picker evaluates it.
 type Candidate struct {
 	Name        string  `json:"name"`
 	Tier        string  `json:"tier"` // domain, region, remote or unused
-	Load        float64 `json:"load"` // requests for a slot
+	Load        float64 `json:"load"` // requests in flight per slot
 	State       string  `json:"state"`
-	OwnInFlight int64   `json:"own"`              // requests of this host in flight
+	OwnInFlight int64   `json:"own"`              // requests in flight sent by this host
 	ReportAge   float64 `json:"report,omitempty"` // age of the load report in seconds
-	// Latency is the mean of this host's attempts that succeeded, in seconds.
+	// MeanLatency is the mean duration of this host's successful attempts in seconds.
 	MeanLatency float64 `json:"latency,omitempty"`
 }
 
-// Explain describes every server of the pool.
+// Explain describes all servers of the pool, in the order of Servers.
 func (p *LocalityPicker) Explain(now time.Time) []Candidate {
 	tiers := map[*Server]string{}
-	for name, t := range map[string]tier{"domain": p.near, "region": p.region, "remote": p.remote} {
+	for name, t := range map[string]tier{"domain": p.domain, "region": p.region, "remote": p.remote} {
 		for _, s := range t {
 			tiers[s] = name
 		}
@@ -29,7 +29,7 @@
 	out := make([]Candidate, 0, len(p.servers))
 	for i := range p.servers {
 		s := &p.servers[i]
-		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: describe(s, now), OwnInFlight: s.State.InFlight()}
+		c := Candidate{Name: s.Name, Tier: tiers[s], Load: p.load(s, now), State: stateText(s, now), OwnInFlight: s.State.InFlight()}
 		c.MeanLatency = s.State.Latency().Mean()
 		if c.Tier == "" {
 			c.Tier = "unused"
@@ -42,7 +42,8 @@
 	return out
 }
 
-func describe(s *Server, now time.Time) string {
+// stateText returns the text of Candidate.State.
+func stateText(s *Server, now time.Time) string {
 	switch {
 	case s.State.Leaving():
 		return "leaving"
@@ -60,12 +61,14 @@
 	return "usable"
 }
 
-// Reach returns the servers that this host may use, near ones first.
+// Eligible returns the states of all servers that this host may use, those in the own failure
+// domain first.
 func (p *LocalityPicker) Eligible() []*server.State {
-	return append(p.near.states(), p.EligibleOutsideDomain()...)
+	return append(p.domain.states(), p.EligibleOutsideDomain()...)
 }
 
-// Outside returns the servers in other domains that this host may use.
+// EligibleOutsideDomain returns the states of the servers in other failure domains that this
+// host may use.
 func (p *LocalityPicker) EligibleOutsideDomain() []*server.State {
 	return append(p.region.states(), p.remote.states()...)
 }
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -6,55 +6,59 @@
 	"bilberrydale/process/server"
 )
 
-// Load is what a picker's host can use of its pool.
+// Load is the load of a pool's servers that this entry host may use.
 type Load struct {
-	Slots       float64 // of usable servers near by, with what others can spare
-	InFlight    float64 // requests on the servers near by
-	OwnInFlight float64 // of those, this host's
-	// Then and OwnThen are Busy and Own as of the servers' last reports.
+	// Slots counts the slots of healthy servers in the own region, and a fraction of the free
+	// slots in other regions.
+	Slots       float64
+	InFlight    float64 // requests running or queued on the servers of the own region
+	OwnInFlight float64 // of those, sent by this host
+	// ReportedInFlight and OwnInFlightAtReport are InFlight and OwnInFlight at the time of the
+	// servers' last reports.
 	ReportedInFlight    float64
 	OwnInFlightAtReport float64
-	ProbesDue           int // servers that would be tried now
+	ProbesDue           int // ejected servers that a request would probe now
 }
 
-// spareShare is the part of other regions' free slots that this host's region
-// counts on: the others may want them too.
-const spareShare = .5
+// usableSpareFraction is the fraction of the free slots of servers in other regions that Load
+// counts as available: other regions may use them as well.
+const usableSpareFraction = .5
 
-// Load estimates the pool's load as this host sees it. Ejected servers count as
-// gone, without the bound that picking keeps: admission had better expect too
-// little.
+// Load estimates the load of the pool. Ejected servers have no slots here, and the bound
+// MaxEjectedFraction does not apply: for admission it is safer to underestimate the capacity.
 func (p *LocalityPicker) Load(now time.Time) Load {
 	var out Load
-	for _, t := range []tier{p.near, p.region} {
+	for _, t := range []tier{p.domain, p.region} {
 		for _, s := range t {
-			out.add(s, now)
+			out.addServer(s, now)
 		}
 	}
 	if out.Slots == 0 {
-		// Nothing near by can serve: the pool is the servers elsewhere, not
-		// what they can spare. Else a pool of another region would look down
-		// and be refused.
-		trials := out.ProbesDue
+		// No server of the own region is healthy: the load is that of the servers in other
+		// regions, with all of their slots. Otherwise a pool that exists only in another
+		// region would appear to be down, and its requests would be rejected.
+		regionProbes := out.ProbesDue
 		for _, s := range p.remote {
-			out.add(s, now)
+			out.addServer(s, now)
 		}
-		if len(p.near)+len(p.region) > 0 {
-			out.ProbesDue = trials // one of the near ones shows it as well
+		if len(p.domain)+len(p.region) > 0 {
+			// A probe of a server in the own region also detects that the pool is back.
+			out.ProbesDue = regionProbes
 		}
 		return out
 	}
 	for _, s := range p.remote {
-		if s.serves(now) {
+		if s.healthy(now) {
 			spare := (p.opts.MaxRemoteLoad - p.load(s, now)) * s.capacity()
-			out.Slots += spareShare * max(0, spare)
+			out.Slots += usableSpareFraction * max(0, spare)
 		}
 	}
 	return out
 }
 
-func (l *Load) add(s *Server, now time.Time) {
-	if !s.serves(now) {
+// addServer adds the load of s, or counts it as due for a probe.
+func (l *Load) addServer(s *Server, now time.Time) {
+	if !s.healthy(now) {
 		if s.State.Usable() && s.State.Health(now) == server.TrialDue {
 			l.ProbesDue++
 		}
@@ -68,21 +72,22 @@
 	l.OwnInFlightAtReport += own
 }
 
-// serves reports whether the server can be counted on.
-func (s *Server) serves(now time.Time) bool {
+// healthy reports whether the server accepts requests and is not ejected.
+func (s *Server) healthy(now time.Time) bool {
 	return s.State.Usable() && s.State.Health(now) == server.Healthy
 }
 
-// freeShare of the slots are taken at most on a server that counts as free:
-// reports lag, so a server that looks just free may be full.
-const freeShare = .75
+// maxUtilizationWithFreeSlot is the utilization up to which HasFreeSlot returns true. Reports
+// are delayed, so a server that appears to have one free slot may be full.
+const maxUtilizationWithFreeSlot = .75
 
-// Free reports whether work sent to the server now surely finds a slot.
+// HasFreeSlot reports whether a request sent to the server now is expected to start without
+// queueing, with a margin for the delay of load reports.
 func (s *Server) HasFreeSlot(now time.Time) bool {
-	return s.State.EstimatedRequests(now) <= freeShare*s.capacity()
+	return s.State.EstimatedRequests(now) <= maxUtilizationWithFreeSlot*s.capacity()
 }
 
-// capacity returns the slots of the server by its weight.
+// capacity returns the server's slots multiplied by its weight. A weight of 0 counts as 1.
 func (s *Server) capacity() float64 {
 	slots := float64(max(1, s.Slots))
 	if s.Weight > 0 {
--- a/version/pick/placed_test.go
+++ b/version/pick/locality_test.go
@@ -14,28 +14,29 @@
 
 var start = time.Unix(1_000_000, 0)
 
-func servers(n int, place func(i int) (domain, region string)) []Server {
+// servers returns n servers of 4 slots; locality returns the failure domain and region of each.
+func servers(n int, locality func(i int) (domain, region string)) []Server {
 	reg := server.NewRegistry()
 	out := make([]Server, n)
 	for i := range out {
-		d, r := place(i)
+		d, r := locality(i)
 		s := table.Server{Name: fmt.Sprint("s", i), Address: fmt.Sprintf("10.0.%d.%d:80", i/256, i%256), Domain: d, Region: r}
 		out[i] = Server{Server: s, State: reg.Get(s.Name, s.Address, start.Add(-time.Hour)), Slots: 4}
 	}
 	return out
 }
 
-func near(int) (string, string) { return "a1", "a" }
+func localDomain(int) (string, string) { return "a1", "a" }
 
-func info() *Attempt { return &Attempt{Now: start, Rand: clock.NewSeeded(1), Class: table.Standard} }
+func attempt() *Attempt { return &Attempt{Now: start, Rand: clock.NewSeeded(1), Class: table.Standard} }
 
-func fill(s *Server, n int) {
+func addRequests(s *Server, n int) {
 	for range n {
 		s.State.BeginRequest()
 	}
 }
 
-func TestWorkStaysNearUntilNearIsFull(t *testing.T) {
+func TestLocalServersArePreferredUntilFull(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(3, func(i int) (string, string) {
 		return []string{"a1", "a2", "b1"}[i], []string{"a", "a", "b"}[i]
@@ -44,37 +45,36 @@
 		all[i].State.SetLoad(&server.Load{Received: start})
 	}
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	want := func(name string, in *Attempt) {
+	expectPick := func(name string, a *Attempt) {
 		t.Helper()
-		s, err := p.Pick(in)
+		s, err := p.Pick(a)
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(s.Name).To(Equal(name))
 	}
-	want("s0", info())
-	fill(&all[0], 4)
-	want("s1", info()) // the own region has room
-	fill(&all[1], 5)
-	want("s0", info()) // full, but not by enough to pay for another region
-	fill(&all[0], 2)
-	fill(&all[1], 2)
-	want("s0", info())
-	fill(&all[0], 1)
-	want("s2", info())
-	heavy := info()
-	heavy.InputBytes = 4 << 20
-	want("s0", heavy) // too many billed bytes for the gain
-	background := info()
+	expectPick("s0", attempt())
+	addRequests(&all[0], 4)
+	expectPick("s1", attempt()) // another domain of the region has free slots
+	addRequests(&all[1], 5)
+	expectPick("s0", attempt()) // the region is full, but below RemoteSpilloverLoad
+	addRequests(&all[0], 2)
+	addRequests(&all[1], 2)
+	expectPick("s0", attempt())
+	addRequests(&all[0], 1)
+	expectPick("s2", attempt())
+	largeInput := attempt()
+	largeInput.InputBytes = 4 << 20
+	expectPick("s0", largeInput) // the transfer costs more than the lower load gains
+	background := attempt()
 	background.Class = table.Background
-	want("s0", background)
+	expectPick("s0", background)
 }
 
-// What the caller sees without the bound: every server of the pool fails for a
-// while, and then the pool refuses all requests although the servers are well.
-// A poisoned request or a full network makes each server fail in turn; each is
-// ejected; none is left. The bound keeps half of them in use.
-func TestEjectionsLeaveAShareInUse(t *testing.T) {
+// A request that crashes servers or a congested network makes attempts fail on every server of
+// a pool. Without a bound all of them are ejected, and the pool rejects all requests although
+// its servers work. The bound keeps half of them in use.
+func TestEjectionsKeepAFractionInUse(t *testing.T) {
 	g := NewWithT(t)
-	all := servers(4, near)
+	all := servers(4, localDomain)
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	for i := range all {
 		for range 5 {
@@ -84,54 +84,54 @@
 	}
 	usable := 0
 	for i := range all {
-		if p.usable(p.near, &all[i], info()) {
+		if p.usable(p.domain, &all[i], attempt()) {
 			usable++
 		}
 	}
 	g.Expect(usable).To(Equal(2))
-	_, err := p.Pick(info())
+	_, err := p.Pick(attempt())
 	g.Expect(err).NotTo(HaveOccurred())
 }
 
-// What the caller sees without it: a dead server answers "connection refused"
-// at once, has nothing in flight, and so looks like the least loaded one; it
-// draws request after request until something takes it out.
-func TestDeadServerIsTriedByOneRequestAtATime(t *testing.T) {
+// A server that refuses connections fails requests at once, has none in flight and therefore
+// appears to be the least loaded one. Unless it is ejected and probed by a single request at a
+// time, it attracts and fails request after request.
+func TestUnreachableServerIsProbedByOneRequestAtATime(t *testing.T) {
 	g := NewWithT(t)
-	all := servers(2, near)
+	all := servers(2, localDomain)
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	fill(&all[1], 3)
+	addRequests(&all[1], 3)
 	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	for range 20 {
-		s, err := p.Pick(info())
+		s, err := p.Pick(attempt())
 		g.Expect(err).NotTo(HaveOccurred())
 		g.Expect(s.Name).To(Equal("s1"))
 	}
-	later := info()
+	later := attempt()
 	later.Now = start.Add(2 * time.Second)
-	trials := 0
+	probes := 0
 	for range 20 {
 		if s, err := p.Pick(later); err == nil && s.Name == "s0" {
-			trials++
+			probes++
 		}
 	}
-	g.Expect(trials).To(Equal(1))
+	g.Expect(probes).To(Equal(1))
 	all[0].State.RecordOutcome(later.Now, server.Succeeded, time.Millisecond)
 	g.Expect(all[0].State.Health(later.Now)).To(Equal(server.Healthy))
 }
 
-func TestSubsetsAreStableSmallAndEven(t *testing.T) {
+func TestSubsetsAreStableSmallAndBalanced(t *testing.T) {
 	g := NewWithT(t)
-	const hosts, n, k = 200, 100, 8
+	const hosts, n, size = 200, 100, 8
 	all := servers(n, func(int) (string, string) { return "a2", "a" })
 	used := map[string]int{}
 	for h := range hosts {
 		p := NewLocalityPicker(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all)
-		g.Expect(p.region).To(HaveLen(k))
+		g.Expect(p.region).To(HaveLen(size))
 		for _, s := range p.region {
 			used[s.Name]++
 		}
-		// One server less moves at most one place of the subset.
+		// Removing a server changes at most one element of a subset.
 		fewer := NewLocalityPicker(DefaultOptions(fmt.Sprint("host", h), "a1", "a"), all[:n-1])
 		same := 0
 		for _, s := range fewer.region {
@@ -141,29 +141,29 @@
 				}
 			}
 		}
-		g.Expect(same).To(BeNumerically(">=", k-1))
+		g.Expect(same).To(BeNumerically(">=", size-1))
 	}
 	for _, s := range all {
-		g.Expect(used[s.Name]).To(And(BeNumerically(">", 0), BeNumerically("<", 3*hosts*k/n)), s.Name)
+		g.Expect(used[s.Name]).To(And(BeNumerically(">", 0), BeNumerically("<", 3*hosts*size/n)), s.Name)
 	}
 }
 
-// Without the bound on load, every request with the one prefix in demand goes
-// to one server while the others idle.
-func TestAffinityKeepsPlaceButMakesNoHotSpot(t *testing.T) {
+// Without the bound on load, all requests with a frequent prefix go to one server while the
+// others are idle.
+func TestPrefixAffinityCreatesNoHotSpot(t *testing.T) {
 	g := NewWithT(t)
-	all := servers(8, near)
+	all := servers(8, localDomain)
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	in := info()
-	in.PrefixHash = PrefixHash([]byte("you are a soap boiler"))
-	first, err := p.Pick(in)
+	a := attempt()
+	a.PrefixHash = PrefixHash([]byte("you are a soap boiler"))
+	first, err := p.Pick(a)
 	g.Expect(err).NotTo(HaveOccurred())
 	for range 10 {
-		s, _ := p.Pick(in)
+		s, _ := p.Pick(a)
 		g.Expect(s).To(BeIdenticalTo(first))
 	}
 	for range 16 { // half of all slots
-		s, _ := p.Pick(in)
+		s, _ := p.Pick(a)
 		s.State.BeginRequest()
 	}
 	g.Expect(first.State.InFlight()).To(BeNumerically("<=", 4))
@@ -172,14 +172,14 @@
 	}
 }
 
-// Hosts see the same report, a second old, of one idle server among busy ones.
-// If each sends to the least loaded by report, all their work lands on it.
-func TestStaleReportDrawsNoHerd(t *testing.T) {
+// All hosts have the same report, one second old, of one idle server among busy ones. If each
+// sends to the server with the lowest reported load, all requests go to that server.
+func TestStaleReportCausesNoHerding(t *testing.T) {
 	g := NewWithT(t)
 	const hosts, each, n = 20, 10, 20
 	sent := map[string]int{}
 	for h := range hosts {
-		all := servers(n, near)
+		all := servers(n, localDomain)
 		for i := range all {
 			running := 2
 			if i == 7 {
@@ -188,9 +188,9 @@
 			all[i].State.SetLoad(&server.Load{Running: running, Received: start.Add(-time.Second)})
 		}
 		p := NewLocalityPicker(DefaultOptions(fmt.Sprint("h", h), "a1", "a"), all)
-		in := &Attempt{Now: start, Rand: clock.NewSeeded(uint64(h))}
+		a := &Attempt{Now: start, Rand: clock.NewSeeded(uint64(h))}
 		for range each {
-			s, err := p.Pick(in)
+			s, err := p.Pick(a)
 			g.Expect(err).NotTo(HaveOccurred())
 			s.State.BeginRequest()
 			sent[s.Name]++
@@ -199,55 +199,56 @@
 	g.Expect(sent["s7"]).To(BeNumerically("<", 3*hosts*each/n))
 }
 
-// Half of the region's servers are gone. Their work queues for the rest while
-// another region idles; a queue that will not pass is left sooner.
-func TestRegionShortOfServersLeavesSooner(t *testing.T) {
+// Half of the region's servers are down, and their requests queue on the others while another
+// region is idle. This queue does not drain by itself, so requests spill over at a lower load
+// than in a healthy region.
+func TestDegradedRegionSpillsOverEarlier(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(3, func(i int) (string, string) {
 		return []string{"a1", "a1", "b1"}[i], []string{"a", "a", "b"}[i]
 	})
 	all[2].State.SetLoad(&server.Load{Received: start})
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	fill(&all[0], 5)
-	fill(&all[1], 5)
-	s, err := p.Pick(info())
+	addRequests(&all[0], 5)
+	addRequests(&all[1], 5)
+	s, err := p.Pick(attempt())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Region).To(Equal("a"))
 	all[1].State.SetDown(true)
-	s, err = p.Pick(info())
+	s, err = p.Pick(attempt())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Region).To(Equal("b"))
 }
 
-// Two regions are full. No report of the other comes through, so its servers
-// look idle to a host that has sent them nothing; without the safeguard each
-// region sends its overload to the other, at the price of the billed bytes.
-func TestUnknownLoadElsewhereDrawsNoSpill(t *testing.T) {
+// Two regions are full, and no load reports arrive from the respective other one, so its
+// servers appear idle to a host that has sent them nothing. Without staleReportLoad each region
+// would send its excess requests to the other, and pay for the transferred bytes.
+func TestUnknownRemoteLoadCausesNoSpillover(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(2, func(i int) (string, string) {
 		return []string{"a1", "b1"}[i], []string{"a", "b"}[i]
 	})
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	fill(&all[0], 6)
-	s, err := p.Pick(info())
+	addRequests(&all[0], 6)
+	s, err := p.Pick(attempt())
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(s.Name).To(Equal("s0"))
 	all[0].State.SetDown(true)
-	s, err = p.Pick(info())
+	s, err = p.Pick(attempt())
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(s.Name).To(Equal("s1"), "better an unknown server than none")
+	g.Expect(s.Name).To(Equal("s1"), "the only usable server, with unknown load")
 }
 
-// A pool stands in another region only, or its last server near by is lost. A
-// host that counts only what others can spare takes such a pool for down and
-// refuses every request, although the servers there would answer.
-func TestPoolElsewhereIsNotDown(t *testing.T) {
+// A pool has servers in another region only, or its last healthy server in the own region
+// failed. If only the spare slots in other regions counted, the pool would appear to be down,
+// and all its requests would be rejected although the other servers work.
+func TestRemoteOnlyPoolIsNotDown(t *testing.T) {
 	g := NewWithT(t)
 	all := servers(2, func(i int) (string, string) {
 		return []string{"a1", "b1"}[i], []string{"a", "b"}[i]
 	})
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
-	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4), "what the other can spare is unknown")
+	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4), "the spare slots of the other region are unknown")
 	all[0].State.RecordOutcome(start, server.Unreachable, 0)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4))
 	only := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all[1:])
--- a/version/pick/pick.go
+++ b/version/pick/pick.go
@@ -1,5 +1,5 @@
-// Package pick chooses the backend server of one attempt from an immutable
-// set. Pickers read atomics and take no lock.
+// Package pick selects the backend server for an attempt of a stage from the immutable set of
+// a pool's servers. Pickers read the servers' states from atomics and take no locks.
 package pick
 
 import (
@@ -11,32 +11,33 @@
 	"bilberrydale/version/table"
 )
 
-// ErrNone is returned when no backend server may take the attempt.
+// ErrNoServer is returned when no backend server can be used for the attempt.
 var ErrNoServer = errors.New("pick: no usable backend server")
 
-// Server is one backend server as a picker sees it.
+// Server is a backend server of a pool: its row of the tables and its current state.
 type Server struct {
 	table.Server
 	State *server.State
-	Slots int
+	Slots int // requests that the server runs concurrently, before its weight is applied
 
-	outside bool // in another failure domain than the picker's host
+	outsideDomain bool // in another failure domain than the picker's host
 }
 
-// Info describes the attempt to place.
+// Attempt describes the attempt for which a server is picked.
 type Attempt struct {
 	Now        time.Time
 	Rand       clock.Rand
-	PrefixHash uint64 // hash of the prompt prefix; 0: none
-	Class      table.Class
-	InputBytes int // size of the stage's input, for billed links
-	// Exclude holds servers already tried by this request; at most a few.
+	PrefixHash uint64      // hash of the prompt prefix for affinity; 0: none
+	Class      table.Class // class of the request's route
+	InputBytes int         // size of the stage's input, for regions whose traffic is billed
+	// Exclude holds the servers that this request has already tried. It is searched linearly
+	// and holds only a few.
 	Exclude []*server.State
 }
 
-// Excluded reports whether the request already tried s.
-func (i *Attempt) Excluded(s *server.State) bool {
-	for _, x := range i.Exclude {
+// Excluded reports whether the request has already tried s.
+func (a *Attempt) Excluded(s *server.State) bool {
+	for _, x := range a.Exclude {
 		if x == s {
 			return true
 		}
@@ -44,34 +45,34 @@
 	return false
 }
 
-// Picker chooses a backend server. It is immutable, made once for a snapshot,
-// and called by any number of requests at once.
+// Picker selects backend servers of one pool. It is created once per snapshot, immutable and
+// safe for concurrent use.
 type Picker interface {
-	// Pick returns the chosen server or ErrNone.
-	Pick(info *Attempt) (*Server, error)
-	// Servers returns every server of the pool, for status and explanation.
+	// Pick returns the selected server or ErrNoServer.
+	Pick(attempt *Attempt) (*Server, error)
+	// Servers returns all servers of the pool, including those that Pick never returns.
 	Servers() []Server
 }
 
-// Random is the naive picker: any usable server, uniformly.
+// RandomPicker picks any usable server at random, regardless of locality and load.
 type RandomPicker struct{ servers []Server }
 
-// NewRandom returns a Random picker over servers.
+// NewRandomPicker returns a RandomPicker for servers.
 func NewRandomPicker(servers []Server) *RandomPicker { return &RandomPicker{servers} }
 
 // Servers implements Picker.
 func (r *RandomPicker) Servers() []Server { return r.servers }
 
 // Pick implements Picker.
-func (r *RandomPicker) Pick(info *Attempt) (*Server, error) {
+func (r *RandomPicker) Pick(attempt *Attempt) (*Server, error) {
 	n := len(r.servers)
 	if n == 0 {
 		return nil, ErrNoServer
 	}
-	start := info.Rand.IntN(n)
+	start := attempt.Rand.IntN(n)
 	for i := range n {
 		s := &r.servers[(start+i)%n]
-		if s.State.Usable() && !info.Excluded(s.State) {
+		if s.State.Usable() && !attempt.Excluded(s.State) {
 			return s, nil
 		}
 	}
