--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -1,7 +1,7 @@
-// Package peerconn is one connection between two entry hosts: frames of
-// bounded length, a mutual proof of the shared secret before any frame counts,
-// requests matched to answers by id, and pings that tell a silent connection
-// from an idle one.
+// Package peerconn implements connections between two entry hosts. Each connection starts with
+// a handshake in which both ends prove that they have the shared secret. After it the ends
+// exchange frames of bounded length: requests of either end, their responses, which are matched
+// by id, and pings. The pings distinguish an idle connection from an unresponsive one.
 package peerconn
 
 import (
@@ -21,31 +21,32 @@
 
 // Errors that end a connection. Use errors.Is.
 var (
-	// ErrSilent: nothing arrived for the silence limit. It says something
-	// about the connection, not about the peer.
-	ErrUnresponsive = errors.New("peerconn: connection is silent")
-	// ErrIdle: no call used the connection for the idle limit.
+	// ErrUnresponsive means that no byte arrived for Options.ReadTimeout. The connection may
+	// have failed while the peer works.
+	ErrUnresponsive = errors.New("peerconn: connection is unresponsive")
+	// ErrIdle means that there was no call in either direction for Options.IdleTimeout.
 	ErrIdle = errors.New("peerconn: connection was idle")
-	// ErrClosed: this end closed the connection.
+	// ErrClosed means that Close was called on this end.
 	ErrClosed = errors.New("peerconn: closed")
 )
 
-// errBusy is the answer when too many handlers of one peer run.
-var errBusy = errors.New("too many calls in flight")
+// errTooManyCalls is the response to a call when MaxHandlers handlers of the peer are running.
+var errTooManyCalls = errors.New("too many calls in flight")
 
-// Options configure connections; zero values get the defaults.
+// Options configures connections. Zero values except Self and Secret are replaced by defaults.
 type Options struct {
 	Self   peer.Identity
-	Secret []byte
-	// MaxFrame is the largest frame in bytes; default 4 MB.
+	Secret []byte // shared by all entry hosts of the deployment
+	// MaxFrameBytes is the maximum size of a sent or received frame; default 4 MB.
 	MaxFrameBytes int
-	// MaxHandlers is how many calls of one peer run at once; default 64.
+	// MaxHandlers is the maximum number of the peer's calls that run concurrently on a
+	// connection; default 64.
 	MaxHandlers      int
-	HandshakeTimeout time.Duration // for the whole handshake; default 2 s
-	PingInterval     time.Duration // between writes on a quiet connection; default 1 s
-	ReadTimeout      time.Duration // without a byte before the connection is dropped; default 3 s
+	HandshakeTimeout time.Duration // for the whole handshake, with Dial also for connecting; default 2 s
+	PingInterval     time.Duration // between writes while no other frames are sent; default 1 s
+	ReadTimeout      time.Duration // without a received byte until the connection is closed; default 3 s
 	WriteTimeout     time.Duration // for writing one frame; default 3 s
-	IdleTimeout      time.Duration // without a call before the connection is closed; default 2 min
+	IdleTimeout      time.Duration // without a call until the connection is closed; default 2 min
 }
 
 func (o Options) withDefaults() Options {
@@ -65,73 +66,78 @@
 	}
 }
 
-// maxHandlerTime bounds a handler whose caller gave no deadline.
-const maxHandlerTime = 30 * time.Second
+// maxHandlerDuration is the timeout of a handler if the caller sent none or a longer one.
+const maxHandlerDuration = 30 * time.Second
 
-// Conn is one proven connection; it implements peer.Conn.
+// Conn is an authenticated connection to a peer. It implements peer.Conn and is safe for
+// concurrent use.
 type Conn struct {
-	opts    Options
-	raw     net.Conn
-	remote  peer.Identity
-	serve   peer.Dispatch
-	write   chan struct{} // holds one token: the right to write
-	slots   chan struct{} // one a running handler
-	nextID  atomic.Uint64
-	lastUse atomic.Int64 // unix nanoseconds of the last call either way
-	written atomic.Int64 // unix nanoseconds of the last frame sent
-	dropped atomic.Int64
+	opts             Options
+	netConn          net.Conn
+	remote           peer.Identity
+	dispatch         peer.Dispatch
+	writeToken       chan struct{} // holds one element, which a writer takes while it writes a frame
+	handlerSlots     chan struct{} // holds one element per running handler
+	nextID           atomic.Uint64
+	lastCallNanos    atomic.Int64 // Unix time of the last call in either direction
+	lastWriteNanos   atomic.Int64 // Unix time of the last frame written
+	droppedResponses atomic.Int64
 
 	mu      sync.Mutex
-	waiting map[uint64]chan *frame
-	err     error
+	pending map[uint64]chan *frame // calls that wait for their responses, by id
+	err     error                  // why the connection ended
 	done    chan struct{}
 }
 
-// Dial connects to address, proves the secret and starts the connection.
-func Dial(ctx context.Context, address string, opts Options, serve peer.Dispatch) (*Conn, error) {
+// Dial connects to address (host:port), performs the handshake and starts the connection. Calls
+// of the peer are passed to dispatch. Dial returns at the end of HandshakeTimeout or of ctx,
+// whichever comes first; ctx has no effect on the connection afterwards.
+func Dial(ctx context.Context, address string, opts Options, dispatch peer.Dispatch) (*Conn, error) {
 	opts = opts.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, opts.HandshakeTimeout)
 	defer cancel()
-	raw, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
+	netConn, err := (&net.Dialer{}).DialContext(ctx, "tcp", address)
 	if err != nil {
 		return nil, fmt.Errorf("dial peer: %w", err)
 	}
-	// A stopped process still has its connections opened by its kernel; only
-	// the handshake then tells, and it must not outlast the caller's patience.
+	// The kernel of a stopped process still accepts connections, so that only the handshake
+	// fails. It must not take longer than the caller's deadline.
 	if deadline, ok := ctx.Deadline(); ok {
 		opts.HandshakeTimeout = time.Until(deadline)
 	}
-	return open(raw, opts, serve, dialHandshake)
+	return newConn(netConn, opts, dispatch, dialHandshake)
 }
 
-// Accept proves the secret on an accepted connection and starts it.
-func Accept(raw net.Conn, opts Options, serve peer.Dispatch) (*Conn, error) {
-	return open(raw, opts.withDefaults(), serve, acceptHandshake)
+// Accept performs the handshake on an accepted connection and starts it. Calls of the peer are
+// passed to dispatch. If the handshake fails, netConn is closed.
+func Accept(netConn net.Conn, opts Options, dispatch peer.Dispatch) (*Conn, error) {
+	return newConn(netConn, opts.withDefaults(), dispatch, acceptHandshake)
 }
 
-type handshake func(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error)
+// handshakeFunc performs one end's handshake and returns the identity of the other end.
+type handshakeFunc func(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error)
 
-func open(raw net.Conn, opts Options, serve peer.Dispatch, shake handshake) (*Conn, error) {
-	_ = raw.SetDeadline(time.Now().Add(opts.HandshakeTimeout))
-	remote, err := shake(raw, opts.Self, opts.Secret)
+func newConn(netConn net.Conn, opts Options, dispatch peer.Dispatch, handshake handshakeFunc) (*Conn, error) {
+	_ = netConn.SetDeadline(time.Now().Add(opts.HandshakeTimeout))
+	remote, err := handshake(netConn, opts.Self, opts.Secret)
 	if err != nil {
-		_ = raw.Close()
+		_ = netConn.Close()
 		return nil, fmt.Errorf("peer handshake: %w", err)
 	}
-	_ = raw.SetDeadline(time.Time{})
+	_ = netConn.SetDeadline(time.Time{})
 	c := &Conn{
-		opts: opts, raw: raw, remote: remote, serve: serve,
-		write: make(chan struct{}, 1), slots: make(chan struct{}, opts.MaxHandlers),
-		waiting: map[uint64]chan *frame{}, done: make(chan struct{}),
+		opts: opts, netConn: netConn, remote: remote, dispatch: dispatch,
+		writeToken: make(chan struct{}, 1), handlerSlots: make(chan struct{}, opts.MaxHandlers),
+		pending: map[uint64]chan *frame{}, done: make(chan struct{}),
 	}
-	c.write <- struct{}{}
-	c.used()
-	go c.read()
-	go c.watch()
+	c.writeToken <- struct{}{}
+	c.recordCall()
+	go c.readLoop()
+	go c.keepAliveLoop()
 	return c, nil
 }
 
-// Peer returns the identity that the other end proved.
+// Peer returns the identity that the peer proved in the handshake.
 func (c *Conn) Peer() peer.Identity { return c.remote }
 
 // Done is closed when the connection has ended.
@@ -144,13 +150,15 @@
 	return c.err
 }
 
-// Dropped returns how many answers arrived that no call waited for.
-func (c *Conn) DroppedResponses() int64 { return c.dropped.Load() }
+// DroppedResponses returns the number of responses received after their calls had ended.
+func (c *Conn) DroppedResponses() int64 { return c.droppedResponses.Load() }
 
-// Close ends the connection; calls in flight get peer.ErrNoResponse.
-func (c *Conn) Close() { c.end(ErrClosed) }
+// Close closes the connection; calls in flight return peer.ErrNoResponse.
+func (c *Conn) Close() { c.closeWithError(ErrClosed) }
 
-func (c *Conn) end(cause error) {
+// closeWithError closes the connection. Only the first call has an effect; its cause becomes
+// the result of Err.
+func (c *Conn) closeWithError(cause error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.err != nil {
@@ -158,142 +166,148 @@
 	}
 	c.err = cause
 	close(c.done)
-	_ = c.raw.Close()
+	_ = c.netConn.Close()
 }
 
-func (c *Conn) used() { c.lastUse.Store(time.Now().UnixNano()) }
+// recordCall restarts the idle timeout.
+func (c *Conn) recordCall() { c.lastCallNanos.Store(time.Now().UnixNano()) }
 
-// read takes frames until the connection ends.
-func (c *Conn) read() {
-	r := bufio.NewReader(&progressReader{c.raw, c.opts.ReadTimeout})
+// readLoop reads and handles frames until the connection ends.
+func (c *Conn) readLoop() {
+	r := bufio.NewReader(&deadlineReader{c.netConn, c.opts.ReadTimeout})
 	for {
-		data, err := readBlock(r, c.opts.MaxFrameBytes)
+		data, err := readMessage(r, c.opts.MaxFrameBytes)
 		if err != nil {
-			c.end(readCause(err))
+			c.closeWithError(readError(err))
 			return
 		}
 		f, err := decodeFrame(data)
 		if err != nil {
-			c.end(err)
+			c.closeWithError(err)
 			return
 		}
-		c.take(f)
+		c.handleFrame(f)
 	}
 }
 
-func readCause(err error) error {
+// readError adds ErrUnresponsive to the error of a read that reached its deadline.
+func readError(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return fmt.Errorf("%w: %w", ErrUnresponsive, err)
 	}
 	return err
 }
 
-// progressReader allows the silence limit for each read rather than for each
-// frame: a large frame on a slow link is progress and not silence.
-type progressReader struct {
-	raw     net.Conn
-	silence time.Duration
+// deadlineReader applies the timeout to each read rather than to each frame, so that a large
+// frame on a slow link does not make the connection count as unresponsive.
+type deadlineReader struct {
+	conn    net.Conn
+	timeout time.Duration
 }
 
 // Read implements io.Reader.
-func (p *progressReader) Read(b []byte) (int, error) {
-	if err := p.raw.SetReadDeadline(time.Now().Add(p.silence)); err != nil {
+func (r *deadlineReader) Read(b []byte) (int, error) {
+	if err := r.conn.SetReadDeadline(time.Now().Add(r.timeout)); err != nil {
 		return 0, err
 	}
-	return p.raw.Read(b)
+	return r.conn.Read(b)
 }
 
-func (c *Conn) take(f *frame) {
+func (c *Conn) handleFrame(f *frame) {
 	switch f.Kind {
 	case framePing:
 	case frameRequest:
-		c.used()
-		c.accept(f)
+		c.recordCall()
+		c.startHandler(f)
 	case frameResponse, frameFailure:
-		c.used()
-		c.deliver(f)
+		c.recordCall()
+		c.deliverResponse(f)
 	}
 }
 
-// deliver hands an answer to its call. An answer that no call waits for came
-// after its caller gave up; matching by id alone keeps it from being taken for
-// the answer of another call.
-func (c *Conn) deliver(f *frame) {
+// deliverResponse passes a response to the call with its id. A response without a pending call
+// arrived after its caller stopped waiting and is dropped. Ids are never reused, so it cannot
+// be mistaken for the response to another call.
+func (c *Conn) deliverResponse(f *frame) {
 	c.mu.Lock()
-	ch, ok := c.waiting[f.ID]
-	delete(c.waiting, f.ID)
+	ch, ok := c.pending[f.ID]
+	delete(c.pending, f.ID)
 	c.mu.Unlock()
 	if !ok {
-		c.dropped.Add(1)
+		c.droppedResponses.Add(1)
 		return
 	}
 	ch <- f
 }
 
-// accept starts the handler of a request, or refuses it when the peer has too
-// many running. The reader itself never waits for a handler: a slow one would
-// make the connection look silent.
-func (c *Conn) accept(f *frame) {
+// startHandler starts the handler of a request, or rejects the request if too many handlers of
+// the peer are running. It never waits for a handler: readLoop would stop reading, and the
+// connection would appear unresponsive.
+func (c *Conn) startHandler(f *frame) {
 	select {
-	case c.slots <- struct{}{}:
-		go c.handle(f)
+	case c.handlerSlots <- struct{}{}:
+		go c.runHandler(f)
 	default:
-		go c.answer(f.ID, nil, errBusy)
+		go c.respond(f.ID, nil, errTooManyCalls)
 	}
 }
 
-func (c *Conn) handle(f *frame) {
-	defer func() { <-c.slots }()
-	limit := maxHandlerTime
-	if d := time.Duration(f.Millis) * time.Millisecond; d > 0 && d < limit {
-		limit = d
+// runHandler executes a request within its timeout and sends the response.
+func (c *Conn) runHandler(f *frame) {
+	defer func() { <-c.handlerSlots }()
+	timeout := maxHandlerDuration
+	if d := time.Duration(f.TimeoutMillis) * time.Millisecond; d > 0 && d < timeout {
+		timeout = d
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), limit)
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	out, err := c.protected(ctx, f)
-	c.answer(f.ID, out, err)
+	out, err := c.callHandler(ctx, f)
+	c.respond(f.ID, out, err)
 }
 
-// protected keeps a panic of one handler from ending the process: the caller
-// gets a refusal instead.
-func (c *Conn) protected(ctx context.Context, f *frame) (out []byte, err error) {
+// callHandler calls dispatch and converts a panic into an error, so that a fault in one handler
+// does not end the process.
+func (c *Conn) callHandler(ctx context.Context, f *frame) (out []byte, err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = fmt.Errorf("handler panicked: %v", r)
 		}
 	}()
-	return c.serve(ctx, c.remote, peer.Method(f.Method), f.Body)
+	return c.dispatch(ctx, c.remote, peer.Method(f.Method), f.Body)
 }
 
-func (c *Conn) answer(id uint64, body []byte, err error) {
+// respond sends the response to a request. If the response exceeds the maximum frame size, it
+// sends the error instead, so that the caller does not wait for its deadline.
+func (c *Conn) respond(id uint64, body []byte, err error) {
 	f := &frame{Kind: frameResponse, ID: id, Body: body}
 	if err != nil {
 		f.Kind, f.Body = frameFailure, []byte(err.Error())
 	}
-	if _, err := c.send(context.Background(), f); errors.Is(err, ErrFrameTooLarge) {
-		_, _ = c.send(context.Background(), &frame{Kind: frameFailure, ID: id, Body: []byte(err.Error())})
+	if _, err := c.writeFrame(context.Background(), f); errors.Is(err, ErrFrameTooLarge) {
+		_, _ = c.writeFrame(context.Background(), &frame{Kind: frameFailure, ID: id, Body: []byte(err.Error())})
 	}
 }
 
-// Call sends a request and waits for its answer. peer.ErrUnreachable means
-// that no byte of it left this process.
+// Call sends a request and waits for its response or the end of ctx. It returns
+// peer.ErrUnreachable if no byte of the request was sent, peer.ErrNoResponse if the peer may
+// have received it, and peer.ErrRefused if the peer responded with an error.
 func (c *Conn) Call(ctx context.Context, m peer.Method, payload []byte) ([]byte, error) {
-	c.used()
-	f := &frame{Kind: frameRequest, ID: c.nextID.Add(1), Method: string(m), Body: payload, Millis: millis(ctx)}
+	c.recordCall()
+	f := &frame{Kind: frameRequest, ID: c.nextID.Add(1), Method: string(m), Body: payload, TimeoutMillis: remainingMillis(ctx)}
 	ch := make(chan *frame, 1)
 	c.mu.Lock()
-	c.waiting[f.ID] = ch
+	c.pending[f.ID] = ch
 	c.mu.Unlock()
-	defer c.forget(f.ID)
-	if sent, err := c.send(ctx, f); err != nil {
+	defer c.removePending(f.ID)
+	if sent, err := c.writeFrame(ctx, f); err != nil {
 		if sent {
 			return nil, fmt.Errorf("%w: %w", peer.ErrNoResponse, err)
 		}
 		return nil, fmt.Errorf("%w: %w", peer.ErrUnreachable, err)
 	}
 	select {
-	case a := <-ch:
-		return result(a)
+	case response := <-ch:
+		return responseBody(response)
 	case <-c.done:
 		return nil, fmt.Errorf("%w: %w", peer.ErrNoResponse, c.Err())
 	case <-ctx.Done():
@@ -301,78 +315,84 @@
 	}
 }
 
-func millis(ctx context.Context) uint32 {
+// remainingMillis returns the time until the deadline of ctx in milliseconds, between 1 and
+// maxHandlerDuration, or 0 if ctx has no deadline.
+func remainingMillis(ctx context.Context) uint32 {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return 0
 	}
-	left := time.Until(deadline).Milliseconds()
-	return uint32(min(max(left, 1), maxHandlerTime.Milliseconds()))
+	remaining := time.Until(deadline).Milliseconds()
+	return uint32(min(max(remaining, 1), maxHandlerDuration.Milliseconds()))
 }
 
-func result(f *frame) ([]byte, error) {
+// responseBody returns the body of a response, or peer.ErrRefused for a failure.
+func responseBody(f *frame) ([]byte, error) {
 	if f.Kind == frameFailure {
 		return nil, fmt.Errorf("%w: %s", peer.ErrRefused, f.Body)
 	}
 	return f.Body, nil
 }
 
-func (c *Conn) forget(id uint64) {
+// removePending ends the wait for a response.
+func (c *Conn) removePending(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.waiting, id)
+	delete(c.pending, id)
 }
 
-// send writes one frame; sent tells whether any byte of it may have left. A
-// write that fails half way ends the connection, since the next frame would be
-// read as the rest of this one.
-func (c *Conn) send(ctx context.Context, f *frame) (sent bool, err error) {
+// writeFrame writes one frame. sent reports whether any byte of it may have been sent. A failed
+// write closes the connection: the peer would read the next frame as the rest of a partly
+// written one.
+func (c *Conn) writeFrame(ctx context.Context, f *frame) (sent bool, err error) {
 	data, err := encodeFrame(f, c.opts.MaxFrameBytes)
 	if err != nil {
 		return false, err
 	}
 	select {
-	case <-c.write:
+	case <-c.writeToken:
 	case <-ctx.Done():
 		return false, ctx.Err()
 	case <-c.done:
 		return false, c.Err()
 	}
-	defer func() { c.write <- struct{}{} }()
+	defer func() { c.writeToken <- struct{}{} }()
 	if err := c.Err(); err != nil {
 		return false, err
 	}
-	_ = c.raw.SetWriteDeadline(time.Now().Add(c.opts.WriteTimeout))
-	n, err := c.raw.Write(data)
+	_ = c.netConn.SetWriteDeadline(time.Now().Add(c.opts.WriteTimeout))
+	n, err := c.netConn.Write(data)
 	if err != nil {
-		c.end(err)
+		c.closeWithError(err)
 		return n > 0, err
 	}
-	c.written.Store(time.Now().UnixNano())
+	c.lastWriteNanos.Store(time.Now().UnixNano())
 	return true, nil
 }
 
-// watch pings on a quiet connection and closes an unused one. The dialing end
-// does not know the accepting one's calls, so both count calls of either way.
-func (c *Conn) watch() {
-	tick := time.NewTicker(c.opts.PingInterval)
-	defer tick.Stop()
+// keepAliveLoop sends pings while no other frames are sent, and closes the connection when it
+// has been idle. Calls in both directions count, since an end must not close a connection that
+// only the other end uses.
+func (c *Conn) keepAliveLoop() {
+	ticker := time.NewTicker(c.opts.PingInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-c.done:
 			return
-		case now := <-tick.C:
-			c.tick(now)
+		case now := <-ticker.C:
+			c.keepAlive(now)
 		}
 	}
 }
 
-func (c *Conn) tick(now time.Time) {
-	if now.Sub(time.Unix(0, c.lastUse.Load())) > c.opts.IdleTimeout {
-		c.end(ErrIdle)
+// keepAlive closes the connection if it is idle, or sends a ping if one is due.
+func (c *Conn) keepAlive(now time.Time) {
+	if now.Sub(time.Unix(0, c.lastCallNanos.Load())) > c.opts.IdleTimeout {
+		c.closeWithError(ErrIdle)
 		return
 	}
-	if now.Sub(time.Unix(0, c.written.Load())) >= c.opts.PingInterval/2 {
-		_, _ = c.send(context.Background(), &frame{Kind: framePing})
+	if now.Sub(time.Unix(0, c.lastWriteNanos.Load())) >= c.opts.PingInterval/2 {
+		_, _ = c.writeFrame(context.Background(), &frame{Kind: framePing})
 	}
 }
--- a/connection/peerconn/handshake.go
+++ b/connection/peerconn/handshake.go
@@ -11,29 +11,33 @@
 	"bilberrydale/process/peer"
 )
 
-// ErrNotProven is returned when the other end does not prove the secret.
+// ErrUnauthenticated is returned when the other end does not prove that it has the shared
+// secret.
 var ErrUnauthenticated = errors.New("peerconn: the other end did not prove the shared secret")
 
 const (
 	protocolVersion = 1
 	nonceBytes      = 32
-	// maxHandshake bounds what an unproven end can make this one read.
-	maxHandshake = 1 << 10
+	// maxHandshakeBytes is the maximum size of a handshake message. It bounds the memory that
+	// an unauthenticated peer can make this process allocate.
+	maxHandshakeBytes = 1 << 10
 )
 
-// greeting opens the handshake in both directions.
+// greeting is the first handshake message of each end. It is encoded as a msgpack array.
 type greeting struct {
 	Version  int
 	Identity peer.Identity
 	Nonce    []byte
 }
 
-// proof shows knowledge of the secret.
+// proof is the second handshake message of each end: an HMAC of the transcript, whose key is
+// the shared secret. It is encoded as a msgpack array.
 type proof struct {
 	MAC []byte
 }
 
-// role keeps a proof of one end from being reflected as that of the other.
+// role is part of the data that a proof covers, so that the proof of one end cannot be
+// reflected as the proof of the other.
 type role string
 
 const (
@@ -41,13 +45,13 @@
 	roleAcceptor role = "bilberry peer acceptor 1"
 )
 
-// transcript is what both ends saw: both identities and both nonces. A proof
-// covers all of it, so that it can neither be replayed on another connection
-// nor lent to another identity.
+// transcript holds the greetings of both ends. A proof covers both identities and both nonces,
+// so that it can neither be replayed on another connection nor used for another identity.
 type transcript struct {
 	dialer, acceptor greeting
 }
 
+// mac returns the HMAC-SHA256 that proves the secret for the end with the given role.
 func (t *transcript) mac(secret []byte, r role) ([]byte, error) {
 	data, err := peer.Marshal([]any{r, &t.dialer, &t.acceptor})
 	if err != nil {
@@ -60,62 +64,65 @@
 
 func newGreeting(self peer.Identity) greeting {
 	nonce := make([]byte, nonceBytes)
-	_, _ = rand.Read(nonce) // never fails
+	_, _ = rand.Read(nonce) // never returns an error
 	return greeting{Version: protocolVersion, Identity: self, Nonce: nonce}
 }
 
-// dialHandshake proves this end first, so that nobody gets a proof to guess
-// secrets against by merely connecting.
+// dialHandshake performs the handshake of the dialing end. The dialing end sends its proof
+// first: otherwise anybody who connects would obtain a proof against which to test guesses of
+// the secret.
 func dialHandshake(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error) {
 	t := transcript{dialer: newGreeting(self)}
-	if err := send(rw, &t.dialer); err != nil {
+	if err := sendMessage(rw, &t.dialer); err != nil {
 		return peer.Identity{}, err
 	}
 	if err := receiveGreeting(rw, &t.acceptor); err != nil {
 		return peer.Identity{}, err
 	}
-	if err := prove(rw, &t, secret, roleDialer); err != nil {
+	if err := sendProof(rw, &t, secret, roleDialer); err != nil {
 		return peer.Identity{}, err
 	}
-	if err := verify(rw, &t, secret, roleAcceptor); err != nil {
+	if err := verifyProof(rw, &t, secret, roleAcceptor); err != nil {
 		return peer.Identity{}, err
 	}
 	return t.acceptor.Identity, nil
 }
 
+// acceptHandshake performs the handshake of the accepting end.
 func acceptHandshake(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error) {
 	var t transcript
 	if err := receiveGreeting(rw, &t.dialer); err != nil {
 		return peer.Identity{}, err
 	}
 	t.acceptor = newGreeting(self)
-	if err := send(rw, &t.acceptor); err != nil {
+	if err := sendMessage(rw, &t.acceptor); err != nil {
 		return peer.Identity{}, err
 	}
-	if err := verify(rw, &t, secret, roleDialer); err != nil {
+	if err := verifyProof(rw, &t, secret, roleDialer); err != nil {
 		return peer.Identity{}, err
 	}
-	if err := prove(rw, &t, secret, roleAcceptor); err != nil {
+	if err := sendProof(rw, &t, secret, roleAcceptor); err != nil {
 		return peer.Identity{}, err
 	}
 	return t.dialer.Identity, nil
 }
 
-func prove(w io.Writer, t *transcript, secret []byte, r role) error {
+func sendProof(w io.Writer, t *transcript, secret []byte, r role) error {
 	mac, err := t.mac(secret, r)
 	if err != nil {
 		return err
 	}
-	return send(w, &proof{MAC: mac})
+	return sendMessage(w, &proof{MAC: mac})
 }
 
-func verify(r io.Reader, t *transcript, secret []byte, of role) error {
-	want, err := t.mac(secret, of)
+// verifyProof reads and checks the proof of the other end, which has the given role.
+func verifyProof(r io.Reader, t *transcript, secret []byte, remote role) error {
+	want, err := t.mac(secret, remote)
 	if err != nil {
 		return err
 	}
 	var got proof
-	if err := receive(r, &got); err != nil {
+	if err := receiveMessage(r, &got); err != nil {
 		return fmt.Errorf("%w: %w", ErrUnauthenticated, err)
 	}
 	if !hmac.Equal(got.MAC, want) {
@@ -124,21 +131,21 @@
 	return nil
 }
 
-func send(w io.Writer, v any) error {
+func sendMessage(w io.Writer, v any) error {
 	data, err := peer.Marshal(v)
 	if err != nil {
 		return fmt.Errorf("encode handshake: %w", err)
 	}
-	block, err := prefixed(data, maxHandshake)
+	message, err := withLengthPrefix(data, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
-	_, err = w.Write(block)
+	_, err = w.Write(message)
 	return err
 }
 
-func receive(r io.Reader, v any) error {
-	data, err := readBlock(r, maxHandshake)
+func receiveMessage(r io.Reader, v any) error {
+	data, err := readMessage(r, maxHandshakeBytes)
 	if err != nil {
 		return err
 	}
@@ -149,7 +156,7 @@
 }
 
 func receiveGreeting(r io.Reader, g *greeting) error {
-	if err := receive(r, g); err != nil {
+	if err := receiveMessage(r, g); err != nil {
 		return err
 	}
 	if g.Version != protocolVersion || len(g.Nonce) != nonceBytes || g.Identity.Host == "" {
--- a/connection/peerconn/listen.go
+++ b/connection/peerconn/listen.go
@@ -10,74 +10,80 @@
 	"bilberrydale/process/peer"
 )
 
-// maxUnproven bounds connections that have not yet proved the secret, so that
-// strangers cannot take the process's memory and file descriptors.
-const maxUnproven = 64
+// maxPendingHandshakes is the maximum number of accepted connections that are not yet
+// authenticated. Without it, connections of anybody could exhaust the process's memory and file
+// descriptors.
+const maxPendingHandshakes = 64
 
-const acceptPause = 100 * time.Millisecond
+// acceptRetryDelay is the delay after a failed accept.
+const acceptRetryDelay = 100 * time.Millisecond
 
-// Server accepts connections of peers and gives the proven ones to Accepted.
+// Server accepts connections of peers. Its fields must not change while Run runs.
 type Server struct {
 	Options  Options
-	Dispatch peer.Dispatch
+	Dispatch peer.Dispatch // executes the calls of the peers
+	// OnAccept receives each authenticated connection. It may be called concurrently.
 	OnAccept func(peer.Conn)
-	// Refused is called with the cause when a connection proves nothing; may
-	// be nil.
+	// OnReject is called when the handshake on a connection fails, and, with an empty address,
+	// when a connection cannot be accepted. It may be called concurrently and may be nil.
 	OnReject func(address string, cause error)
 }
 
-// Run accepts on l until ctx ends, then closes l.
+// Run accepts connections on l until ctx ends. It then closes l, waits for pending handshakes
+// and returns nil.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { _ = l.Close() })
 	defer stop()
 	var running sync.WaitGroup
 	defer running.Wait()
-	unproven := make(chan struct{}, maxUnproven)
+	handshakes := make(chan struct{}, maxPendingHandshakes)
 	for {
-		raw, err := l.Accept()
+		netConn, err := l.Accept()
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
 		if err != nil {
-			// Out of file descriptors, for instance. Ending the process for it
-			// would cut every caller; connections close and accepting goes on.
-			s.refused("", err)
-			if !pause(ctx) {
+			// For instance, the process has no free file descriptors. Exiting would end the
+			// requests of all callers; accepting works again when other connections close.
+			s.reject("", err)
+			if !waitToRetryAccept(ctx) {
 				return nil
 			}
 			continue
 		}
 		select {
-		case unproven <- struct{}{}:
+		case handshakes <- struct{}{}:
 			running.Go(func() {
-				defer func() { <-unproven }()
-				s.open(raw)
+				defer func() { <-handshakes }()
+				s.handshake(netConn)
 			})
 		default:
-			_ = raw.Close()
+			_ = netConn.Close()
 		}
 	}
 }
 
-func pause(ctx context.Context) bool {
+// waitToRetryAccept waits for acceptRetryDelay and reports whether ctx has not ended.
+func waitToRetryAccept(ctx context.Context) bool {
 	select {
 	case <-ctx.Done():
 		return false
-	case <-time.After(acceptPause):
+	case <-time.After(acceptRetryDelay):
 		return true
 	}
 }
 
-func (s *Server) refused(address string, cause error) {
+func (s *Server) reject(address string, cause error) {
 	if s.OnReject != nil {
 		s.OnReject(address, cause)
 	}
 }
 
-func (s *Server) open(raw net.Conn) {
-	c, err := Accept(raw, s.Options, s.Dispatch)
+// handshake authenticates an accepted connection.
+func (s *Server) handshake(netConn net.Conn) {
+	c, err := Accept(netConn, s.Options, s.Dispatch)
 	if err != nil {
-		s.refused(raw.RemoteAddr().String(), err)
+		s.reject(netConn.RemoteAddr().String(), err)
 		return
 	}
 	s.OnAccept(c)
--- a/connection/peerconn/peerconn_test.go
+++ b/connection/peerconn/peerconn_test.go
@@ -15,8 +15,8 @@
 )
 
 var (
-	ada = peer.Identity{Host: "ada", Incarnation: 1, Domain: "d1", Region: "r1", Address: "127.0.0.1:1"}
-	bo  = peer.Identity{Host: "bo", Incarnation: 2, Domain: "d1", Region: "r1", Address: "127.0.0.1:2"}
+	hostA = peer.Identity{Host: "ada", Incarnation: 1, Domain: "d1", Region: "r1", Address: "127.0.0.1:1"}
+	hostB = peer.Identity{Host: "bo", Incarnation: 2, Domain: "d1", Region: "r1", Address: "127.0.0.1:2"}
 )
 
 func options(self peer.Identity, secret string) Options {
@@ -33,15 +33,16 @@
 	return append([]byte(from.Host+":"), payload...), nil
 }
 
-// listener gives the server's end of each proven connection.
-func listener(t *testing.T, opts Options, serve peer.Dispatch) (string, chan peer.Conn, chan error) {
+// startServer runs a server and returns its address, its ends of authenticated connections and
+// the causes of rejected ones.
+func startServer(t *testing.T, opts Options, dispatch peer.Dispatch) (string, chan peer.Conn, chan error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	conns, refused := make(chan peer.Conn, 16), make(chan error, 256)
+	conns, rejected := make(chan peer.Conn, 16), make(chan error, 256)
 	s := &Server{
-		Options: opts, Dispatch: serve,
+		Options: opts, Dispatch: dispatch,
 		OnAccept: func(c peer.Conn) { conns <- c },
-		OnReject: func(_ string, cause error) { refused <- cause },
+		OnReject: func(_ string, cause error) { rejected <- cause },
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -50,83 +51,82 @@
 		cancel()
 		<-done
 	})
-	return l.Addr().String(), conns, refused
+	return l.Addr().String(), conns, rejected
 }
 
 func TestBothEndsCallEachOther(t *testing.T) {
 	g := NewWithT(t)
 	ctx := context.Background()
-	address, conns, _ := listener(t, options(bo, "s"), echo)
-	c, err := Dial(ctx, address, options(ada, "s"), echo)
+	address, conns, _ := startServer(t, options(hostB, "s"), echo)
+	c, err := Dial(ctx, address, options(hostA, "s"), echo)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
-	g.Expect(c.Peer()).To(Equal(bo))
+	g.Expect(c.Peer()).To(Equal(hostB))
 	g.Expect(c.Call(ctx, "echo", []byte("x"))).To(BeEquivalentTo("ada:x"))
-	other := <-conns
-	g.Expect(other.Peer()).To(Equal(ada))
-	g.Expect(other.Call(ctx, "echo", []byte("y"))).To(BeEquivalentTo("bo:y"))
+	accepted := <-conns
+	g.Expect(accepted.Peer()).To(Equal(hostA))
+	g.Expect(accepted.Call(ctx, "echo", []byte("y"))).To(BeEquivalentTo("bo:y"))
 	for _, m := range []peer.Method{"fail", "panic"} {
 		_, err = c.Call(ctx, m, nil)
 		g.Expect(err).To(MatchError(peer.ErrRefused), string(m))
 	}
 }
 
-// A stranger, or a host of another deployment, connects to the peer port. If
-// its frames counted, it could announce releases and suspects. It proves the
-// wrong secret and gets the connection closed before any handler runs.
-func TestWrongSecretIsRefusedBeforeAnyFrameCounts(t *testing.T) {
+// Anybody, or a host of another deployment, can connect to the peer port. If its calls were
+// executed, it could announce releases and quarantine suspects. The handshake with a wrong
+// secret must fail before any handler runs.
+func TestWrongSecretIsRejectedBeforeAnyCall(t *testing.T) {
 	g := NewWithT(t)
-	ran := make(chan struct{}, 1)
-	address, conns, refused := listener(t, options(bo, "right"), func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
-		ran <- struct{}{}
+	handled := make(chan struct{}, 1)
+	address, conns, rejected := startServer(t, options(hostB, "right"), func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
+		handled <- struct{}{}
 		return nil, nil
 	})
-	_, err := Dial(context.Background(), address, options(ada, "wrong"), echo)
+	_, err := Dial(context.Background(), address, options(hostA, "wrong"), echo)
 	g.Expect(err).To(HaveOccurred())
-	g.Expect(<-refused).To(MatchError(ErrUnauthenticated))
-	g.Expect(ran).To(BeEmpty())
+	g.Expect(<-rejected).To(MatchError(ErrUnauthenticated))
+	g.Expect(handled).To(BeEmpty())
 	g.Expect(conns).To(BeEmpty())
 }
 
-// A stranger that does not know the secret sends the acceptor's own proof or
-// an earlier dialer's back. Proofs cover the roles, both identities and both
-// nonces, so none of them fits.
-func TestProofsFitOneConnectionOneRoleAndOneIdentity(t *testing.T) {
+// An attacker without the secret sends the acceptor's own proof, or the proof of an earlier
+// dialer, back. Neither is valid, because a proof covers the role, both identities and both
+// nonces.
+func TestProofsAreBoundToConnectionRoleAndIdentity(t *testing.T) {
 	g := NewWithT(t)
 	secret := []byte("s")
-	tr := transcript{dialer: newGreeting(ada), acceptor: newGreeting(bo)}
+	tr := transcript{dialer: newGreeting(hostA), acceptor: newGreeting(hostB)}
 	mac, err := tr.mac(secret, roleDialer)
 	g.Expect(err).NotTo(HaveOccurred())
 	reflected, _ := tr.mac(secret, roleAcceptor)
 	g.Expect(reflected).NotTo(Equal(mac))
 	replayed := tr
-	replayed.acceptor = newGreeting(bo)
-	again, _ := replayed.mac(secret, roleDialer)
-	g.Expect(again).NotTo(Equal(mac))
-	lent := tr
-	lent.dialer.Identity.Host = "eve"
-	other, _ := lent.mac(secret, roleDialer)
-	g.Expect(other).NotTo(Equal(mac))
+	replayed.acceptor = newGreeting(hostB)
+	withNewNonce, _ := replayed.mac(secret, roleDialer)
+	g.Expect(withNewNonce).NotTo(Equal(mac))
+	impersonated := tr
+	impersonated.dialer.Identity.Host = "eve"
+	withOtherHost, _ := impersonated.mac(secret, roleDialer)
+	g.Expect(withOtherHost).NotTo(Equal(mac))
 }
 
-// Something between the two ends forgets the connection: both sides keep it
-// open and nothing arrives any more. The call must not wait for its deadline
-// of a minute; the silence limit ends the connection, and the error says that
-// the peer may have received the call.
-func TestForgottenConnectionEndsAsSilent(t *testing.T) {
+// A middlebox drops the state of the connection: both ends keep it open, and no bytes arrive
+// any more. A call must not wait for its deadline of a minute. ReadTimeout ends the connection,
+// and the error says that the peer may have received the call.
+func TestBlackholedConnectionEndsAsUnresponsive(t *testing.T) {
 	g := NewWithT(t)
-	far := options(bo, "s")
-	far.ReadTimeout = time.Minute // else the far end may give up first and its close arrive as EOF
-	address, _, _ := listener(t, far, echo)
+	serverOpts := options(hostB, "s")
+	serverOpts.ReadTimeout = time.Minute // otherwise the server may close first, which arrives as EOF
+	address, _, _ := startServer(t, serverOpts, echo)
 	toServer, err := net.Dial("tcp", address)
 	g.Expect(err).NotTo(HaveOccurred())
-	dead := &swallowing{Conn: toServer, quiet: make(chan struct{})}
-	opts := options(ada, "s").withDefaults()
+	blackhole := &blackholeConn{Conn: toServer, blackholed: make(chan struct{})}
+	opts := options(hostA, "s").withDefaults()
 	opts.ReadTimeout = 200 * time.Millisecond
-	c, err := open(dead, opts, echo, dialHandshake)
+	c, err := newConn(blackhole, opts, echo, dialHandshake)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(c.Call(context.Background(), "echo", nil)).To(BeEquivalentTo("ada:"))
-	close(dead.quiet)
+	close(blackhole.blackholed)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	_, err = c.Call(ctx, "echo", nil)
@@ -137,27 +137,27 @@
 	g.Expect(err).To(MatchError(peer.ErrUnreachable))
 }
 
-// swallowing loses every byte both ways once quiet is closed, without an
-// error, as a middlebox that lost track of the connection does.
-type swallowing struct {
+// blackholeConn discards all bytes in both directions without an error once blackholed is
+// closed, as a middlebox does that has lost the state of the connection.
+type blackholeConn struct {
 	net.Conn
-	quiet chan struct{}
+	blackholed chan struct{}
 }
 
-func (s *swallowing) Write(b []byte) (int, error) {
+func (s *blackholeConn) Write(b []byte) (int, error) {
 	select {
-	case <-s.quiet:
+	case <-s.blackholed:
 		return len(b), nil
 	default:
 		return s.Conn.Write(b)
 	}
 }
 
-func (s *swallowing) Read(b []byte) (int, error) {
+func (s *blackholeConn) Read(b []byte) (int, error) {
 	for {
 		n, err := s.Conn.Read(b)
 		select {
-		case <-s.quiet:
+		case <-s.blackholed:
 			if err != nil {
 				return 0, err
 			}
@@ -167,46 +167,46 @@
 	}
 }
 
-// An answer arrives after its caller gave up. It must not become the answer of
-// a later call: ids are never used twice and an unknown one is dropped.
-func TestLateAnswerIsDropped(t *testing.T) {
+// A response arrives after its caller has stopped waiting. It must not become the response to a
+// later call: ids are never reused, and a response with an unknown id is dropped.
+func TestLateResponseIsDropped(t *testing.T) {
 	g := NewWithT(t)
-	release, began := make(chan struct{}), make(chan struct{})
-	address, _, _ := listener(t, options(bo, "s"), func(_ context.Context, _ peer.Identity, m peer.Method, _ []byte) ([]byte, error) {
+	finish, started := make(chan struct{}), make(chan struct{})
+	address, _, _ := startServer(t, options(hostB, "s"), func(_ context.Context, _ peer.Identity, m peer.Method, _ []byte) ([]byte, error) {
 		if m == "slow" {
-			close(began)
-			<-release
+			close(started)
+			<-finish
 		}
 		return []byte(m), nil
 	})
-	c, err := Dial(context.Background(), address, options(ada, "s"), echo)
+	c, err := Dial(context.Background(), address, options(hostA, "s"), echo)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
-		<-began
+		<-started
 		cancel()
 	}()
 	_, err = c.Call(ctx, "slow", nil)
 	g.Expect(err).To(MatchError(peer.ErrNoResponse))
-	close(release)
+	close(finish)
 	g.Expect(c.Call(context.Background(), "quick", nil)).To(BeEquivalentTo("quick"))
 	g.Eventually(c.DroppedResponses, 10*time.Second).Should(BeEquivalentTo(1))
 }
 
-// One peer floods another with calls that hang. Handlers are bounded; the
-// calls over the bound are refused at once and the connection stays alive.
-func TestCallsOverTheBoundAreRefused(t *testing.T) {
+// A peer sends many calls that hang. The number of running handlers is bounded: calls over the
+// limit are rejected at once, and the connection stays open.
+func TestCallsOverTheLimitAreRefused(t *testing.T) {
 	g := NewWithT(t)
-	release, began := make(chan struct{}), make(chan struct{}, 4)
-	opts := options(bo, "s")
+	finish, started := make(chan struct{}), make(chan struct{}, 4)
+	opts := options(hostB, "s")
 	opts.MaxHandlers = 1
-	address, _, _ := listener(t, opts, func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
-		began <- struct{}{}
-		<-release
+	address, _, _ := startServer(t, opts, func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
+		started <- struct{}{}
+		<-finish
 		return nil, nil
 	})
-	c, err := Dial(context.Background(), address, options(ada, "s"), echo)
+	c, err := Dial(context.Background(), address, options(hostA, "s"), echo)
 	g.Expect(err).NotTo(HaveOccurred())
 	defer c.Close()
 	first := make(chan error, 1)
@@ -214,18 +214,18 @@
 		_, err := c.Call(context.Background(), "hang", nil)
 		first <- err
 	}()
-	<-began
+	<-started
 	_, err = c.Call(context.Background(), "hang", nil)
 	g.Expect(err).To(MatchError(peer.ErrRefused))
-	close(release)
+	close(finish)
 	g.Expect(<-first).NotTo(HaveOccurred())
 }
 
-func TestTooLargeFrames(t *testing.T) {
+func TestOversizedFramesAreRejected(t *testing.T) {
 	g := NewWithT(t)
-	opts := options(ada, "s")
+	opts := options(hostA, "s")
 	opts.MaxFrameBytes = 1024
-	address, _, _ := listener(t, options(bo, "s"), func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
+	address, _, _ := startServer(t, options(hostB, "s"), func(context.Context, peer.Identity, peer.Method, []byte) ([]byte, error) {
 		return make([]byte, 4096), nil
 	})
 	c, err := Dial(context.Background(), address, opts, echo)
@@ -240,30 +240,29 @@
 
 func TestIdleConnectionIsClosed(t *testing.T) {
 	g := NewWithT(t)
-	opts := options(ada, "s")
+	opts := options(hostA, "s")
 	opts.IdleTimeout = 50 * time.Millisecond
-	address, _, _ := listener(t, options(bo, "s"), echo)
+	address, _, _ := startServer(t, options(hostB, "s"), echo)
 	c, err := Dial(context.Background(), address, opts, echo)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Eventually(c.Done(), 10*time.Second).Should(BeClosed())
 	g.Expect(c.Err()).To(MatchError(ErrIdle))
 }
 
-// Strangers open connections to the peer port and say nothing, more than the
-// port keeps unproven at once. They are dropped after the handshake's time, so
-// a real peer gets in again.
-func TestSilentStrangersDoNotKeepPeersOut(t *testing.T) {
+// Clients open more connections to the peer port than may be pending in the handshake, and send
+// nothing. The connections are closed after HandshakeTimeout, so that a peer can connect again.
+func TestUnauthenticatedConnectionsDoNotBlockPeers(t *testing.T) {
 	g := NewWithT(t)
-	opts := options(bo, "s")
+	opts := options(hostB, "s")
 	opts.HandshakeTimeout = 100 * time.Millisecond
-	address, _, _ := listener(t, opts, echo)
-	for range maxUnproven + 10 {
-		stranger, err := net.Dial("tcp", address)
+	address, _, _ := startServer(t, opts, echo)
+	for range maxPendingHandshakes + 10 {
+		client, err := net.Dial("tcp", address)
 		g.Expect(err).NotTo(HaveOccurred())
-		defer stranger.Close()
+		defer client.Close()
 	}
 	g.Eventually(func() error {
-		c, err := Dial(context.Background(), address, options(ada, "s"), echo)
+		c, err := Dial(context.Background(), address, options(hostA, "s"), echo)
 		if err == nil {
 			c.Close()
 		}
@@ -271,15 +270,15 @@
 	}, 10*time.Second).Should(Succeed())
 }
 
-// A peer's process is stopped. Its kernel still opens the connection and nobody
-// answers the handshake. The caller's deadline ends the wait, not the longer
-// limit of a handshake: a host's judgement would be late by that much.
-func TestDialEndsWithItsContext(t *testing.T) {
+// The process of a peer is stopped: its kernel accepts the connection, but nothing responds to
+// the handshake. Dial must return at the caller's deadline and not after the longer
+// HandshakeTimeout, which would delay the detection of a failed host.
+func TestDialRespectsContextDeadline(t *testing.T) {
 	g := NewWithT(t)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer l.Close()
-	opts := options(ada, "s")
+	opts := options(hostA, "s")
 	opts.HandshakeTimeout = time.Hour
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
@@ -291,16 +290,16 @@
 	g.Eventually(done, 10*time.Second).Should(Receive(HaveOccurred()))
 }
 
-// FuzzGreeting feeds the acceptor what a stranger may send: it must neither
-// panic nor take anybody for proven who does not know the secret.
+// FuzzGreeting passes arbitrary bytes of an unauthenticated client to the accepting end. It must
+// neither panic nor authenticate a client that does not have the secret.
 func FuzzGreeting(f *testing.F) {
 	var hello bytes.Buffer
-	g := newGreeting(ada)
-	if err := send(&hello, &g); err != nil {
+	g := newGreeting(hostA)
+	if err := sendMessage(&hello, &g); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(hello.Bytes())
-	if err := send(&hello, &proof{MAC: make([]byte, 32)}); err != nil {
+	if err := sendMessage(&hello, &proof{MAC: make([]byte, 32)}); err != nil {
 		f.Fatal(err)
 	}
 	f.Add(hello.Bytes())
@@ -311,34 +310,33 @@
 			io.Reader
 			io.Writer
 		}{bytes.NewReader(data), &out}
-		if id, err := acceptHandshake(rw, bo, []byte("a secret that no input knows")); err == nil {
-			t.Fatalf("%+v was taken for proven", id)
+		if id, err := acceptHandshake(rw, hostB, []byte("a secret that no input knows")); err == nil {
+			t.Fatalf("%+v was authenticated without the secret", id)
 		}
 	})
 }
 
-// FuzzFrame feeds the decoder what a broken or hostile peer may send: it must
-// return an error or a frame that encodes again, and take no more memory than
-// the limit.
+// FuzzFrame passes arbitrary bytes of a faulty or hostile peer to the decoder. It must return an
+// error or a frame that can be encoded again, and must not allocate more memory than the limit.
 func FuzzFrame(f *testing.F) {
 	const limit = 1 << 12
-	for _, fr := range []*frame{{Kind: framePing}, {Kind: frameRequest, ID: 7, Method: "m", Millis: 9, Body: []byte("abc")}} {
+	for _, fr := range []*frame{{Kind: framePing}, {Kind: frameRequest, ID: 7, Method: "m", TimeoutMillis: 9, Body: []byte("abc")}} {
 		data, _ := encodeFrame(fr, limit)
 		f.Add(data)
 	}
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0})
 	f.Add([]byte{0, 0, 0, 6, 0x95, 1, 0xc6, 0xff, 0xff, 0xff})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		block, err := readBlock(bytes.NewReader(data), limit)
+		message, err := readMessage(bytes.NewReader(data), limit)
 		if err != nil {
 			return
 		}
-		fr, err := decodeFrame(block)
+		fr, err := decodeFrame(message)
 		if err != nil {
 			return
 		}
 		if len(fr.Body) > limit {
-			t.Fatalf("body of %d bytes from a block of %d", len(fr.Body), len(block))
+			t.Fatalf("body of %d bytes from a message of %d bytes", len(fr.Body), len(message))
 		}
 		if _, err := encodeFrame(fr, 2*limit); err != nil {
 			t.Fatal(err)
