--- a/version/table/decode.go
+++ b/version/table/decode.go
@@ -10,46 +10,46 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// decoder fills typed values from YAML nodes and goes on after a fault, so
-// that one report holds the faults of every field.
+// decoder decodes YAML nodes into typed values. It continues after an error, so that the errors
+// of all fields are reported together.
 type decoder struct {
-	file   string
-	offset map[string]int // rows that earlier files gave, by table
-	places places
-	faults ValidationErrors
+	file      string
+	rowOffset map[string]int // number of rows in earlier files, by table
+	positions positions      // filled with the position of each value
+	errs      ValidationErrors
 }
 
-// document decodes one file's bytes into t. Rows are numbered on from those
-// of earlier files.
-func (d *decoder) document(r io.Reader, t *Tables) {
+// decodeDocument appends the rows of one file to t. Row numbers continue those of earlier files.
+func (d *decoder) decodeDocument(r io.Reader, t *Tables) {
 	var doc yaml.Node
 	dec := yaml.NewDecoder(r)
 	err := dec.Decode(&doc)
 	if errors.Is(err, io.EOF) {
-		d.add(1, "", "the file is empty", "give a routes or a pools list")
+		d.addError(1, "", "the file is empty", "add a routes or a pools list")
 		return
 	}
 	if err != nil {
-		d.add(1, "", err.Error(), "correct the YAML")
+		d.addError(1, "", err.Error(), "correct the YAML")
 		return
 	}
 	if err := dec.Decode(&yaml.Node{}); !errors.Is(err, io.EOF) {
-		d.add(doc.Line, "", "there is more than one document", "keep one document a file")
+		d.addError(doc.Line, "", "there is more than one document", "keep one document per file")
 	}
-	d.value("", doc.Content[0], reflect.ValueOf(t).Elem())
+	d.decodeValue("", doc.Content[0], reflect.ValueOf(t).Elem())
 }
 
-func (d *decoder) add(line int, at, problem, fix string) {
-	row, field := splitPlace(at)
-	d.faults = append(d.faults, ValidationError{File: d.file, Line: line, Row: row, Field: field, Problem: problem, Fix: fix, at: at})
+// addError records an error of the value at path.
+func (d *decoder) addError(line int, path, problem, fix string) {
+	row, field := splitPath(path)
+	d.errs = append(d.errs, ValidationError{File: d.file, Line: line, Row: row, Field: field, Problem: problem, Fix: fix, path: path})
 }
 
-// splitPlace cuts "routes[2].stages[1].pool" after the row. What lies in no
-// row belongs to the file.
-func splitPlace(at string) (row, field string) {
-	row, field, _ = strings.Cut(at, ".")
+// splitPath splits "routes[2].stages[1].pool" after the row. For a value outside rows, row is
+// "file".
+func splitPath(path string) (row, field string) {
+	row, field, _ = strings.Cut(path, ".")
 	switch {
-	case at == "":
+	case path == "":
 		return "file", "content"
 	case !strings.Contains(row, "["):
 		return "file", row
@@ -59,49 +59,50 @@
 	return row, field
 }
 
-// value decodes n into v. at is n's place in the lists.
-func (d *decoder) value(at string, n *yaml.Node, v reflect.Value) {
-	d.places[at] = place{d.file, n.Line}
+// decodeValue decodes n, the value at path, into v.
+func (d *decoder) decodeValue(path string, n *yaml.Node, v reflect.Value) {
+	d.positions[path] = position{d.file, n.Line}
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		// Nested aliases make a small file expand without bound.
-		d.add(n.Line, at, "anchors and aliases are not taken", "write the value out")
+		// With nested aliases a small file could expand to values of unbounded size.
+		d.addError(n.Line, path, "anchors and aliases are not supported", "write the value out")
 		return
 	}
 	if n.Tag == "!!null" {
-		return // validation reports what must not be empty
+		return // validation reports required values that are empty
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		d.structure(at, n, v)
+		d.decodeStruct(path, n, v)
 	case reflect.Slice:
-		d.list(at, n, v)
+		d.decodeList(path, n, v)
 	case reflect.Map:
-		d.dictionary(at, n, v)
+		d.decodeMap(path, n, v)
 	case reflect.Pointer:
 		v.Set(reflect.New(v.Type().Elem()))
-		d.value(at, n, v.Elem())
+		d.decodeValue(path, n, v.Elem())
 	default:
-		d.scalar(at, n, v)
+		d.decodeScalar(path, n, v)
 	}
 }
 
-func (d *decoder) scalar(at string, n *yaml.Node, v reflect.Value) {
+func (d *decoder) decodeScalar(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode {
-		d.add(n.Line, at, "is a list or a mapping", "write one "+typeName(v.Type()))
+		d.addError(n.Line, path, "is a list or a mapping", "write one "+typeName(v.Type()))
 		return
 	}
 	if err := n.Decode(v.Addr().Interface()); err != nil {
-		d.add(n.Line, at, fmt.Sprintf("%q is not a %s", n.Value, typeName(v.Type())), "write one "+typeName(v.Type()))
+		d.addError(n.Line, path, fmt.Sprintf("%q is not a %s", n.Value, typeName(v.Type())), "write one "+typeName(v.Type()))
 	}
 }
 
+// typeName returns the name of a scalar type in error messages.
 func typeName(t reflect.Type) string {
 	if t == reflect.TypeFor[Duration]() {
 		return "duration such as 300ms"
 	}
 	switch t.Kind() {
 	case reflect.Bool:
-		return "true or false"
+		return "boolean (true or false)"
 	case reflect.Int, reflect.Int64, reflect.Uint64:
 		return "whole number"
 	case reflect.Float64:
@@ -111,57 +112,57 @@
 	}
 }
 
-func (d *decoder) list(at string, n *yaml.Node, v reflect.Value) {
+func (d *decoder) decodeList(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.SequenceNode {
-		d.add(n.Line, at, "is not a list", "write a list, one item a dash")
+		d.addError(n.Line, path, "is not a list", "write a list with a dash before each item")
 		return
 	}
-	first := d.offset[at]
+	firstIndex := d.rowOffset[path]
 	for i, item := range n.Content {
 		e := reflect.New(v.Type().Elem()).Elem()
-		d.value(fmt.Sprintf("%s[%d]", at, first+i), item, e)
+		d.decodeValue(fmt.Sprintf("%s[%d]", path, firstIndex+i), item, e)
 		v.Set(reflect.Append(v, e))
 	}
 }
 
-func (d *decoder) dictionary(at string, n *yaml.Node, v reflect.Value) {
+func (d *decoder) decodeMap(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.add(n.Line, at, "is not a mapping", "write name: value pairs")
+		d.addError(n.Line, path, "is not a mapping", "write name: value pairs")
 		return
 	}
 	v.Set(reflect.MakeMap(v.Type()))
-	for key, item := range d.pairs(at, n) {
+	for key, item := range d.pairs(path, n) {
 		e := reflect.New(v.Type().Elem()).Elem()
-		d.value(join(at, key), item, e)
+		d.decodeValue(joinPath(path, key), item, e)
 		v.SetMapIndex(reflect.ValueOf(key), e)
 	}
 }
 
-func (d *decoder) structure(at string, n *yaml.Node, v reflect.Value) {
+func (d *decoder) decodeStruct(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
-		d.add(n.Line, at, "is not a mapping", "write name: value pairs")
+		d.addError(n.Line, path, "is not a mapping", "write name: value pairs")
 		return
 	}
-	fields := fieldsOf(v.Type())
-	for key, item := range d.pairs(at, n) {
+	fields := fieldIndexes(v.Type())
+	for key, item := range d.pairs(path, n) {
 		i, known := fields[key]
 		if !known {
-			d.add(item.Line, join(at, key), "there is no such field", "correct the name or remove it; known are "+names(v.Type()))
+			d.addError(item.Line, joinPath(path, key), "there is no such field", "correct the name or remove it; known fields are "+fieldNames(v.Type()))
 			continue
 		}
-		d.value(join(at, key), item, v.Field(i))
+		d.decodeValue(joinPath(path, key), item, v.Field(i))
 	}
 }
 
-// pairs yields the entries of a mapping and reports a key that is listed twice:
-// readers disagree on which of the two counts.
-func (d *decoder) pairs(at string, n *yaml.Node) func(func(string, *yaml.Node) bool) {
+// pairs yields the entries of a mapping and reports duplicate keys as errors: YAML parsers
+// disagree on which of two entries with the same key is used.
+func (d *decoder) pairs(path string, n *yaml.Node) func(func(string, *yaml.Node) bool) {
 	return func(yield func(string, *yaml.Node) bool) {
 		seen := map[string]bool{}
 		for i := 0; i+1 < len(n.Content); i += 2 {
 			key := n.Content[i]
 			if seen[key.Value] {
-				d.add(key.Line, join(at, key.Value), "is listed twice", "remove one")
+				d.addError(key.Line, joinPath(path, key.Value), "is listed twice", "remove one")
 				continue
 			}
 			seen[key.Value] = true
@@ -172,14 +173,16 @@
 	}
 }
 
-func join(at, key string) string {
-	if at == "" {
+// joinPath returns the path of the field key of the value at path.
+func joinPath(path, key string) string {
+	if path == "" {
 		return key
 	}
-	return at + "." + key
+	return path + "." + key
 }
 
-func fieldsOf(t reflect.Type) map[string]int {
+// fieldIndexes returns the index of each field of a struct type by its YAML name.
+func fieldIndexes(t reflect.Type) map[string]int {
 	out := map[string]int{}
 	for i := range t.NumField() {
 		out[fieldName(t.Field(i))] = i
@@ -187,12 +190,14 @@
 	return out
 }
 
+// fieldName returns the YAML name of a field.
 func fieldName(f reflect.StructField) string {
 	name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 	return name
 }
 
-func names(t reflect.Type) string {
+// fieldNames returns the YAML names of a struct type's fields, separated by commas.
+func fieldNames(t reflect.Type) string {
 	out := make([]string, t.NumField())
 	for i := range out {
 		out[i] = fieldName(t.Field(i))
--- a/version/table/dir.go
+++ b/version/table/dir.go
@@ -9,22 +9,22 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// Names of the files that WriteDir makes.
+// Names of the files that WriteDir writes.
 const (
 	RoutesFile = "routes.yaml"
 	PoolsFile  = "pools.yaml"
 )
 
-// ReadDir reads every *.yaml file of dir, each with a routes and a pools list,
-// and validates them together. The error is a Faults that names file, line,
-// row, field and fix of every fault of every file.
+// ReadDir reads all *.yaml files in dir, each of which may have a routes and a pools list, and
+// validates them together. If the files can be read but are invalid, the error is
+// ValidationErrors with all errors of all files.
 func ReadDir(dir string) (Tables, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*.yaml"))
 	if err != nil {
 		return Tables{}, fmt.Errorf("list %s: %w", dir, err)
 	}
 	if len(paths) == 0 {
-		return Tables{}, fmt.Errorf("%s: no *.yaml file; put %s and %s there", dir, RoutesFile, PoolsFile)
+		return Tables{}, fmt.Errorf("%s: no *.yaml file; add %s and %s", dir, RoutesFile, PoolsFile)
 	}
 	files := make([]File, len(paths))
 	for i, path := range paths {
@@ -33,7 +33,7 @@
 			return Tables{}, fmt.Errorf("read tables: %w", err)
 		}
 		if info.Size() > MaxFileBytes {
-			return Tables{}, fmt.Errorf("%s: has %d bytes; keep it under %d", path, info.Size(), MaxFileBytes)
+			return Tables{}, fmt.Errorf("%s: has %d bytes; the maximum is %d", path, info.Size(), MaxFileBytes)
 		}
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -44,73 +44,76 @@
 	return Parse(files)
 }
 
-// File is one file of the tables.
+// File is the name and content of a YAML file with rows of the tables.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Parse decodes and validates files as the tables of one release.
+// Parse decodes and validates files as the tables of one release. The error is ValidationErrors
+// or nil.
 func Parse(files []File) (Tables, error) {
 	var all Tables
-	var faults ValidationErrors
-	found := places{}
+	var errs ValidationErrors
+	pos := positions{}
 	for _, f := range files {
 		d := &decoder{
-			file: f.Name, places: found,
-			offset: map[string]int{"routes": len(all.Routes), "pools": len(all.Pools)},
+			file: f.Name, positions: pos,
+			rowOffset: map[string]int{"routes": len(all.Routes), "pools": len(all.Pools)},
 		}
-		d.document(bytes.NewReader(f.Data), &all)
-		faults = append(faults, d.faults...)
+		d.decodeDocument(bytes.NewReader(f.Data), &all)
+		errs = append(errs, d.errs...)
 	}
-	nameRows(faults, all)
-	checked := check(all)
-	found.locate(checked)
-	faults = append(faults, withoutRepeats(faults, checked)...)
-	if len(faults) > 0 {
-		return all, faults
+	setRowNames(errs, all)
+	invalid := validate(all)
+	pos.setPositions(invalid)
+	errs = append(errs, withoutUndecoded(errs, invalid)...)
+	if len(errs) > 0 {
+		return all, errs
 	}
 	return all, nil
 }
 
-// nameRows replaces "routes[2]" by the row's own name where it has one.
-func nameRows(faults ValidationErrors, t Tables) {
-	byPlace := map[string]string{}
+// setRowNames replaces rows such as "routes[2]" in errs by the key of the row, if the row has a
+// name.
+func setRowNames(errs ValidationErrors, t Tables) {
+	nameByPath := map[string]string{}
 	for i, r := range t.Routes {
-		byPlace[fmt.Sprintf("routes[%d]", i)] = r.Name
+		nameByPath[fmt.Sprintf("routes[%d]", i)] = r.Name
 	}
 	for i, p := range t.Pools {
-		byPlace[fmt.Sprintf("pools[%d]", i)] = p.Name
+		nameByPath[fmt.Sprintf("pools[%d]", i)] = p.Name
 	}
-	for i, f := range faults {
-		name := byPlace[f.Row]
+	for i, e := range errs {
+		name := nameByPath[e.Row]
 		switch {
 		case name == "":
-		case f.Row[0] == 'r':
-			faults[i].Row = RouteKeyPrefix + name
+		case e.Row[0] == 'r':
+			errs[i].Row = RouteKeyPrefix + name
 		default:
-			faults[i].Row = PoolKeyPrefix + name
+			errs[i].Row = PoolKeyPrefix + name
 		}
 	}
 }
 
-// withoutRepeats drops what validation says of a field that could not even be
-// decoded: it would report the empty value in its place.
-func withoutRepeats(decoded, checked ValidationErrors) ValidationErrors {
-	known := map[string]bool{}
-	for _, f := range decoded {
-		known[f.at] = true
+// withoutUndecoded returns the errors of validation except those of fields that could not be
+// decoded: they would report the empty value that such a field has.
+func withoutUndecoded(undecoded, invalid ValidationErrors) ValidationErrors {
+	paths := map[string]bool{}
+	for _, e := range undecoded {
+		paths[e.path] = true
 	}
 	var out ValidationErrors
-	for _, f := range checked {
-		if !known[f.at] {
-			out = append(out, f)
+	for _, e := range invalid {
+		if !paths[e.path] {
+			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// WriteDir writes t to dir as the two files that ReadDir reads.
+// WriteDir writes t to dir as RoutesFile and PoolsFile, in the format that ReadDir reads. It
+// creates dir if necessary and overwrites the files.
 func WriteDir(dir string, t Tables) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return fmt.Errorf("write tables: %w", err)
--- a/version/table/fuzz_test.go
+++ b/version/table/fuzz_test.go
@@ -8,8 +8,8 @@
 	"bilberrydale/process/release"
 )
 
-// Whatever bytes a file holds, Parse answers with tables that validate or with
-// faults that each name a fix; it neither panics nor accepts unsound tables.
+// For arbitrary bytes Parse returns either tables that are valid or errors that each have a row
+// and a fix. It neither panics nor accepts invalid tables.
 func FuzzParse(f *testing.F) {
 	for _, path := range []string{"../../examples/kalahari/routes.yaml", "../../examples/kalahari/pools.yaml"} {
 		data, err := os.ReadFile(path)
@@ -18,29 +18,29 @@
 		}
 		f.Add(data)
 	}
-	f.Add([]byte(faultyRoutes))
-	f.Add([]byte(faultyPools))
+	f.Add([]byte(invalidRoutes))
+	f.Add([]byte(invalidPools))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		tables, err := Parse([]File{{"a.yaml", data}})
 		if err == nil {
 			if err := Validate(tables); err != nil {
-				t.Fatalf("accepted and not sound: %v", err)
+				t.Fatalf("Parse accepted invalid tables: %v", err)
 			}
 			return
 		}
-		faults, ok := err.(ValidationErrors) //nolint:errorlint // Parse returns nothing else
+		errs, ok := err.(ValidationErrors) //nolint:errorlint // Parse returns nothing else
 		if !ok {
-			t.Fatalf("not a list of faults: %v", err)
+			t.Fatalf("the error is not of type ValidationErrors: %v", err)
 		}
-		for _, x := range faults {
-			if x.Problem == "" || x.Fix == "" || x.Row == "" || strings.HasPrefix(x.Row, ".") {
-				t.Fatalf("fault without its place or fix: %+v", x)
+		for _, e := range errs {
+			if e.Problem == "" || e.Fix == "" || e.Row == "" || strings.HasPrefix(e.Row, ".") {
+				t.Fatalf("error without problem, fix or row: %+v", e)
 			}
 		}
 	})
 }
 
-// A row that FromRows accepts encodes to the same row again.
+// A row that DecodeRows accepts is encoded to a row that decodes and encodes the same again.
 func FuzzFromRows(f *testing.F) {
 	f.Add("routes/a", `{"name":"a","match":{"path":"/a"},"deadline":"5s","worth":1,"class":"standard","stages":[]}`)
 	f.Add("pools/p", `{"name":"p","kind":"service","slots":1,"servers":[{"name":"s","address":"10.0.0.1:1","domain":"d","region":"r"}]}`)
@@ -59,9 +59,9 @@
 		if err != nil {
 			t.Fatalf("%s no longer decodes: %v", rows[key], err)
 		}
-		second, err := EncodeRows(again)
-		if err != nil || string(second[key]) != string(rows[key]) {
-			t.Fatalf("%s became %s (%v)", rows[key], second[key], err)
+		rowsAgain, err := EncodeRows(again)
+		if err != nil || string(rowsAgain[key]) != string(rows[key]) {
+			t.Fatalf("%s was encoded again as %s (%v)", rows[key], rowsAgain[key], err)
 		}
 	})
 }
--- a/version/table/limits.go
+++ b/version/table/limits.go
@@ -2,22 +2,21 @@
 
 import "time"
 
-// Bounds of the tables. They lie an order of magnitude above the size that
-// the system is designed for, and keep a mistaken file from being compiled by
-// every entry host.
+// Limits of the tables. They are an order of magnitude above the size that the system is
+// designed for, and keep a file with mistakes from being compiled by every entry host.
 const (
 	MaxFileBytes    = 8 << 20
 	MaxRoutes       = 2000
 	MaxPools        = 2000
-	MaxServers      = 20000 // of one pool
-	MaxStages       = 12    // of one route
-	MaxMatchHeaders = 8     // of one match
-	MaxNameBytes    = 63    // bytes of a name
-	MaxPathBytes    = 512   // bytes of a path
-	MaxDeadline     = Duration(10 * time.Minute)
-	MaxSlots        = 100000
-	MaxWeight       = 1000
-	// MaxRowBytes bounds one encoded row: a row is never split, and one
-	// object of the platform has to hold it.
+	MaxServers      = 20000                      // in one pool
+	MaxStages       = 12                         // in one route
+	MaxMatchHeaders = 8                          // in one match
+	MaxNameBytes    = 63                         // of a row, stage, server, role, domain or region
+	MaxPathBytes    = 512                        // of a match or stage
+	MaxDeadline     = Duration(10 * time.Minute) // of a route; also limits a stage's budget
+	MaxSlots        = 100000                     // of one server
+	MaxWeight       = 1000                       // of one server
+	// MaxRowBytes is the maximum size of an encoded row. A row is never split, so it has to fit
+	// into one object of the platform.
 	MaxRowBytes = 800 << 10
 )
--- a/version/table/main_test.go
+++ b/version/table/main_test.go
@@ -6,8 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of property tests, so that every run gives the same
-// verdict.
+// TestMain fixes the seed of property tests, so that all runs give the same result.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	_ = flag.Set("rapid.seed", "1")
--- a/version/table/policy.go
+++ b/version/table/policy.go
@@ -6,32 +6,33 @@
 	"slices"
 )
 
-// RoutePolicy are the settings of a route for decisions under load, besides its
+// RoutePolicy holds the settings of a route for admission under overload, in addition to its
 // worth, class and deadline.
 type RoutePolicy struct {
-	// Shares are the weights of client accounts when a pool is too full for
-	// all; an account that is not listed weighs 1. Problem an account leaves of
-	// its share is lent to the others.
+	// AccountWeights are the fair-share weights of client accounts, by account, for pools that
+	// cannot serve all requests. An account that is not listed has weight 1. The unused part of
+	// an account's share is available to the others.
 	AccountWeights map[string]float64 `json:"shares,omitempty" yaml:"shares,omitempty"`
 }
 
-// MaxShares bounds the accounts listed in one route; values on the platform
-// hold a megabyte at most.
+// MaxAccountWeights is the maximum number of accounts listed in one route: an object of the
+// platform holds at most one megabyte.
 const MaxAccountWeights = 20_000
 
-func (c *checker) policy(p RoutePolicy) {
+// checkPolicy checks the number of account weights and that all are positive and finite.
+func (v *validator) checkPolicy(p RoutePolicy) {
 	if n := len(p.AccountWeights); n > MaxAccountWeights {
-		c.add("policy.shares", fmt.Sprintf("lists %d accounts", n), fmt.Sprintf("list at most %d; leave out those that weigh 1", MaxAccountWeights))
+		v.addError("policy.shares", fmt.Sprintf("lists %d accounts", n), fmt.Sprintf("list at most %d; leave out those with weight 1", MaxAccountWeights))
 		return
 	}
-	var bad []string
+	var invalid []string
 	for account, w := range p.AccountWeights {
 		if math.IsNaN(w) || math.IsInf(w, 0) || w <= 0 {
-			bad = append(bad, account)
+			invalid = append(invalid, account)
 		}
 	}
-	slices.Sort(bad)
-	for _, account := range bad {
-		c.add("policy.shares", fmt.Sprintf("account %q weighs %g", account, p.AccountWeights[account]), "give a positive weight, or leave it out for 1")
+	slices.Sort(invalid)
+	for _, account := range invalid {
+		v.addError("policy.shares", fmt.Sprintf("account %q has the weight %g", account, p.AccountWeights[account]), "give a positive weight, or leave it out for 1")
 	}
 }
--- a/version/table/policy_test.go
+++ b/version/table/policy_test.go
@@ -7,12 +7,12 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestSharesHaveToBePositive(t *testing.T) {
+func TestAccountWeightsMustBePositive(t *testing.T) {
 	g := NewWithT(t)
-	c := &checker{}
-	c.policy(RoutePolicy{AccountWeights: map[string]float64{"a": 2, "b": 0, "c": -1, "d": math.NaN()}})
-	g.Expect(c.faults).To(HaveLen(3))
-	c = &checker{}
-	c.policy(RoutePolicy{AccountWeights: map[string]float64{"a": .5}})
-	g.Expect(c.faults).To(BeEmpty())
+	v := &validator{}
+	v.checkPolicy(RoutePolicy{AccountWeights: map[string]float64{"a": 2, "b": 0, "c": -1, "d": math.NaN()}})
+	g.Expect(v.errs).To(HaveLen(3))
+	v = &validator{}
+	v.checkPolicy(RoutePolicy{AccountWeights: map[string]float64{"a": .5}})
+	g.Expect(v.errs).To(BeEmpty())
 }
--- a/version/table/rows.go
+++ b/version/table/rows.go
@@ -11,37 +11,39 @@
 	"bilberrydale/process/release"
 )
 
-// Prefixes of row keys, one a table.
+// Prefixes of row keys, one for each table. The rest of a key is the name of the row.
 const (
 	RouteKeyPrefix = "routes/"
 	PoolKeyPrefix  = "pools/"
 )
 
-// FromRows decodes a release's rows. Unknown fields and unknown tables are
-// faults, and so is a row whose key is not its name: the key decides conflicts
-// between operators and the name what requests use, so they have to agree.
+// DecodeRows decodes the rows of a release without validating their values. Unknown fields,
+// unknown tables and rows whose key does not match their name are errors: the key is used to
+// detect conflicts between operators' changes and the name to serve requests, so they have to
+// agree. The error is ValidationErrors or nil.
 func DecodeRows(rows []release.Row) (Tables, error) {
 	var t Tables
-	var faults ValidationErrors
+	var errs ValidationErrors
 	for _, r := range rows {
 		if err := t.appendRow(r); err != nil {
-			faults = append(faults, ValidationError{Row: r.Key, Field: "row", Problem: err.Error(), Fix: "correct or remove the row"})
+			errs = append(errs, ValidationError{Row: r.Key, Field: "row", Problem: err.Error(), Fix: "correct or remove the row"})
 		}
 	}
-	if faults != nil {
-		return t, faults
+	if errs != nil {
+		return t, errs
 	}
 	return t, nil
 }
 
+// appendRow decodes r and appends it to its table.
 func (t *Tables) appendRow(r release.Row) error {
 	if len(r.Data) > MaxRowBytes {
-		return fmt.Errorf("has %d bytes, over %d", len(r.Data), MaxRowBytes)
+		return fmt.Errorf("has %d bytes; the maximum is %d", len(r.Data), MaxRowBytes)
 	}
 	if name, ok := strings.CutPrefix(r.Key, RouteKeyPrefix); ok {
 		v, err := decodeRow[Route](r.Data)
 		if err == nil && v.Name != name {
-			err = fmt.Errorf("holds the name %q", v.Name)
+			err = fmt.Errorf("contains the name %q", v.Name)
 		}
 		t.Routes = append(t.Routes, v)
 		return err
@@ -49,14 +51,15 @@
 	if name, ok := strings.CutPrefix(r.Key, PoolKeyPrefix); ok {
 		v, err := decodeRow[Pool](r.Data)
 		if err == nil && v.Name != name {
-			err = fmt.Errorf("holds the name %q", v.Name)
+			err = fmt.Errorf("contains the name %q", v.Name)
 		}
 		t.Pools = append(t.Pools, v)
 		return err
 	}
-	return errors.New("row of no known table")
+	return errors.New("belongs to no known table")
 }
 
+// decodeRow decodes a single JSON value without unknown fields.
 func decodeRow[T any](data []byte) (T, error) {
 	var v T
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -65,12 +68,12 @@
 		return v, err
 	}
 	if _, err := dec.Token(); !errors.Is(err, io.EOF) {
-		return v, errors.New("holds more than one value")
+		return v, errors.New("contains more than one JSON value")
 	}
 	return v, nil
 }
 
-// Check decodes and validates rows; it is the publisher's Validator.
+// ValidateRows decodes and validates rows. It is the validator of release.Publisher.
 func ValidateRows(rows []release.Row) error {
 	t, err := DecodeRows(rows)
 	if err != nil {
@@ -79,7 +82,7 @@
 	return Validate(t)
 }
 
-// Encode returns the tables' rows as canonical JSON by key.
+// EncodeRows returns the rows of the tables as JSON by key. Equal rows have equal encodings.
 func EncodeRows(t Tables) (map[string]json.RawMessage, error) {
 	out := map[string]json.RawMessage{}
 	for _, r := range t.Routes {
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -1,11 +1,11 @@
-// Package table defines the two tables that operators edit: routes, which say
-// which requests go through which stages, and pools, which say which backend
-// servers serve a stage. They are joined by pool names alone.
+// Package table defines, reads and validates the two tables that operators edit. Routes map
+// requests to stages; pools list the backend servers that execute a stage. A stage refers to
+// its pool by name.
 package table
 
 import "time"
 
-// Duration is a time.Duration written as text ("300ms") in the tables.
+// Duration is a time.Duration that is encoded as text ("300ms") in the tables.
 type Duration time.Duration
 
 // Std returns d as a time.Duration.
@@ -24,83 +24,85 @@
 	return nil
 }
 
-// Class orders requests that compete for the same backend servers.
+// Class is the urgency of requests that compete for the same backend servers.
 type Class string
 
 // Classes, from the most to the least urgent.
 const (
-	Interactive Class = "interactive" // somebody waits on the page
+	Interactive Class = "interactive" // a user waits for the response
 	Standard    Class = "standard"
-	Background  Class = "background" // may be late; runs when nobody waits
+	Background  Class = "background" // may be delayed; runs while no other requests wait
 )
 
-// Route says which requests go through which stages.
+// Route maps the requests selected by Match to the stages that execute them.
 type Route struct {
-	Name     string   `json:"name" yaml:"name"`
+	Name     string   `json:"name" yaml:"name"` // unique among routes
 	Match    Match    `json:"match" yaml:"match"`
-	Deadline Duration `json:"deadline" yaml:"deadline"`
-	// Worth weighs one completed request of this route against others.
+	Deadline Duration `json:"deadline" yaml:"deadline"` // of a request, from its arrival
+	// Worth is the weight of one completed request of this route relative to other routes.
 	Worth  float64 `json:"worth" yaml:"worth"`
 	Class  Class   `json:"class" yaml:"class"`
-	Stages []Stage `json:"stages" yaml:"stages"`
+	Stages []Stage `json:"stages" yaml:"stages"` // in the order of execution
 
 	Policy RoutePolicy `json:"policy,omitzero" yaml:"policy,omitempty"`
 }
 
-// Match selects requests. Every set field must match; the longest path prefix
-// wins, then the larger number of headers.
+// Match selects requests. All fields that are set must match. If several routes match a
+// request, the one with the longest path prefix is used, then the one with the most headers.
 type Match struct {
-	Path    string            `json:"path" yaml:"path"`
-	Method  string            `json:"method,omitempty" yaml:"method,omitempty"`
-	Headers map[string]string `json:"headers,omitempty" yaml:"headers,omitempty"`
+	Path    string            `json:"path" yaml:"path"`                           // prefix of the request's path
+	Method  string            `json:"method,omitempty" yaml:"method,omitempty"`   // empty: any
+	Headers map[string]string `json:"headers,omitempty" yaml:"headers,omitempty"` // values by name
 }
 
-// Stage is one step of a route. Its input is the request body (first stage) or
-// the output of the stage before it.
+// Stage is one step of a route. Its input is the request body, or the output of the preceding
+// stage.
 type Stage struct {
-	Name string `json:"name" yaml:"name"`
-	Pool string `json:"pool" yaml:"pool"`
-	// Budget is the time the stage is expected to need at most.
+	Name string `json:"name" yaml:"name"` // unique in the route
+	Pool string `json:"pool" yaml:"pool"` // name of the pool whose backend servers execute the stage
+	// Budget is the expected maximum duration of the stage.
 	Budget Duration `json:"budget" yaml:"budget"`
-	// Repeatable stages may run again after a failure; others run at most once.
+	// Repeatable means that the stage may be executed again after a failure. Other stages are
+	// executed at most once.
 	Repeatable bool `json:"repeatable" yaml:"repeatable"`
-	// Stream passes the stage's output on as it comes; only the last stage.
+	// Stream means that the output of the stage is forwarded to the caller as it arrives. Only
+	// the last stage can be streamed.
 	Stream bool   `json:"stream,omitempty" yaml:"stream,omitempty"`
 	Path   string `json:"path,omitempty" yaml:"path,omitempty"` // on the backend server; default /
-	// Cost is the price of one execution, in the deployment's own unit.
+	// Cost is the cost of one execution, in a unit chosen by the deployment.
 	Cost float64 `json:"cost,omitempty" yaml:"cost,omitempty"`
 }
 
-// PoolKind says what a pool's backend servers are.
+// PoolKind is the kind of a pool's backend servers.
 type PoolKind string
 
 // Kinds of pools.
 const (
-	Engine  PoolKind = "engine"  // model engine: batches, streams, takes orders
-	Encoder PoolKind = "encoder" // stateless model stages beside the engines
-	Service PoolKind = "service" // plain service
+	Engine  PoolKind = "engine"  // model engine: batches and streams requests, executes orders
+	Encoder PoolKind = "encoder" // stateless model stage used together with engines
+	Service PoolKind = "service" // service without a model
 )
 
-// Pool is a set of backend servers that can serve the same stage.
+// Pool is a set of backend servers that can execute the same stage.
 type Pool struct {
-	Name    string   `json:"name" yaml:"name"`
+	Name    string   `json:"name" yaml:"name"` // unique among pools
 	Kind    PoolKind `json:"kind" yaml:"kind"`
-	Model   Model    `json:"model,omitzero" yaml:"model,omitempty"`
-	Role    string   `json:"role,omitempty" yaml:"role,omitempty"`
-	Fencing bool     `json:"fencing,omitempty" yaml:"fencing,omitempty"` // servers refuse orders with old fencing numbers
-	// Slots is how many requests one server runs at once.
+	Model   Model    `json:"model,omitzero" yaml:"model,omitempty"`      // not for services
+	Role    string   `json:"role,omitempty" yaml:"role,omitempty"`       // role that the engines have to take
+	Fencing bool     `json:"fencing,omitempty" yaml:"fencing,omitempty"` // servers reject orders with old fencing numbers
+	// Slots is the number of requests that one server executes concurrently.
 	Slots   int      `json:"slots" yaml:"slots"`
 	Servers []Server `json:"servers" yaml:"servers"`
 }
 
-// Model is what the engines of a pool have to have loaded.
+// Model is the model that the engines of a pool have to have loaded.
 type Model struct {
 	Name    string `json:"name,omitempty" yaml:"name,omitempty"`
 	Adapter string `json:"adapter,omitempty" yaml:"adapter,omitempty"`
 	Version string `json:"version,omitempty" yaml:"version,omitempty"`
 }
 
-// String returns name/adapter@version.
+// String returns name/adapter@version without the parts that are empty.
 func (m Model) String() string {
 	s := m.Name
 	if m.Adapter != "" {
@@ -115,13 +117,13 @@
 // Server is one backend server of a pool.
 type Server struct {
 	Name    string  `json:"name" yaml:"name"`
-	Address string  `json:"address" yaml:"address"` // host:port
-	Domain  string  `json:"domain" yaml:"domain"`
-	Region  string  `json:"region" yaml:"region"`
-	Weight  float64 `json:"weight,omitempty" yaml:"weight,omitempty"` // default 1
+	Address string  `json:"address" yaml:"address"`                   // host:port
+	Domain  string  `json:"domain" yaml:"domain"`                     // failure domain
+	Region  string  `json:"region" yaml:"region"`                     // region of the failure domain
+	Weight  float64 `json:"weight,omitempty" yaml:"weight,omitempty"` // capacity relative to the pool's Slots; default 1
 }
 
-// Tables are both tables of one release.
+// Tables holds both tables of a release.
 type Tables struct {
 	Routes []Route `json:"routes" yaml:"routes"`
 	Pools  []Pool  `json:"pools" yaml:"pools"`
--- a/version/table/table_test.go
+++ b/version/table/table_test.go
@@ -14,7 +14,8 @@
 	"bilberrydale/process/release"
 )
 
-func sound() Tables {
+// validTables returns tables with one route and one pool.
+func validTables() Tables {
 	return Tables{
 		Routes: []Route{{
 			Name: "draft", Match: Match{Path: "/v1/drafts"}, Deadline: Duration(5 * time.Second), Worth: 1, Class: Standard,
@@ -27,45 +28,45 @@
 	}
 }
 
-func TestValidateNamesRowAndField(t *testing.T) {
+func TestValidateReportsRowAndField(t *testing.T) {
 	cases := map[string]struct {
 		edit       func(*Tables)
 		row, field string
 	}{
-		"empty name":        {func(t *Tables) { t.Routes[0].Name = "" }, "routes[0]", "name"},
-		"route twice":       {func(t *Tables) { t.Routes = append(t.Routes, t.Routes[0]) }, "routes/draft", "name"},
-		"same match":        {func(t *Tables) { t.Routes = append(t.Routes, t.Routes[0]); t.Routes[1].Name = "b" }, "routes/b", "match"},
-		"dangling pool":     {func(t *Tables) { t.Routes[0].Stages[0].Pool = "modle" }, "routes/draft", "stages[0].pool"},
-		"no stages":         {func(t *Tables) { t.Routes[0].Stages = nil }, "routes/draft", "stages"},
-		"budgets too long":  {func(t *Tables) { t.Routes[0].Stages[0].Budget = Duration(6 * time.Second) }, "routes/draft", "deadline"},
-		"no deadline":       {func(t *Tables) { t.Routes[0].Deadline = 0 }, "routes/draft", "deadline"},
-		"long deadline":     {func(t *Tables) { t.Routes[0].Deadline = MaxDeadline + 1 }, "routes/draft", "deadline"},
-		"worth":             {func(t *Tables) { t.Routes[0].Worth = -1 }, "routes/draft", "worth"},
-		"class":             {func(t *Tables) { t.Routes[0].Class = "fast" }, "routes/draft", "class"},
-		"relative path":     {func(t *Tables) { t.Routes[0].Match.Path = "v1" }, "routes/draft", "match.path"},
-		"method":            {func(t *Tables) { t.Routes[0].Match.Method = "post" }, "routes/draft", "match.method"},
-		"header name":       {func(t *Tables) { t.Routes[0].Match.Headers = map[string]string{"a b": "c"} }, "routes/draft", "match.headers"},
-		"unsafe stream":     {func(t *Tables) { t.Routes[0].Stages[0].Repeatable = false }, "routes/draft", "stages[0].stream"},
-		"stage path":        {func(t *Tables) { t.Routes[0].Stages[0].Path = "/a?b" }, "routes/draft", "stages[0].path"},
-		"negative cost":     {func(t *Tables) { t.Routes[0].Stages[0].Cost = -1 }, "routes/draft", "stages[0].cost"},
-		"kind":              {func(t *Tables) { t.Pools[0].Kind = "gpu" }, "pools/model", "kind"},
-		"no model":          {func(t *Tables) { t.Pools[0].Model = Model{} }, "pools/model", "model.name"},
-		"model of service":  {func(t *Tables) { t.Pools[0].Kind = Service }, "pools/model", "model"},
-		"slots":             {func(t *Tables) { t.Pools[0].Slots = 0 }, "pools/model", "slots"},
-		"no servers":        {func(t *Tables) { t.Pools[0].Servers = nil }, "pools/model", "servers"},
-		"address":           {func(t *Tables) { t.Pools[0].Servers[0].Address = "10.0.0.1" }, "pools/model", "servers[0].address"},
-		"port":              {func(t *Tables) { t.Pools[0].Servers[0].Address = "10.0.0.1:0" }, "pools/model", "servers[0].address"},
-		"unspecified":       {func(t *Tables) { t.Pools[0].Servers[0].Address = "0.0.0.0:80" }, "pools/model", "servers[0].address"},
-		"no domain":         {func(t *Tables) { t.Pools[0].Servers[0].Domain = "" }, "pools/model", "servers[0].domain"},
-		"weight":            {func(t *Tables) { t.Pools[0].Servers[0].Weight = -1 }, "pools/model", "servers[0].weight"},
-		"domain in 2 areas": {func(t *Tables) { t.Pools = append(t.Pools, other("m-2", "10.0.0.2:1", "d1", "r2")) }, "pools/other", "servers[0].region"},
-		"address shared":    {func(t *Tables) { t.Pools = append(t.Pools, other("m-2", "10.0.0.1:8000", "d1", "r1")) }, "pools/other", "servers[0].address"},
-		"server moved":      {func(t *Tables) { t.Pools = append(t.Pools, other("m-1", "10.0.0.9:8000", "d1", "r1")) }, "pools/other", "servers[0].address"},
+		"empty name":       {func(t *Tables) { t.Routes[0].Name = "" }, "routes[0]", "name"},
+		"duplicate route":  {func(t *Tables) { t.Routes = append(t.Routes, t.Routes[0]) }, "routes/draft", "name"},
+		"duplicate match":  {func(t *Tables) { t.Routes = append(t.Routes, t.Routes[0]); t.Routes[1].Name = "b" }, "routes/b", "match"},
+		"dangling pool":    {func(t *Tables) { t.Routes[0].Stages[0].Pool = "modle" }, "routes/draft", "stages[0].pool"},
+		"no stages":        {func(t *Tables) { t.Routes[0].Stages = nil }, "routes/draft", "stages"},
+		"budgets exceed":   {func(t *Tables) { t.Routes[0].Stages[0].Budget = Duration(6 * time.Second) }, "routes/draft", "deadline"},
+		"no deadline":      {func(t *Tables) { t.Routes[0].Deadline = 0 }, "routes/draft", "deadline"},
+		"long deadline":    {func(t *Tables) { t.Routes[0].Deadline = MaxDeadline + 1 }, "routes/draft", "deadline"},
+		"worth":            {func(t *Tables) { t.Routes[0].Worth = -1 }, "routes/draft", "worth"},
+		"class":            {func(t *Tables) { t.Routes[0].Class = "fast" }, "routes/draft", "class"},
+		"relative path":    {func(t *Tables) { t.Routes[0].Match.Path = "v1" }, "routes/draft", "match.path"},
+		"method":           {func(t *Tables) { t.Routes[0].Match.Method = "post" }, "routes/draft", "match.method"},
+		"header name":      {func(t *Tables) { t.Routes[0].Match.Headers = map[string]string{"a b": "c"} }, "routes/draft", "match.headers"},
+		"not repeatable":   {func(t *Tables) { t.Routes[0].Stages[0].Repeatable = false }, "routes/draft", "stages[0].stream"},
+		"stage path":       {func(t *Tables) { t.Routes[0].Stages[0].Path = "/a?b" }, "routes/draft", "stages[0].path"},
+		"negative cost":    {func(t *Tables) { t.Routes[0].Stages[0].Cost = -1 }, "routes/draft", "stages[0].cost"},
+		"kind":             {func(t *Tables) { t.Pools[0].Kind = "gpu" }, "pools/model", "kind"},
+		"no model":         {func(t *Tables) { t.Pools[0].Model = Model{} }, "pools/model", "model.name"},
+		"model of service": {func(t *Tables) { t.Pools[0].Kind = Service }, "pools/model", "model"},
+		"slots":            {func(t *Tables) { t.Pools[0].Slots = 0 }, "pools/model", "slots"},
+		"no servers":       {func(t *Tables) { t.Pools[0].Servers = nil }, "pools/model", "servers"},
+		"address":          {func(t *Tables) { t.Pools[0].Servers[0].Address = "10.0.0.1" }, "pools/model", "servers[0].address"},
+		"port":             {func(t *Tables) { t.Pools[0].Servers[0].Address = "10.0.0.1:0" }, "pools/model", "servers[0].address"},
+		"unspecified":      {func(t *Tables) { t.Pools[0].Servers[0].Address = "0.0.0.0:80" }, "pools/model", "servers[0].address"},
+		"no domain":        {func(t *Tables) { t.Pools[0].Servers[0].Domain = "" }, "pools/model", "servers[0].domain"},
+		"weight":           {func(t *Tables) { t.Pools[0].Servers[0].Weight = -1 }, "pools/model", "servers[0].weight"},
+		"2 regions":        {func(t *Tables) { t.Pools = append(t.Pools, otherPool("m-2", "10.0.0.2:1", "d1", "r2")) }, "pools/other", "servers[0].region"},
+		"shared address":   {func(t *Tables) { t.Pools = append(t.Pools, otherPool("m-2", "10.0.0.1:8000", "d1", "r1")) }, "pools/other", "servers[0].address"},
+		"2 addresses":      {func(t *Tables) { t.Pools = append(t.Pools, otherPool("m-1", "10.0.0.9:8000", "d1", "r1")) }, "pools/other", "servers[0].address"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			g := NewWithT(t)
-			tables := sound()
+			tables := validTables()
 			g.Expect(Validate(tables)).To(Succeed())
 			c.edit(&tables)
 			err := Validate(tables)
@@ -77,11 +78,12 @@
 	}
 }
 
-func other(name, addr, domain, region string) Pool {
+// otherPool returns a second pool with one server.
+func otherPool(name, addr, domain, region string) Pool {
 	return Pool{Name: "other", Kind: Service, Slots: 1, Servers: []Server{{Name: name, Address: addr, Domain: domain, Region: region}}}
 }
 
-const faultyRoutes = `routes:
+const invalidRoutes = `routes:
   - name: draft
     match: {path: /v1/drafts}
     deadline: 5 seconds
@@ -93,7 +95,7 @@
       - {name: generate, pool: model, budget: 1s, repeatable: maybe}
 `
 
-const faultyPools = `pools:
+const invalidPools = `pools:
   - name: model
     kind: engine
     model: {name: m}
@@ -104,17 +106,17 @@
       - &more {name: m-2, address: '10.0.0.2:80', domain: d1, region: r1}
 `
 
-// Operators release a frozen backlog at once; a report that stopped at the
-// first fault would cost one round a fault.
-func TestOneReportHoldsEveryFaultOfBothFiles(t *testing.T) {
+// After a freeze operators release many accumulated changes together. If only the first error
+// were reported, they would need one attempt per error.
+func TestParseReportsEveryErrorOfAllFiles(t *testing.T) {
 	g := NewWithT(t)
-	_, err := Parse([]File{{"pools.yaml", []byte(faultyPools)}, {"routes.yaml", []byte(faultyRoutes)}})
-	var faults ValidationErrors
-	g.Expect(err).To(BeAssignableToTypeOf(faults))
-	faults = err.(ValidationErrors) //nolint:errorlint // the type is asserted above
+	_, err := Parse([]File{{"pools.yaml", []byte(invalidPools)}, {"routes.yaml", []byte(invalidRoutes)}})
+	var errs ValidationErrors
+	g.Expect(err).To(BeAssignableToTypeOf(errs))
+	errs = err.(ValidationErrors) //nolint:errorlint // the type is asserted above
 	var got []string
-	for _, f := range faults {
-		got = append(got, fmt.Sprintf("%s:%d %s %s", f.File, f.Line, f.Row, f.Field))
+	for _, e := range errs {
+		got = append(got, fmt.Sprintf("%s:%d %s %s", e.File, e.Line, e.Row, e.Field))
 	}
 	g.Expect(got).To(ConsistOf(
 		"pools.yaml:6 pools/model slots",
@@ -132,7 +134,7 @@
 	), err.Error())
 }
 
-func TestFaultsOutsideRowsBelongToTheFile(t *testing.T) {
+func TestErrorsOutsideRowsAreReportedForTheFile(t *testing.T) {
 	g := NewWithT(t)
 	for text, want := range map[string]string{
 		"":                           "a.yaml:1: file: content: the file is empty",
@@ -147,7 +149,7 @@
 	}
 }
 
-func TestExamplesHoldTogether(t *testing.T) {
+func TestExamplesAreValid(t *testing.T) {
 	g := NewWithT(t)
 	entries, err := os.ReadDir("../../examples")
 	g.Expect(err).NotTo(HaveOccurred())
@@ -165,7 +167,7 @@
 	}
 }
 
-func TestRowsRefuseWhatNoTableHas(t *testing.T) {
+func TestDecodeRowsRejectsInvalidRows(t *testing.T) {
 	row := func(key, data string) release.Row { return release.Row{Key: key, Data: []byte(data)} }
 	for name, r := range map[string]release.Row{
 		"unknown table": row("hosts/a", `{"name":"a"}`),
@@ -181,7 +183,7 @@
 	}
 }
 
-func TestReadDirRefusesAnEmptyFolderAndAHugeFile(t *testing.T) {
+func TestReadDirRejectsEmptyDirectoryAndLargeFile(t *testing.T) {
 	g := NewWithT(t)
 	dir := t.TempDir()
 	_, err := ReadDir(dir)
@@ -191,7 +193,7 @@
 	g.Expect(err).To(MatchError(ContainSubstring("big.yaml")))
 }
 
-// genTables makes sound tables of any shape.
+// genTables generates valid tables.
 func genTables(t *rapid.T) Tables {
 	name := rapid.StringMatching(`[a-z][a-z0-9.-]{0,8}`)
 	pools := rapid.SliceOfNDistinct(name, 1, 4, rapid.ID).Draw(t, "pools")
@@ -206,7 +208,7 @@
 	}
 	for _, r := range rapid.SliceOfNDistinct(name, 0, 4, rapid.ID).Draw(t, "routes") {
 		route := Route{Name: r, Match: Match{Path: "/" + r}, Deadline: Duration(time.Minute), Worth: rapid.Float64Range(0.1, 9).Draw(t, "worth"), Class: Background}
-		value := rapid.String().Filter(isHeaderValue)
+		value := rapid.String().Filter(isValidHeaderValue)
 		route.Match.Headers = rapid.MapOfN(rapid.StringMatching(`X-[A-Z]{1,4}`), value, 1, 3).Draw(t, "headers")
 		for i := range rapid.IntRange(1, MaxStages).Draw(t, "stages") {
 			route.Stages = append(route.Stages, Stage{
@@ -219,10 +221,10 @@
 	return out
 }
 
-// A match with a header value that HTTP cannot carry selects no request, and
-// one with a tab before a line's end came out of WriteDir as a file that ReadDir
-// refuses: an operator could export tables and not apply them again.
-func TestHeaderValueThatNoRequestCarriesIsAFault(t *testing.T) {
+// A match with a header value that HTTP cannot transmit selects no request. A value with a tab
+// before a line break was written by WriteDir to a file that ReadDir rejects, so that an
+// operator could not apply exported tables again.
+func TestInvalidHeaderValueIsReported(t *testing.T) {
 	for _, value := range []string{"\t\n", "a\nb", "\x00", " a", "a ", "a\tb", "\u0085"} {
 		g := NewWithT(t)
 		tables := Tables{
@@ -238,10 +240,10 @@
 	}
 }
 
-// Text that cannot be meant, such as a tab left by an editor, would select no
-// server and comes back from a file as something else or not at all.
-func TestTextThatCannotBeMeantIsAFault(t *testing.T) {
-	for field, spoil := range map[string]func(*Pool){
+// Text with invisible characters is a mistake, such as a tab inserted by an editor. It would
+// match no server, and it is read from a written file as different text or not at all.
+func TestInvisibleCharactersAreReported(t *testing.T) {
+	for field, corrupt := range map[string]func(*Pool){
 		"role":               func(p *Pool) { p.Role = "\t\n" },
 		"model.name":         func(p *Pool) { p.Model.Name = "a\tb" },
 		"model.adapter":      func(p *Pool) { p.Model.Adapter = "\x01" },
@@ -254,12 +256,12 @@
 		}
 		g := NewWithT(t)
 		g.Expect(Validate(Tables{Pools: []Pool{p}})).To(Succeed())
-		spoil(&p)
+		corrupt(&p)
 		g.Expect(Validate(Tables{Pools: []Pool{p}})).To(MatchError(ContainSubstring(field)), field)
 	}
 }
 
-func TestTablesSurviveRowsAndFiles(t *testing.T) {
+func TestTablesRoundTripThroughRowsAndFiles(t *testing.T) {
 	dir := t.TempDir()
 	rapid.Check(t, func(rt *rapid.T) {
 		g := NewWithT(rt)
@@ -278,8 +280,8 @@
 		for _, p := range want.Pools {
 			list = append(list, release.Row{Key: PoolKeyPrefix + p.Name, Data: rows[PoolKeyPrefix+p.Name]})
 		}
-		back, err := DecodeRows(list)
+		decoded, err := DecodeRows(list)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(back).To(Equal(want))
+		g.Expect(decoded).To(Equal(want))
 	})
 }
--- a/version/table/validate.go
+++ b/version/table/validate.go
@@ -9,66 +9,72 @@
 	"strings"
 )
 
-// checker collects the faults of one pair of tables.
-type checker struct {
-	faults ValidationErrors
-	row    string // "routes/draft"
-	at     string // "routes[2]"
+// validator collects the errors of both tables.
+type validator struct {
+	errs    ValidationErrors
+	row     string // key of the current row: "routes/draft"
+	rowPath string // its path: "routes[2]"
 }
 
-// enter makes the row that later faults belong to the current one.
-func (c *checker) enter(prefix, name string, i int) {
+// startRow sets the current row, to which addError attributes errors.
+func (v *validator) startRow(prefix, name string, i int) {
 	table := strings.TrimSuffix(prefix, "/")
-	c.at = fmt.Sprintf("%s[%d]", table, i)
-	c.row = prefix + name
+	v.rowPath = fmt.Sprintf("%s[%d]", table, i)
+	v.row = prefix + name
 	if name == "" {
-		c.row = c.at
+		v.row = v.rowPath
 	}
 }
 
-func (c *checker) add(field, problem, fix string) {
-	c.faults = append(c.faults, ValidationError{Row: c.row, Field: field, Problem: problem, Fix: fix, at: c.at + "." + field})
+// addError records an error in a field of the current row.
+func (v *validator) addError(field, problem, fix string) {
+	v.errs = append(v.errs, ValidationError{Row: v.row, Field: field, Problem: problem, Fix: fix, path: v.rowPath + "." + field})
 }
 
-func (c *checker) whole(table, problem, fix string) {
-	c.faults = append(c.faults, ValidationError{Row: table, Field: "table", Problem: problem, Fix: fix, at: table})
+// addTableError records an error that concerns a table as a whole.
+func (v *validator) addTableError(table, problem, fix string) {
+	v.errs = append(v.errs, ValidationError{Row: table, Field: "table", Problem: problem, Fix: fix, path: table})
 }
 
-// Validate checks both tables together and returns Faults, or nil.
+// Validate checks both tables together. The error is ValidationErrors or nil.
 func Validate(t Tables) error {
-	if faults := check(t); len(faults) > 0 {
-		return faults
+	if errs := validate(t); len(errs) > 0 {
+		return errs
 	}
 	return nil
 }
 
-func check(t Tables) ValidationErrors {
-	c := &checker{}
+// validate returns the errors of both tables. If a table has too many rows, it checks nothing
+// else.
+func validate(t Tables) ValidationErrors {
+	v := &validator{}
 	if n := len(t.Pools); n > MaxPools {
-		c.whole("pools", fmt.Sprintf("has %d rows", n), fmt.Sprintf("keep it at %d or fewer", MaxPools))
-		return c.faults
+		v.addTableError("pools", fmt.Sprintf("has %d rows", n), fmt.Sprintf("use at most %d", MaxPools))
+		return v.errs
 	}
 	if n := len(t.Routes); n > MaxRoutes {
-		c.whole("routes", fmt.Sprintf("has %d rows", n), fmt.Sprintf("keep it at %d or fewer", MaxRoutes))
-		return c.faults
+		v.addTableError("routes", fmt.Sprintf("has %d rows", n), fmt.Sprintf("use at most %d", MaxRoutes))
+		return v.errs
 	}
-	pools := c.pools(t.Pools)
-	c.routes(t.Routes, pools)
-	return c.faults
+	pools := v.checkPools(t.Pools)
+	v.checkRoutes(t.Routes, pools)
+	return v.errs
 }
 
-// name checks one name and that it is the first of its kind.
-func (c *checker) name(field, name string, seen map[string]bool) {
+// checkName checks that name is valid and not in seen, and adds it there.
+func (v *validator) checkName(field, name string, seen map[string]bool) {
 	if !validName(name) {
-		c.add(field, fmt.Sprintf("%q is not a name", name), fmt.Sprintf("use 1 to %d letters, digits, -, _ and .", MaxNameBytes))
+		v.addError(field, fmt.Sprintf("%q is not a valid name", name), fmt.Sprintf("use 1 to %d letters, digits, -, _ and .", MaxNameBytes))
 		return
 	}
 	if seen[name] {
-		c.add(field, fmt.Sprintf("%q is listed twice", name), "rename or remove one")
+		v.addError(field, fmt.Sprintf("%q is listed twice", name), "rename or remove one")
 	}
 	seen[name] = true
 }
 
+// validName reports whether s has 1 to MaxNameBytes ASCII letters, digits and characters of
+// "-_.".
 func validName(s string) bool {
 	if s == "" || len(s) > MaxNameBytes {
 		return false
@@ -83,13 +89,14 @@
 	return true
 }
 
-// amount checks a number that is not negative and at most high.
-func (c *checker) amount(field string, v, high float64) {
-	if math.IsNaN(v) || v < 0 || v > high {
-		c.add(field, fmt.Sprintf("%g is not between 0 and %g", v, high), "give a number in that range")
+// checkRange checks that value is between 0 and limit.
+func (v *validator) checkRange(field string, value, limit float64) {
+	if math.IsNaN(value) || value < 0 || value > limit {
+		v.addError(field, fmt.Sprintf("%g is not between 0 and %g", value, limit), "give a number in that range")
 	}
 }
 
+// checkAddress checks that addr is host:port and can be the destination of a request.
 func checkAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -99,22 +106,23 @@
 		return fmt.Errorf("port %q is not between 1 and 65535", port)
 	}
 	if ip, err := netip.ParseAddr(host); err == nil && ip.IsUnspecified() {
-		return fmt.Errorf("%s is no address that a call can be sent to", host)
+		return fmt.Errorf("%s is not an address that requests can be sent to", host)
 	}
-	if host == "" || strings.ContainsAny(host, "/?#@") || strings.ContainsFunc(host, notVisible) {
-		return fmt.Errorf("%q is not a host", host)
+	if host == "" || strings.ContainsAny(host, "/?#@") || strings.ContainsFunc(host, isInvisible) {
+		return fmt.Errorf("%q is not a host name or IP address", host)
 	}
 	return nil
 }
 
+// checkPath checks the path prefix of a match or the path of a stage.
 func checkPath(path string) error {
 	switch {
 	case !strings.HasPrefix(path, "/"):
 		return fmt.Errorf("%q does not start with /", path)
 	case len(path) > MaxPathBytes:
-		return fmt.Errorf("has %d bytes, over %d", len(path), MaxPathBytes)
+		return fmt.Errorf("has %d bytes; the maximum is %d", len(path), MaxPathBytes)
 	case strings.ContainsAny(path, " ?#\t\r\n\x00"):
-		return fmt.Errorf("%q holds a blank, ? or #", path)
+		return fmt.Errorf("%q contains white space, ?, # or a null character", path)
 	}
 	return nil
 }
