--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -90,8 +90,8 @@
 }
 
 // Dial connects to address (host:port), performs the handshake and starts the connection. Calls
-// of the peer are passed to dispatch. Dial returns at the end of HandshakeTimeout or of ctx,
-// whichever comes first; ctx has no effect on the connection afterwards.
+// of the peer are passed to dispatch. HandshakeTimeout and ctx bound the duration of Dial; ctx
+// has no effect on the connection afterwards.
 func Dial(ctx context.Context, address string, opts Options, dispatch peer.Dispatch) (*Conn, error) {
 	opts = opts.withDefaults()
 	ctx, cancel := context.WithTimeout(ctx, opts.HandshakeTimeout)
@@ -100,8 +100,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("dial peer: %w", err)
 	}
-	// The kernel of a stopped process still accepts connections, so that only the handshake
-	// fails. It must not take longer than the caller's deadline.
+	// The kernel of a stopped process still accepts connections, so only the handshake detects
+	// it. The handshake must not take longer than the caller's deadline.
 	if deadline, ok := ctx.Deadline(); ok {
 		opts.HandshakeTimeout = time.Until(deadline)
 	}
@@ -117,6 +117,8 @@
 // handshakeFunc performs one end's handshake and returns the identity of the other end.
 type handshakeFunc func(rw io.ReadWriter, self peer.Identity, secret []byte) (peer.Identity, error)
 
+// newConn performs the handshake on netConn and starts the connection's goroutines. If the
+// handshake fails, it closes netConn.
 func newConn(netConn net.Conn, opts Options, dispatch peer.Dispatch, handshake handshakeFunc) (*Conn, error) {
 	_ = netConn.SetDeadline(time.Now().Add(opts.HandshakeTimeout))
 	remote, err := handshake(netConn, opts.Self, opts.Secret)
--- a/version/pick/locality.go
+++ b/version/pick/locality.go
@@ -24,8 +24,8 @@
 	// RemoteSpilloverLoad is the load of the own region from which other regions are
 	// considered.
 	RemoteSpilloverLoad float64
-	// DegradedSpilloverLoad replaces RemoteSpilloverLoad while a considerable part of the own
-	// region's servers is unhealthy.
+	// DegradedSpilloverLoad replaces RemoteSpilloverLoad while more than maxUnhealthyFraction of
+	// the own region's servers are unhealthy.
 	DegradedSpilloverLoad float64
 	// MaxRemoteLoad is the load below which a server in another region is used for spillover.
 	MaxRemoteLoad float64
@@ -41,8 +41,8 @@
 	// MaxReportAge is the age up to which the load report of a server in another failure
 	// domain is used.
 	MaxReportAge time.Duration
-	// MaxEjectedFraction is the maximum fraction of a tier's servers that is ejected because
-	// their attempts fail.
+	// MaxEjectedFraction is the maximum fraction of a tier's servers that are ejected because
+	// their attempts fail; one server can be ejected in any case.
 	MaxEjectedFraction float64
 }
 
@@ -74,9 +74,9 @@
 // NewLocalityPicker returns a picker for servers, the backend servers of one pool.
 func NewLocalityPicker(opts Options, servers []Server) *LocalityPicker {
 	p := &LocalityPicker{opts: opts, servers: servers}
-	others := map[string]tier{}
+	byRegion := map[string]tier{}
 	var regions []string
-	var rest tier
+	var otherDomains tier
 	for i := range servers {
 		s := &servers[i]
 		s.outsideDomain = s.Domain != opts.Domain || s.Region != opts.Region
@@ -84,17 +84,17 @@
 		case s.Domain == opts.Domain && s.Region == opts.Region:
 			p.domain = append(p.domain, s)
 		case s.Region == opts.Region:
-			rest = append(rest, s)
+			otherDomains = append(otherDomains, s)
 		default:
-			if others[s.Region] == nil {
+			if byRegion[s.Region] == nil {
 				regions = append(regions, s.Region)
 			}
-			others[s.Region] = append(others[s.Region], s)
+			byRegion[s.Region] = append(byRegion[s.Region], s)
 		}
 	}
-	p.region = subset(opts.Host, rest, opts.RegionSubsetSize)
+	p.region = subset(opts.Host, otherDomains, opts.RegionSubsetSize)
 	for _, r := range regions {
-		p.remote = append(p.remote, subset(opts.Host, others[r], opts.RemoteSubsetSize)...)
+		p.remote = append(p.remote, subset(opts.Host, byRegion[r], opts.RemoteSubsetSize)...)
 	}
 	return p
 }
--- a/version/table/limits.go
+++ b/version/table/limits.go
@@ -5,7 +5,7 @@
 // Limits of the tables. They are an order of magnitude above the size that the system is
 // designed for, and keep a file with mistakes from being compiled by every entry host.
 const (
-	MaxFileBytes    = 8 << 20
+	MaxFileBytes    = 8 << 20 // of one YAML file
 	MaxRoutes       = 2000
 	MaxPools        = 2000
 	MaxServers      = 20000                      // in one pool
--- a/version/table/policy.go
+++ b/version/table/policy.go
@@ -22,7 +22,7 @@
 // checkPolicy checks the number of account weights and that all are positive and finite.
 func (v *validator) checkPolicy(p RoutePolicy) {
 	if n := len(p.AccountWeights); n > MaxAccountWeights {
-		v.addError("policy.shares", fmt.Sprintf("lists %d accounts", n), fmt.Sprintf("list at most %d; leave out those with weight 1", MaxAccountWeights))
+		v.addError("policy.shares", fmt.Sprintf("lists %d client accounts", n), fmt.Sprintf("list at most %d; leave out those with weight 1", MaxAccountWeights))
 		return
 	}
 	var invalid []string
@@ -33,6 +33,6 @@
 	}
 	slices.Sort(invalid)
 	for _, account := range invalid {
-		v.addError("policy.shares", fmt.Sprintf("account %q has the weight %g", account, p.AccountWeights[account]), "give a positive weight, or leave it out for 1")
+		v.addError("policy.shares", fmt.Sprintf("client account %q has the weight %g", account, p.AccountWeights[account]), "give a positive weight, or leave it out for 1")
 	}
 }
--- a/version/table/validate_pools.go
+++ b/version/table/validate_pools.go
@@ -11,7 +11,7 @@
 type serverIndex struct {
 	addressByName  map[string]string
 	nameByAddress  map[string]string
-	regionByDomain map[string]string // by failure domain
+	regionByDomain map[string]string
 }
 
 // checkPools checks all pools and returns the set of their names.
