--- a/internal/ctl/base.go
+++ b/internal/ctl/base.go
@@ -10,28 +10,31 @@
 	"bilberrydale/process/release"
 )
 
-// BaseFile lies beside exported tables and tells from which version of each
-// row they were made. Without it, two operators who edit the same row would
-// both seem to start from the newest release, and the later apply would
-// silently undo the earlier one.
+// BaseFile is the name of the file beside exported tables that records the
+// version of each row from which they were made. Without it, the edits of two
+// operators to the same row would both be compared with the newest release, and
+// the later apply would silently undo the earlier one.
 const BaseFile = ".bilberry-base.json"
 
-// Base is the content of BaseFile.
+// Base is the content of BaseFile: the release and row versions that an edit
+// is compared with.
 type Base struct {
-	Number uint64             `json:"number"` // release that was exported
-	ID     string             `json:"id"`
-	Rows   map[string]BaseRow `json:"rows"`
+	Number uint64             `json:"number"` // number of the exported or last applied release
+	ID     string             `json:"id"`     // id of that release
+	Rows   map[string]BaseRow `json:"rows"`   // by row key
 }
 
-// BaseRow is one row as it was when the tables were exported or last applied.
+// BaseRow is the version and content of one row when the tables were exported
+// or last applied.
 type BaseRow struct {
 	Version uint64          `json:"version"`
 	Data    json.RawMessage `json:"data"`
 }
 
-// errNoBase: the folder has no BaseFile.
+// errNoBase is returned if the folder has no BaseFile.
 var errNoBase = errors.New("no " + BaseFile)
 
+// newBase returns the base of an edit that starts from rel.
 func newBase(rel release.Release) *Base {
 	b := &Base{Number: rel.Number, ID: rel.ID, Rows: map[string]BaseRow{}}
 	for _, r := range rel.Rows {
@@ -40,6 +43,7 @@
 	return b
 }
 
+// readBase reads the BaseFile of dir. The error is errNoBase if there is none.
 func readBase(dir string) (*Base, error) {
 	path := filepath.Join(dir, BaseFile)
 	data, err := os.ReadFile(path)
@@ -56,7 +60,8 @@
 	return b, nil
 }
 
-// write replaces the file as a whole: half a base would look like deleted rows.
+// write replaces the file atomically: rows missing from a partly written base
+// would count as deleted.
 func (b *Base) write(dir string) error {
 	data, err := json.MarshalIndent(b, "", " ")
 	if err != nil {
@@ -72,10 +77,11 @@
 	return nil
 }
 
-// accepted moves the rows of set to their accepted state. Rows that others
-// changed meanwhile keep their old base: the folder still holds their old
-// content, which must not count as an edit made from the newest version.
-func (b *Base) accepted(rel release.Release, set release.ChangeSet) {
+// advance sets the rows of set to their versions in rel, the release that
+// accepted set. Rows that others changed since the base keep their old base
+// version: the folder still contains their old content, which must not count as
+// an edit of the newest version.
+func (b *Base) advance(rel release.Release, set release.ChangeSet) {
 	b.Number, b.ID = rel.Number, rel.ID
 	for _, c := range set.Changes {
 		row, ok := rel.Row(c.Key)
@@ -87,8 +93,9 @@
 	}
 }
 
-// check refuses a base that the platform's releases cannot have come from.
-func (b *Base) check(head release.Release) error {
+// checkAgainst returns an error if the base does not come from the releases of
+// this platform, whose newest one is head.
+func (b *Base) checkAgainst(head release.Release) error {
 	if b.Number > head.Number || (b.Number == head.Number && b.ID != head.ID) {
 		return fmt.Errorf("the tables were exported from release %d (%s), which this platform does not have; export them again", b.Number, b.ID)
 	}
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -15,48 +15,48 @@
 	"bilberrydale/version/table"
 )
 
-// edit is what a folder's tables change, compared with their base.
+// edit is the difference between the tables of a folder and their base.
 type edit struct {
-	dir  string
-	base *Base
-	head release.Release
-	set  release.ChangeSet
+	dir       string
+	base      *Base
+	head      release.Release // newest release of the platform
+	changeSet release.ChangeSet
 }
 
 func (e *Env) publisher() *release.Publisher {
 	return &release.Publisher{Store: e.Store, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 }
 
-// baseFlags say which release an edit was made from when the folder has no
-// base file.
+// baseFlags select the base release of an edit. They are needed when the folder
+// has no base file.
 type baseFlags struct {
-	number int
-	rebase bool
+	releaseNumber int
+	forceRebase   bool
 }
 
 func (f *baseFlags) register(set *settings.Set) {
-	set.Int(&f.number, "base", "release that the tables were edited from; 0: the folder's base file tells", 0, math.MaxInt32)
-	set.Bool(&f.rebase, "force-rebase", "without a base file, take the newest release as the base, whoever changed it")
+	set.Int(&f.releaseNumber, "base", "release from which the tables were edited; 0: read it from the folder's base file", 0, math.MaxInt32)
+	set.Bool(&f.forceRebase, "force-rebase", "without a base file, use the newest release as the base, even if others changed it")
 }
 
-// find returns the base of an edit in dir.
-func (f *baseFlags) find(ctx context.Context, pub *release.Publisher, dir string, head release.Release) (*Base, error) {
-	if f.number > 0 {
-		rel, err := pub.ByNumber(ctx, uint64(f.number))
+// resolve returns the base of an edit in dir. It returns errNoBase if neither a
+// flag nor a base file selects one; the base of the first release is empty.
+func (f *baseFlags) resolve(ctx context.Context, pub *release.Publisher, dir string, head release.Release) (*Base, error) {
+	if f.releaseNumber > 0 {
+		rel, err := pub.ByNumber(ctx, uint64(f.releaseNumber))
 		if err != nil {
 			return nil, fmt.Errorf("--base: %w", err)
 		}
 		return newBase(rel), nil
 	}
 	base, err := readBase(dir)
-	if errors.Is(err, errNoBase) && (f.rebase || head.Number == 0) {
+	if errors.Is(err, errNoBase) && (f.forceRebase || head.Number == 0) {
 		return newBase(head), nil
 	}
 	return base, err
 }
 
-// readEdit compares the tables of dir with the versions that they were made
-// from.
+// readEdit compares the tables of dir with their base, selected by from.
 func (e *Env) readEdit(ctx context.Context, dir string, from baseFlags) (*edit, error) {
 	tables, err := table.ReadDir(dir)
 	if err != nil {
@@ -70,20 +70,20 @@
 	if err != nil {
 		return nil, err
 	}
-	base, err := from.find(ctx, e.publisher(), dir, head)
+	base, err := from.resolve(ctx, e.publisher(), dir, head)
 	if err != nil {
 		return nil, err
 	}
-	if err := base.check(head); err != nil {
+	if err := base.checkAgainst(head); err != nil {
 		return nil, err
 	}
-	out := &edit{dir: dir, base: base, head: head, set: release.ChangeSet{Author: e.Author, Note: e.Note}}
-	out.set.Changes = changes(base, want)
+	out := &edit{dir: dir, base: base, head: head, changeSet: release.ChangeSet{Author: e.Author, Note: e.Note}}
+	out.changeSet.Changes = diffRows(base, want)
 	return out, nil
 }
 
-// changes lists the rows that differ from base, by key.
-func changes(base *Base, want map[string]json.RawMessage) []release.Change {
+// diffRows returns the rows that differ from base, ordered by key.
+func diffRows(base *Base, want map[string]json.RawMessage) []release.Change {
 	var out []release.Change
 	for key, row := range base.Rows {
 		if _, kept := want[key]; !kept {
@@ -92,7 +92,7 @@
 	}
 	for key, data := range want {
 		row, known := base.Rows[key]
-		if known && sameJSON(row.Data, data) {
+		if known && equalJSON(row.Data, data) {
 			continue
 		}
 		out = append(out, release.Change{Key: key, Data: data, BaseVersion: row.Version})
@@ -101,8 +101,9 @@
 	return out
 }
 
-// sameJSON compares without blanks: the base file is indented.
-func sameJSON(a, b json.RawMessage) bool {
+// equalJSON compares two documents without regard to white space, because the
+// base file is indented. Invalid JSON equals nothing.
+func equalJSON(a, b json.RawMessage) bool {
 	var x, y bytes.Buffer
 	if json.Compact(&x, a) != nil || json.Compact(&y, b) != nil {
 		return false
@@ -110,12 +111,13 @@
 	return bytes.Equal(x.Bytes(), y.Bytes())
 }
 
-// conflicts lists the rows of the edit that others changed since its base.
-func (x *edit) conflicts() map[string]release.Row {
+// conflicts returns the newest version of the rows of the edit that others
+// changed since its base, by key.
+func (e *edit) conflicts() map[string]release.Row {
 	out := map[string]release.Row{}
-	for _, c := range x.set.Changes {
-		row, _ := x.head.Row(c.Key)
-		if row.Version != c.BaseVersion && !sameJSON(row.Data, c.Data) {
+	for _, c := range e.changeSet.Changes {
+		row, _ := e.head.Row(c.Key)
+		if row.Version != c.BaseVersion && !equalJSON(row.Data, c.Data) {
 			out[c.Key] = row
 		}
 	}
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -1,6 +1,6 @@
-// Package ctl is the operators' command behind cmd/bilberryctl: a registry of
-// small commands on releases (through the platform) and on running entry hosts
-// (through their admin ports).
+// Package ctl implements cmd/bilberryctl, the operators' command-line tool. Its
+// commands edit the tables and manage releases through the platform, and
+// inspect and control running entry hosts through their admin ports.
 package ctl
 
 import (
@@ -19,27 +19,28 @@
 	"bilberrydale/process/objectapi"
 )
 
-// Env is what commands work on. Tests fill it with in-process parts.
+// Env holds the output, the global options and the clients that commands use.
 type Env struct {
 	Out    io.Writer
-	JSON   bool // print JSON in place of tables
-	Author string
-	Note   string
-	Store  objectapi.Store
+	JSON   bool            // print JSON instead of tables
+	Author string          // recorded as the author of accepted releases
+	Note   string          // recorded with accepted releases
+	Store  objectapi.Store // object API of the platform
 	Admin  *AdminClient
 }
 
-// command is one operators' command. Its name is one word, or a group and a
+// command is one command of the tool. Its name is one word, or a group and a
 // word, such as "quarantine list".
 type command struct {
 	name  string
 	help  string
-	arg   string // name of its one positional argument; empty: none
+	arg   string // name of the positional argument; empty if there is none
 	flags func(*settings.Set)
 	run   func(ctx context.Context, env *Env, arg string) error
 }
 
-// commands makes the registry anew for each parse, because flags hold state.
+// commands returns new commands for each parse, because they hold the values of
+// their flags.
 func commands() []*command {
 	var all []*command
 	for _, group := range [][]*command{tableCommands(), releaseCommands(), hostCommands(), quarantineCommands(), explainCommands()} {
@@ -49,11 +50,11 @@
 }
 
 type options struct {
-	platform, platformToken string
-	hosts, adminToken, ca   string
-	author, note            string
-	json                    bool
-	timeout                 time.Duration
+	platform, platformToken    string
+	hosts, adminToken, adminCA string
+	author, note               string
+	json                       bool
+	timeout                    time.Duration
 }
 
 func (o *options) register(set *settings.Set) {
@@ -61,24 +62,25 @@
 	set.Secret(&o.platformToken, "platform-token", "bearer token for the platform")
 	set.String(&o.hosts, "hosts", "admin addresses of entry hosts, host:port separated by commas", nil)
 	set.Secret(&o.adminToken, "admin-token", "bearer token for the admin ports")
-	set.String(&o.ca, "admin-ca", "PEM file of the authority that signs the admin ports' certificates; set: TLS", nil)
-	set.String(&o.author, "author", "name that a release is accepted under", settings.Required)
-	set.String(&o.note, "note", "why the release is made", nil)
-	set.Bool(&o.json, "json", "print JSON")
+	set.String(&o.adminCA, "admin-ca", "PEM file of the authority that signs the admin ports' certificates; if set, TLS is used", nil)
+	set.String(&o.author, "author", "name recorded as the author of a release", settings.Required)
+	set.String(&o.note, "note", "note recorded with the release, such as the reason for it", nil)
+	set.Bool(&o.json, "json", "print JSON instead of tables")
 	set.Duration(&o.timeout, "timeout", "longest time for one command", time.Second, 10*time.Minute)
 }
 
-func (o *options) env(out io.Writer) (*Env, error) {
-	hosts, err := NewAdminClient(AdminClientOptions{Addresses: splitList(o.hosts), Token: o.adminToken, CAFile: o.ca})
+func (o *options) newEnv(out io.Writer) (*Env, error) {
+	admin, err := NewAdminClient(AdminClientOptions{Addresses: splitList(o.hosts), Token: o.adminToken, CAFile: o.adminCA})
 	if err != nil {
 		return nil, err
 	}
 	return &Env{
-		Out: out, JSON: o.json, Author: o.author, Note: o.note, Admin: hosts,
+		Out: out, JSON: o.json, Author: o.author, Note: o.note, Admin: admin,
 		Store: objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(o.platform, o.platformToken)), objectapi.ClientOptions{}),
 	}, nil
 }
 
+// splitList splits a comma-separated list and drops empty items.
 func splitList(text string) []string {
 	var out []string
 	for _, part := range strings.Split(text, ",") {
@@ -89,86 +91,91 @@
 	return out
 }
 
-// Run parses args and runs one command.
+// Run parses args and runs the command that they name, within its timeout. The
+// output goes to out.
 func Run(ctx context.Context, args []string, out io.Writer) error {
 	author := os.Getenv("USER")
 	if author == "" {
 		author = "unknown"
 	}
 	o := &options{platform: "http://127.0.0.1:8090", hosts: "127.0.0.1:8081", author: author, timeout: time.Minute}
-	chosen, arg, err := parse(o, args)
+	cmd, arg, err := parse(o, args)
 	if err != nil {
 		return err
 	}
-	env, err := o.env(out)
+	env, err := o.newEnv(out)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, o.timeout)
 	defer cancel()
-	return chosen.run(ctx, env, arg)
+	return cmd.run(ctx, env, arg)
 }
 
-// attached is a command with its place in the parser.
-type attached struct {
+// boundCommand is a command with its subcommand in the parser and the value of
+// its positional argument.
+type boundCommand struct {
 	*command
-	sub *flaggy.Subcommand
-	arg string
+	subcommand *flaggy.Subcommand
+	argument   string
 }
 
+// parse returns the command that args name and its positional argument.
 func parse(o *options, args []string) (*command, string, error) {
 	p := flaggy.NewParser("bilberryctl")
 	p.Version = settings.Version()
-	p.Description = "Edits the tables and looks after entry hosts."
+	p.Description = "Edits the tables and manages entry hosts."
 	set := settings.New(p, "BILBERRYCTL")
 	o.register(set)
-	list, sets := attach(p)
+	list, sets := attachCommands(p)
 	if err := settings.Parse(p, args, append(sets, set)...); err != nil {
 		return nil, "", err
 	}
-	for _, a := range list {
-		if !a.sub.Used {
+	for _, b := range list {
+		if !b.subcommand.Used {
 			continue
 		}
-		if a.command.arg != "" && a.arg == "" {
-			return nil, "", fmt.Errorf("%s: name the %s", a.name, a.command.arg)
+		if b.command.arg != "" && b.argument == "" {
+			return nil, "", fmt.Errorf("%s: name the %s", b.name, b.command.arg)
 		}
-		return a.command, a.arg, nil
+		return b.command, b.argument, nil
 	}
 	return nil, "", errors.New("name a command: " + strings.Join(commandNames(), ", ") + "; see --help")
 }
 
-func attach(p *flaggy.Parser) ([]*attached, []*settings.Set) {
-	var list []*attached
+// attachCommands adds all commands to the parser. It returns them with the
+// settings of their flags.
+func attachCommands(p *flaggy.Parser) ([]*boundCommand, []*settings.Set) {
+	var list []*boundCommand
 	var sets []*settings.Set
 	groups := map[string]*flaggy.Subcommand{}
 	for _, c := range commands() {
-		a := &attached{command: c}
+		b := &boundCommand{command: c}
 		group, word, nested := strings.Cut(c.name, " ")
 		if !nested {
 			word = group
 		}
-		a.sub = flaggy.NewSubcommand(word)
-		a.sub.Description = c.help
+		b.subcommand = flaggy.NewSubcommand(word)
+		b.subcommand.Description = c.help
 		if c.arg != "" {
-			a.sub.AddPositionalValue(&a.arg, c.arg, 1, false, c.arg)
+			b.subcommand.AddPositionalValue(&b.argument, c.arg, 1, false, c.arg)
 		}
 		if c.flags != nil {
-			set := settings.New(a.sub, "BILBERRYCTL")
+			set := settings.New(b.subcommand, "BILBERRYCTL")
 			c.flags(set)
 			sets = append(sets, set)
 		}
 		if !nested {
-			p.AttachSubcommand(a.sub, 1)
+			p.AttachSubcommand(b.subcommand, 1)
 		} else {
 			if groups[group] == nil {
 				groups[group] = flaggy.NewSubcommand(group)
 				groups[group].Description = "commands on " + group
 				p.AttachSubcommand(groups[group], 1)
 			}
-			groups[group].AttachSubcommand(a.sub, 1)
+			groups[group].AttachSubcommand(b.subcommand, 1)
 		}
-		list = append(list, a)
+		list = append(list, b)
 	}
 	return list, sets
 }
--- a/internal/ctl/ctl_test.go
+++ b/internal/ctl/ctl_test.go
@@ -16,7 +16,7 @@
 	"bilberrydale/internal/standin/platform"
 )
 
-// operator runs commands against one platform, as a person would.
+// operator runs commands as one author against one platform.
 type operator struct {
 	t        *testing.T
 	name     string
@@ -30,7 +30,7 @@
 	return &operator{t: t, name: "ada", platform: srv.URL, hosts: "127.0.0.1:1"}
 }
 
-func (o *operator) as(name string) *operator {
+func (o *operator) withName(name string) *operator {
 	other := *o
 	other.name = name
 	return &other
@@ -43,22 +43,22 @@
 	return out.String(), err
 }
 
-func (o *operator) must(args ...string) string {
+func (o *operator) mustRun(args ...string) string {
 	o.t.Helper()
 	out, err := o.run(args...)
 	NewWithT(o.t).Expect(err).NotTo(HaveOccurred(), strings.Join(args, " "))
 	return out
 }
 
-// example copies an example's tables into a folder of its own.
-func example(t *testing.T) string {
+// copyExample copies the example tables into a temporary folder.
+func copyExample(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	NewWithT(t).Expect(os.CopyFS(dir, os.DirFS("../../examples/kalahari"))).To(Succeed())
 	return dir
 }
 
-func replace(t *testing.T, dir, file, old, replacement string) {
+func replaceInFile(t *testing.T, dir, file, old, replacement string) {
 	t.Helper()
 	g := NewWithT(t)
 	path := filepath.Join(dir, file)
@@ -68,122 +68,122 @@
 	g.Expect(os.WriteFile(path, []byte(strings.Replace(string(data), old, replacement, 1)), 0o600)).To(Succeed())
 }
 
-// Two operators export the same release and both change the same row. The
-// first apply is accepted. The second would undo it, so it has to be refused
-// whole, naming the row and who changed it; an edit of another row passes.
-func TestTwoOperatorsCannotUndoEachOther(t *testing.T) {
+// Two operators export the same release and change the same row. The second
+// apply would undo the first one, so it must be refused as a whole and name the
+// row and the author of the change. An edit of other rows is accepted.
+func TestConflictingEditIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	ada.must("apply", example(t))
-	bo := ada.as("bo")
+	ada.mustRun("apply", copyExample(t))
+	bo := ada.withName("bo")
 	first, second := t.TempDir(), t.TempDir()
-	ada.must("export", first)
-	bo.must("export", second)
+	ada.mustRun("export", first)
+	bo.mustRun("export", second)
 
-	replace(t, first, "routes.yaml", "worth: 8", "worth: 9")
-	replace(t, second, "routes.yaml", "worth: 8", "worth: 7")
-	replace(t, second, "pools.yaml", "slots: 16", "slots: 17")
-	ada.must("apply", first)
+	replaceInFile(t, first, "routes.yaml", "worth: 8", "worth: 9")
+	replaceInFile(t, second, "routes.yaml", "worth: 8", "worth: 7")
+	replaceInFile(t, second, "pools.yaml", "slots: 16", "slots: 17")
+	ada.mustRun("apply", first)
 	out, err := bo.run("diff", second)
 	g.Expect(err).To(MatchError(ContainSubstring("1 rows conflict")))
 	g.Expect(out).To(ContainSubstring(`changed meanwhile by "ada" in release 2`))
 	_, err = bo.run("apply", second)
 	g.Expect(err).To(MatchError(And(ContainSubstring("nothing was changed"), ContainSubstring("routes/draft"), ContainSubstring("ada"))))
 
-	replace(t, second, "routes.yaml", "worth: 7", "worth: 8")
-	g.Expect(bo.must("apply", second)).To(ContainSubstring("release 3 accepted: 1 rows changed"))
+	replaceInFile(t, second, "routes.yaml", "worth: 7", "worth: 8")
+	g.Expect(bo.mustRun("apply", second)).To(ContainSubstring("release 3 accepted: 1 rows changed"))
 	fresh := t.TempDir()
-	ada.must("export", fresh)
+	ada.mustRun("export", fresh)
 	data, err := os.ReadFile(filepath.Join(fresh, "routes.yaml"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(data)).To(ContainSubstring("worth: 9"))
 }
 
-// A folder that was applied once still holds the old rows of others. Applying
-// it again must not count those as edits.
-func TestApplyAgainLeavesOthersRowsAlone(t *testing.T) {
+// A folder that was applied still contains old versions of rows that others
+// changed. The next apply must not count those as edits and revert them.
+func TestReapplyDoesNotRevertRowsOfOthers(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	dir := example(t)
-	ada.must("apply", dir)
+	dir := copyExample(t)
+	ada.mustRun("apply", dir)
 	other := t.TempDir()
-	ada.must("export", other)
-	replace(t, other, "routes.yaml", "worth: 8", "worth: 9")
-	ada.must("apply", other)
+	ada.mustRun("export", other)
+	replaceInFile(t, other, "routes.yaml", "worth: 8", "worth: 9")
+	ada.mustRun("apply", other)
 
-	replace(t, dir, "pools.yaml", "slots: 16", "slots: 17")
-	g.Expect(ada.must("apply", dir)).To(ContainSubstring("1 other rows in the folder are older"))
-	g.Expect(ada.must("apply", dir)).To(ContainSubstring("nothing to change"))
+	replaceInFile(t, dir, "pools.yaml", "slots: 16", "slots: 17")
+	g.Expect(ada.mustRun("apply", dir)).To(ContainSubstring("1 other rows in the folder are older"))
+	g.Expect(ada.mustRun("apply", dir)).To(ContainSubstring("nothing to change"))
 }
 
-func TestApplyWithoutABaseIsRefused(t *testing.T) {
+func TestApplyWithoutBaseIsRefused(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	ada.must("apply", example(t))
-	dir := example(t)
-	replace(t, dir, "routes.yaml", "worth: 8", "worth: 9")
+	ada.mustRun("apply", copyExample(t))
+	dir := copyExample(t)
+	replaceInFile(t, dir, "routes.yaml", "worth: 8", "worth: 9")
 	_, err := ada.run("apply", dir)
 	g.Expect(err).To(MatchError(ContainSubstring("--force-rebase")))
-	g.Expect(ada.must("apply", dir, "--force-rebase")).To(ContainSubstring("1 rows changed"))
+	g.Expect(ada.mustRun("apply", dir, "--force-rebase")).To(ContainSubstring("1 rows changed"))
 }
 
-// Tables kept under version control have no base file; the operator names the
-// release they were made from, and a row changed since then conflicts.
-func TestApplyFromANamedRelease(t *testing.T) {
+// Tables in version control have no base file. The operator names the release
+// from which they were edited; a row that was changed since then conflicts.
+func TestApplyWithBaseFlag(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	kept, other := example(t), example(t)
-	ada.must("apply", other)
-	replace(t, other, "routes.yaml", "worth: 8", "worth: 9")
-	ada.must("apply", other)
+	kept, other := copyExample(t), copyExample(t)
+	ada.mustRun("apply", other)
+	replaceInFile(t, other, "routes.yaml", "worth: 8", "worth: 9")
+	ada.mustRun("apply", other)
 
-	replace(t, kept, "pools.yaml", "slots: 16", "slots: 17")
-	replace(t, kept, "routes.yaml", "worth: 8", "worth: 7")
+	replaceInFile(t, kept, "pools.yaml", "slots: 16", "slots: 17")
+	replaceInFile(t, kept, "routes.yaml", "worth: 8", "worth: 7")
 	_, err := ada.run("apply", kept, "--base", "1")
 	g.Expect(err).To(MatchError(And(ContainSubstring("nothing was changed"), ContainSubstring("routes/draft"))))
-	replace(t, kept, "routes.yaml", "worth: 7", "worth: 8")
-	g.Expect(ada.must("apply", kept, "--base", "1")).To(ContainSubstring("release 3 accepted: 1 rows changed"))
+	replaceInFile(t, kept, "routes.yaml", "worth: 7", "worth: 8")
+	g.Expect(ada.mustRun("apply", kept, "--base", "1")).To(ContainSubstring("release 3 accepted: 1 rows changed"))
 	_, err = ada.run("diff", kept, "--base", "9")
 	g.Expect(err).To(MatchError(ContainSubstring("--base")))
 }
 
-func TestBaseOfAnotherPlatformIsRefused(t *testing.T) {
-	dir := example(t)
-	newOperator(t).must("apply", dir)
+func TestBaseOfOtherPlatformIsRefused(t *testing.T) {
+	dir := copyExample(t)
+	newOperator(t).mustRun("apply", dir)
 	_, err := newOperator(t).run("apply", dir)
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring("which this platform does not have")))
 }
 
-func TestExportKeepsEditsThatAreNotApplied(t *testing.T) {
+func TestExportRefusesToOverwriteUnappliedEdits(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	dir := example(t)
-	ada.must("apply", dir)
-	ada.must("export", dir)
-	replace(t, dir, "routes.yaml", "worth: 8", "worth: 9")
+	dir := copyExample(t)
+	ada.mustRun("apply", dir)
+	ada.mustRun("export", dir)
+	replaceInFile(t, dir, "routes.yaml", "worth: 8", "worth: 9")
 	_, err := ada.run("export", dir)
 	g.Expect(err).To(MatchError(ContainSubstring("1 edited rows")))
 }
 
-func TestDiffNamesFields(t *testing.T) {
+func TestDiffListsChangedFields(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	dir := example(t)
-	ada.must("apply", dir)
-	replace(t, dir, "routes.yaml", "worth: 8", "worth: 9")
-	replace(t, dir, "pools.yaml", "      - {name: encoder-1, address: '127.0.0.1:18201', domain: khomas-1, region: khomas}\n", "")
-	out := ada.must("diff", dir)
+	dir := copyExample(t)
+	ada.mustRun("apply", dir)
+	replaceInFile(t, dir, "routes.yaml", "worth: 8", "worth: 9")
+	replaceInFile(t, dir, "pools.yaml", "      - {name: encoder-1, address: '127.0.0.1:18201', domain: khomas-1, region: khomas}\n", "")
+	out := ada.mustRun("diff", dir)
 	g.Expect(out).To(ContainSubstring("routes/draft\n  ~ worth: 8 -> 9\n"))
 	g.Expect(out).To(ContainSubstring(`- servers[encoder-1].address: "127.0.0.1:18201"`))
 	g.Expect(out).NotTo(ContainSubstring("encoder-2"))
-	g.Expect(ada.must("diff", dir, "--json")).To(ContainSubstring(`"field": "worth"`))
+	g.Expect(ada.mustRun("diff", dir, "--json")).To(ContainSubstring(`"field": "worth"`))
 }
 
-func TestValidateReportsEveryFault(t *testing.T) {
+func TestValidateReportsAllFaults(t *testing.T) {
 	g := NewWithT(t)
-	dir := example(t)
-	replace(t, dir, "routes.yaml", "class: standard", "class: fast")
-	replace(t, dir, "pools.yaml", "slots: 32", "slots: none")
+	dir := copyExample(t)
+	replaceInFile(t, dir, "routes.yaml", "class: standard", "class: fast")
+	replaceInFile(t, dir, "pools.yaml", "slots: 32", "slots: none")
 	ada := newOperator(t)
 	_, err := ada.run("validate", dir)
 	g.Expect(err).To(MatchError(And(ContainSubstring("routes.yaml:"), ContainSubstring("pools.yaml:"))))
@@ -192,8 +192,8 @@
 	g.Expect(out).To(ContainSubstring(`"field": "class"`))
 }
 
-// host runs an entry host in this process.
-func (o *operator) host(name string) string {
+// startHost runs an entry host in this process and returns its admin address.
+func (o *operator) startHost(name string) string {
 	o.t.Helper()
 	g := NewWithT(o.t)
 	opts := entryhost.DefaultOptions()
@@ -212,22 +212,22 @@
 	return admin
 }
 
-func TestStatusDrainAndQuarantineOfRunningHosts(t *testing.T) {
+func TestCommandsOnRunningHosts(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	ada.must("apply", example(t))
-	a, b := ada.host("e1"), ada.host("e2")
+	ada.mustRun("apply", copyExample(t))
+	a, b := ada.startHost("e1"), ada.startHost("e2")
 	ada.hosts = a + "," + b
-	g.Expect(ada.must("status", "--wait", "10s")).To(ContainSubstring("e2"))
-	g.Expect(ada.must("status", "--json")).To(ContainSubstring(`"in_force"`))
-	g.Expect(ada.must("peers")).To(HavePrefix("FROM"))
-	g.Expect(ada.must("quarantine", "list", "--json")).To(Equal("[]\n"))
+	g.Expect(ada.mustRun("status", "--wait", "10s")).To(ContainSubstring("e2"))
+	g.Expect(ada.mustRun("status", "--json")).To(ContainSubstring(`"in_force"`))
+	g.Expect(ada.mustRun("peers")).To(HavePrefix("FROM"))
+	g.Expect(ada.mustRun("quarantine", "list", "--json")).To(Equal("[]\n"))
 	_, err := ada.run("quarantine", "lift", "00000000000000ff")
 	g.Expect(err).To(MatchError(ContainSubstring("no entry host has")))
 	_, err = ada.run("quarantine", "lift", "xyz")
 	g.Expect(err).To(MatchError(ContainSubstring("not a fingerprint")))
 
-	g.Expect(ada.must("explain", "/v1/drafts")).To(And(ContainSubstring("route draft"), ContainSubstring("recipe-12")))
+	g.Expect(ada.mustRun("explain", "/v1/drafts")).To(And(ContainSubstring("route draft"), ContainSubstring("recipe-12")))
 	_, err = ada.run("explain", "/nowhere")
 	g.Expect(err).To(MatchError(ContainSubstring("has no route for POST /nowhere")))
 
@@ -235,64 +235,64 @@
 	g.Expect(err).To(MatchError(ContainSubstring("name one")))
 	one := *ada
 	one.hosts = a
-	one.must("drain")
-	g.Expect(one.must("status", "--json")).To(ContainSubstring(`"draining": true`))
+	one.mustRun("drain")
+	g.Expect(one.mustRun("status", "--json")).To(ContainSubstring(`"draining": true`))
 
 	ada.hosts = a + ",127.0.0.1:1"
 	_, err = ada.run("status")
-	g.Expect(err).To(MatchError("1 of 2 entry hosts do not answer"))
+	g.Expect(err).To(MatchError("1 of 2 entry hosts do not respond"))
 }
 
 func TestStatusFailsWhenHostsDiffer(t *testing.T) {
 	g := NewWithT(t)
-	g.Expect(disagreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 1, Hash: "a"}})).To(Succeed())
-	g.Expect(disagreement([]HostStatus{{Release: 0}, {Release: 0}})).To(HaveOccurred())
-	g.Expect(disagreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 2, Hash: "b"}})).To(HaveOccurred())
-	g.Expect(disagreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 1, Hash: "b"}})).To(HaveOccurred())
+	g.Expect(checkAgreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 1, Hash: "a"}})).To(Succeed())
+	g.Expect(checkAgreement([]HostStatus{{Release: 0}, {Release: 0}})).To(HaveOccurred())
+	g.Expect(checkAgreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 2, Hash: "b"}})).To(HaveOccurred())
+	g.Expect(checkAgreement([]HostStatus{{Release: 1, Hash: "a"}, {Release: 1, Hash: "b"}})).To(HaveOccurred())
 }
 
 func TestHistoryAndRollback(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	dir := example(t)
-	ada.must("apply", dir, "--note", "first")
-	replace(t, dir, "routes.yaml", "worth: 8", "worth: 9")
-	ada.as("bo").must("apply", dir)
-	g.Expect(ada.must("rollback", "1")).To(ContainSubstring("release 3 accepted with the rows of release 1"))
-	g.Expect(ada.must("history")).To(MatchRegexp(`(?s)3 .*ada.*rollback to release 1.*2 .*bo.*1 .*ada.*first`))
+	dir := copyExample(t)
+	ada.mustRun("apply", dir, "--note", "first")
+	replaceInFile(t, dir, "routes.yaml", "worth: 8", "worth: 9")
+	ada.withName("bo").mustRun("apply", dir)
+	g.Expect(ada.mustRun("rollback", "1")).To(ContainSubstring("release 3 accepted with the rows of release 1"))
+	g.Expect(ada.mustRun("history")).To(MatchRegexp(`(?s)3 .*ada.*rollback to release 1.*2 .*bo.*1 .*ada.*first`))
 	_, err := ada.run("rollback", "7")
 	g.Expect(err).To(MatchError(ContainSubstring("nothing was changed")))
 	_, err = ada.run("rollback", "one")
 	g.Expect(err).To(MatchError(ContainSubstring("not a release number")))
 }
 
-// The platform was restored to a state before the newest release, while an
-// entry host still has that release in force. The operator takes its tables;
-// they are accepted under a number above all, with the content unchanged.
-func TestRecoverTakesTheTablesOfAHost(t *testing.T) {
+// The platform is restored to a state before the newest release, while an entry
+// host still has that release in force. Recover must accept the tables of the
+// host unchanged, under a number above all others.
+func TestRecoverPublishesTablesOfHost(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	dir := example(t)
-	ada.must("apply", dir)
-	replace(t, dir, "routes.yaml", "worth: 8", "worth: 9")
-	ada.must("apply", dir)
-	host := ada.host("e1")
+	dir := copyExample(t)
+	ada.mustRun("apply", dir)
+	replaceInFile(t, dir, "routes.yaml", "worth: 8", "worth: 9")
+	ada.mustRun("apply", dir)
+	host := ada.startHost("e1")
 	ada.hosts = host
-	ada.must("status", "--wait", "10s")
+	ada.mustRun("status", "--wait", "10s")
 
 	restored := newOperator(t)
-	restored.must("apply", example(t))
+	restored.mustRun("apply", copyExample(t))
 	_, err := restored.run("recover", host)
 	g.Expect(err).To(MatchError(ContainSubstring("nothing was changed")))
-	g.Expect(restored.must("recover", host, "--confirm")).To(ContainSubstring("release 3 accepted"))
+	g.Expect(restored.mustRun("recover", host, "--confirm")).To(ContainSubstring("release 3 accepted"))
 	out := t.TempDir()
-	restored.must("export", out)
+	restored.mustRun("export", out)
 	data, err := os.ReadFile(filepath.Join(out, "routes.yaml"))
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(data)).To(ContainSubstring("worth: 9"))
 }
 
-func TestUnknownCommandAndMissingArgumentNameTheFix(t *testing.T) {
+func TestUnknownCommandAndMissingArgument(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
 	_, err := ada.run("aply", ".")
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -12,14 +12,15 @@
 	"bilberrydale/process/release"
 )
 
-// FieldChange is one field that an edit changes. Old or New is empty where
-// the field is added or removed.
+// FieldChange is one field that an edit changes. Old is empty if the field is
+// added, New if it is removed.
 type FieldChange struct {
 	Row   string `json:"row"`
 	Field string `json:"field"`
 	Old   string `json:"old,omitempty"`
 	New   string `json:"new,omitempty"`
-	// Conflict names who changed the row since the edit's base.
+	// Conflict is the author and release of a change to the row since the
+	// edit's base; empty if there is none.
 	Conflict string `json:"conflict,omitempty"`
 }
 
@@ -30,53 +31,54 @@
 }
 
 func (c *diffCommand) run(ctx context.Context, env *Env, dir string) error {
-	x, err := env.readEdit(ctx, dir, c.from)
+	e, err := env.readEdit(ctx, dir, c.from)
 	if errors.Is(err, errNoBase) {
 		return fmt.Errorf("%s: %w; export into a folder and edit there, name the release with --base, or use --force-rebase to compare with the newest release", dir, err)
 	}
 	if err != nil {
 		return err
 	}
-	fields, err := x.fields()
+	fields, err := e.fieldChanges()
 	if err != nil {
 		return err
 	}
 	if env.JSON {
 		return env.print(fields, nil, nil)
 	}
-	printFields(env, fields)
-	if n := len(x.conflicts()); n > 0 {
-		return fmt.Errorf("%d rows conflict: others changed them since release %d", n, x.base.Number)
+	printFieldChanges(env, fields)
+	if n := len(e.conflicts()); n > 0 {
+		return fmt.Errorf("%d rows conflict: others changed them since release %d", n, e.base.Number)
 	}
 	return nil
 }
 
-func printFields(env *Env, fields []FieldChange) {
+func printFieldChanges(env *Env, fields []FieldChange) {
 	row := ""
 	for _, f := range fields {
 		if f.Row != row {
 			row = f.Row
-			env.say("%s", row)
+			env.printLine("%s", row)
 			if f.Conflict != "" {
-				env.say("  ! changed meanwhile by %s", f.Conflict)
+				env.printLine("  ! changed meanwhile by %s", f.Conflict)
 			}
 		}
 		switch {
 		case f.Old == "":
-			env.say("  + %s: %s", f.Field, f.New)
+			env.printLine("  + %s: %s", f.Field, f.New)
 		case f.New == "":
-			env.say("  - %s: %s", f.Field, f.Old)
+			env.printLine("  - %s: %s", f.Field, f.Old)
 		default:
-			env.say("  ~ %s: %s -> %s", f.Field, f.Old, f.New)
+			env.printLine("  ~ %s: %s -> %s", f.Field, f.Old, f.New)
 		}
 	}
 }
 
-func (x *edit) fields() ([]FieldChange, error) {
-	conflicts := x.conflicts()
+// fieldChanges lists the changed fields of the edit, by row and field.
+func (e *edit) fieldChanges() ([]FieldChange, error) {
+	conflicts := e.conflicts()
 	out := []FieldChange{}
-	for _, c := range x.set.Changes {
-		fields, err := fieldChanges(c, x.base.Rows[c.Key].Data)
+	for _, c := range e.changeSet.Changes {
+		fields, err := rowFieldChanges(c, e.base.Rows[c.Key].Data)
 		if err != nil {
 			return nil, err
 		}
@@ -90,12 +92,12 @@
 	return out, nil
 }
 
-func fieldChanges(c release.Change, old json.RawMessage) ([]FieldChange, error) {
-	before, err := flatten(old)
+func rowFieldChanges(c release.Change, old json.RawMessage) ([]FieldChange, error) {
+	before, err := flattenRow(old)
 	if err != nil {
 		return nil, fmt.Errorf("row %s: %w", c.Key, err)
 	}
-	after, err := flatten(c.Data)
+	after, err := flattenRow(c.Data)
 	if err != nil {
 		return nil, fmt.Errorf("row %s: %w", c.Key, err)
 	}
@@ -114,9 +116,10 @@
 	return out, nil
 }
 
-// flatten gives the text of each field of a row by its path. List items with a
-// name go by it, so that an inserted item does not change all later ones.
-func flatten(data json.RawMessage) (map[string]string, error) {
+// flattenRow returns the JSON text of each field of a row by its path. In paths,
+// list items with a name are identified by it, so that an inserted item does
+// not change the paths of all later ones.
+func flattenRow(data json.RawMessage) (map[string]string, error) {
 	out := map[string]string{}
 	if len(data) == 0 {
 		return out, nil
@@ -137,7 +140,7 @@
 		}
 	case []any:
 		for i, item := range v {
-			flattenValue(out, fmt.Sprintf("%s[%s]", path, itemName(i, item)), item)
+			flattenValue(out, fmt.Sprintf("%s[%s]", path, itemLabel(i, item)), item)
 		}
 	default:
 		text, _ := json.Marshal(v)
@@ -145,7 +148,8 @@
 	}
 }
 
-func itemName(i int, item any) string {
+// itemLabel returns the name of a list item, or its index if it has none.
+func itemLabel(i int, item any) string {
 	if m, ok := item.(map[string]any); ok {
 		if name, ok := m["name"].(string); ok && name != "" {
 			return name
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -14,10 +14,10 @@
 )
 
 func explainCommands() []*command {
-	e := &explainCommand{method: http.MethodPost}
+	explain := &explainCommand{method: http.MethodPost}
 	return []*command{{
-		name: "explain", help: "show which route, stages, pools and backend servers a request would get, and why",
-		arg: "path", flags: e.flags, run: e.run,
+		name: "explain", help: "show the route, stages, pools and backend servers that a request would get, and why",
+		arg: "path", flags: explain.flags, run: explain.run,
 	}}
 }
 
@@ -29,7 +29,8 @@
 	set.String(&c.headers, "headers", "headers of the request, Name:value separated by commas", nil)
 }
 
-// run asks the first entry host alone: each answers from its own view.
+// run queries only the first entry host, because each one decides from its own
+// state.
 func (c *explainCommand) run(ctx context.Context, env *Env, path string) error {
 	if len(env.Admin.opts.Addresses) == 0 {
 		return errors.New("name the entry host with --hosts")
@@ -49,22 +50,25 @@
 	if doc.Route == "" {
 		return fmt.Errorf("%s: release %d has no route for %s %s", addr, doc.Release, c.method, path)
 	}
-	env.say("release %d, route %s (%s): %s", doc.Release, doc.Route, doc.Class, verdictText(doc.Decision))
-	return env.print(doc, []string{"STAGE", "POOL", "SERVER", "TIER", "LOAD", "STATE", "CHOICE"}, planRows(doc.Stages))
+	env.printLine("release %d, route %s (%s): %s", doc.Release, doc.Route, doc.Class, formatDecision(doc.Decision))
+	return env.print(doc, []string{"STAGE", "POOL", "SERVER", "TIER", "LOAD", "STATE", "CHOICE"}, candidateRows(doc.Stages))
 }
 
-func verdictText(v admission.Decision) string {
+// formatDecision describes an admission decision in one line.
+func formatDecision(v admission.Decision) string {
 	text := fmt.Sprintf("%v, expected %s of %s left", v.Reason, v.ExpectedDuration, v.Remaining)
 	if v.Pool != "" {
-		text += ", decided by pool " + v.Pool
+		text += ", limited by pool " + v.Pool
 	}
 	if v.RetryAfter > 0 {
-		text += ", come back in " + v.RetryAfter.String()
+		text += ", retry after " + v.RetryAfter.String()
 	}
 	return text
 }
 
-func planRows(stages []entryhost.StagePlan) [][]string {
+// candidateRows returns one table row for each candidate server and one for each
+// stage without a selection.
+func candidateRows(stages []entryhost.StagePlan) [][]string {
 	var rows [][]string
 	for _, st := range stages {
 		if st.Error != "" {
--- a/internal/ctl/hosts.go
+++ b/internal/ctl/hosts.go
@@ -16,14 +16,14 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// HostsOptions configure the client of the admin ports.
+// AdminClientOptions configure the client of the admin ports.
 type AdminClientOptions struct {
 	Addresses []string // host:port
-	Token     string
-	CAFile    string // PEM file; set: TLS
+	Token     string   // bearer token; empty: none is sent
+	CAFile    string   // PEM file of the CA; if set, TLS is used
 }
 
-// Hosts calls the admin ports of entry hosts.
+// AdminClient calls the admin ports of entry hosts.
 type AdminClient struct {
 	opts   AdminClientOptions
 	scheme string
@@ -31,17 +31,19 @@
 }
 
 const (
-	hostTimeout    = 5 * time.Second
-	maxAdminAnswer = 64 << 20
+	callTimeout      = 5 * time.Second // of one admin call
+	maxResponseBytes = 64 << 20        // longer responses are truncated and do not decode
 )
 
-// errNoEndpoint: the entry host answers, but does not serve the path.
-var errNoEndpoint = errors.New("this entry host does not serve that admin call; it may run an older build")
+// errUnsupportedCall is returned if the entry host responds, but does not serve
+// the path.
+var errUnsupportedCall = errors.New("the entry host does not support this admin call; it may run an older build")
 
-// NewHosts returns a client for opts.Addresses.
+// NewAdminClient returns a client of the entry hosts at opts.Addresses. The error
+// is that of reading the CA file.
 func NewAdminClient(opts AdminClientOptions) (*AdminClient, error) {
 	tr := &http.Transport{Proxy: nil}
-	h := &AdminClient{opts: opts, scheme: "http", client: &http.Client{Timeout: hostTimeout, Transport: tr}}
+	h := &AdminClient{opts: opts, scheme: "http", client: &http.Client{Timeout: callTimeout, Transport: tr}}
 	if opts.CAFile == "" {
 		return h, nil
 	}
@@ -58,7 +60,7 @@
 	return h, nil
 }
 
-// statusError is an admin call that the entry host refused.
+// statusError is the error of an admin call that the entry host refused.
 type statusError struct {
 	status int
 	text   string
@@ -67,19 +69,20 @@
 // Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.text) }
 
-// call sends one admin call to one entry host; in and out may be nil.
+// call sends one admin call to the entry host at addr. It sends in as JSON and
+// decodes the response into out; both may be nil.
 func (h *AdminClient) call(ctx context.Context, method, addr, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		data, err := json.Marshal(in)
 		if err != nil {
-			return fmt.Errorf("encode call: %w", err)
+			return fmt.Errorf("encode request: %w", err)
 		}
 		body = data
 	}
 	req, err := http.NewRequestWithContext(ctx, method, h.scheme+"://"+addr+path, bytes.NewReader(body))
 	if err != nil {
-		return fmt.Errorf("build call: %w", err)
+		return fmt.Errorf("build request: %w", err)
 	}
 	if h.opts.Token != "" {
 		req.Header.Set("Authorization", "Bearer "+h.opts.Token)
@@ -89,46 +92,49 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAdminAnswer))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return fmt.Errorf("read answer: %w", err)
+		return fmt.Errorf("read response: %w", err)
 	}
-	return decodeAnswer(resp.StatusCode, data, out)
+	return decodeResponse(resp.StatusCode, data, out)
 }
 
-func decodeAnswer(status int, data []byte, out any) error {
+// decodeResponse decodes a successful response into out and returns an error for
+// all others.
+func decodeResponse(status int, data []byte, out any) error {
 	switch {
 	case status == http.StatusUnauthorized:
 		return errors.New("the admin token is missing or wrong; set --admin-token")
 	case status == http.StatusNotFound && bytes.HasPrefix(data, []byte("404 page not found")):
-		return errNoEndpoint
+		return errUnsupportedCall
 	case status >= http.StatusMultipleChoices:
 		return &statusError{status, string(bytes.TrimSpace(data))}
 	case out == nil:
 		return nil
 	}
 	if err := json.Unmarshal(data, out); err != nil {
-		return fmt.Errorf("decode answer: %w", err)
+		return fmt.Errorf("decode response: %w", err)
 	}
 	return nil
 }
 
-// answer is what one entry host said.
-type answer[T any] struct {
+// hostResult is the result of a call to one entry host.
+type hostResult[T any] struct {
 	addr  string
 	value T
 	err   error
 }
 
-// each calls every entry host side by side and keeps their order.
-func each[T any](ctx context.Context, h *AdminClient, call func(ctx context.Context, addr string) (T, error)) []answer[T] {
-	out := make([]answer[T], len(h.opts.Addresses))
+// callEach calls all entry hosts concurrently and returns the results in the
+// order of their addresses.
+func callEach[T any](ctx context.Context, h *AdminClient, call func(ctx context.Context, addr string) (T, error)) []hostResult[T] {
+	out := make([]hostResult[T], len(h.opts.Addresses))
 	var g errgroup.Group
 	for i, addr := range h.opts.Addresses {
 		g.Go(func() error {
 			v, err := call(ctx, addr)
-			out[i] = answer[T]{addr, v, err}
-			return nil // one silent host must not hide the others
+			out[i] = hostResult[T]{addr, v, err}
+			return nil // an unresponsive host must not hide the results of the others
 		})
 	}
 	_ = g.Wait()
--- a/internal/ctl/hosts_test.go
+++ b/internal/ctl/hosts_test.go
@@ -11,8 +11,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// adminPort is an admin port with TLS and a token; it serves no explain.
-func adminPort(t *testing.T) (addr, ca string) {
+// startAdminPort serves an admin port with TLS and a token, without /explain.
+func startAdminPort(t *testing.T) (addr, ca string) {
 	t.Helper()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /status", func(w http.ResponseWriter, _ *http.Request) {
@@ -35,23 +35,23 @@
 	return srv.Listener.Addr().String(), ca
 }
 
-func TestAdminCallsOverTLSWithAToken(t *testing.T) {
+func TestAdminCallsWithTLSAndToken(t *testing.T) {
 	g := NewWithT(t)
 	ada := newOperator(t)
-	addr, ca := adminPort(t)
+	addr, ca := startAdminPort(t)
 	ada.hosts = addr
 	out, err := ada.run("status", "--admin-ca", ca, "--admin-token", "open")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(out).To(And(ContainSubstring("e1"), ContainSubstring("the platform is behind")))
 
 	out, err = ada.run("status", "--admin-ca", ca, "--admin-token", "hush")
-	g.Expect(err).To(MatchError("1 of 1 entry hosts do not answer"))
+	g.Expect(err).To(MatchError("1 of 1 entry hosts do not respond"))
 	g.Expect(out).To(And(ContainSubstring("set --admin-token"), Not(ContainSubstring("hush"))))
 
 	_, err = ada.run("status", "--admin-token", "open") // plain HTTP to a TLS port
 	g.Expect(err).To(HaveOccurred())
 	_, err = ada.run("explain", "/v1", "--admin-ca", ca, "--admin-token", "open")
-	g.Expect(err).To(MatchError(errNoEndpoint))
+	g.Expect(err).To(MatchError(errUnsupportedCall))
 	_, err = ada.run("status", "--admin-ca", ca+".none")
 	g.Expect(err).To(MatchError(ContainSubstring("--admin-ca")))
 }
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -8,9 +8,9 @@
 	"strconv"
 )
 
-// PeerView is what one entry host believes of another.
+// PeerView is the state of one entry host as seen by another.
 type PeerView struct {
-	From     string `json:"from"` // address of the host that was asked
+	From     string `json:"from"` // admin address of the host that reported the view
 	Host     string `json:"host"`
 	Domain   string `json:"domain"`
 	Region   string `json:"region"`
@@ -19,22 +19,22 @@
 	Draining bool   `json:"draining"`
 }
 
-// peers shows each host's own view: after a cut the views differ, and that is
-// what an operator has to see.
-func peers(ctx context.Context, env *Env, _ string) error {
+// listPeers shows the views of all hosts without merging them: in a network
+// partition they differ, and the operator has to see the differences.
+func listPeers(ctx context.Context, env *Env, _ string) error {
 	list := []PeerView{}
 	var rows [][]string
-	var faults []error
-	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) ([]PeerView, error) {
+	var errs []error
+	for _, result := range callEach(ctx, env.Admin, func(ctx context.Context, addr string) ([]PeerView, error) {
 		var out []PeerView
 		err := env.Admin.call(ctx, http.MethodGet, addr, "/peers", nil, &out)
 		return out, err
 	}) {
-		if a.err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", a.addr, a.err))
+		if result.err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", result.addr, result.err))
 		}
-		for _, p := range a.value {
-			p.From = a.addr
+		for _, p := range result.value {
+			p.From = result.addr
 			list = append(list, p)
 			rows = append(rows, []string{p.From, p.Host, p.Domain, p.Region, p.Address, p.State, strconv.FormatBool(p.Draining)})
 		}
@@ -42,5 +42,5 @@
 	if err := env.print(list, []string{"FROM", "HOST", "DOMAIN", "REGION", "ADDRESS", "STATE", "DRAINING"}, rows); err != nil {
 		return err
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -7,14 +7,15 @@
 	"text/tabwriter"
 )
 
-// say prints one line, unless the output is JSON.
-func (e *Env) say(format string, args ...any) {
+// printLine prints one formatted line, unless the output is JSON.
+func (e *Env) printLine(format string, args ...any) {
 	if !e.JSON {
 		fmt.Fprintf(e.Out, format+"\n", args...)
 	}
 }
 
-// print writes v as JSON, or else the rows as an aligned table.
+// print prints v as JSON if that is selected, and otherwise the rows as an
+// aligned table.
 func (e *Env) print(v any, header []string, rows [][]string) error {
 	if e.JSON {
 		enc := json.NewEncoder(e.Out)
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -11,72 +11,73 @@
 	"bilberrydale/process/quarantine"
 )
 
-// QuarantineEntry is one suspect or quarantined request, as an entry host
-// lists it.
+// QuarantineEntry is one suspect or quarantined request in the list of an entry
+// host.
 type QuarantineEntry struct {
-	Address string `json:"address"`
+	Address string `json:"address"` // admin address of the entry host
 	quarantine.Entry
 }
 
+// verdictNames are the names of verdicts in tables.
 var verdictNames = map[quarantine.Verdict]string{
 	quarantine.Allowed: "clear", quarantine.Isolated: "alone", quarantine.Refused: "refused",
 }
 
 func quarantineCommands() []*command {
 	return []*command{
-		{name: "quarantine list", help: "show the requests that crash backend servers", run: quarantineList},
-		{name: "quarantine lift", help: "let a request run again on every entry host", arg: "fingerprint", run: quarantineLift},
+		{name: "quarantine list", help: "show the requests that are suspected of crashing backend servers or quarantined", run: quarantineList},
+		{name: "quarantine lift", help: "allow a quarantined request to run again on all entry hosts", arg: "fingerprint", run: quarantineLift},
 	}
 }
 
 func quarantineList(ctx context.Context, env *Env, _ string) error {
 	list := []QuarantineEntry{}
 	var rows [][]string
-	var faults []error
-	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) ([]quarantine.Entry, error) {
+	var errs []error
+	for _, result := range callEach(ctx, env.Admin, func(ctx context.Context, addr string) ([]quarantine.Entry, error) {
 		var out []quarantine.Entry
 		err := env.Admin.call(ctx, http.MethodGet, addr, "/quarantine", nil, &out)
 		return out, err
 	}) {
-		if a.err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", a.addr, a.err))
+		if result.err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", result.addr, result.err))
 		}
-		for _, q := range a.value {
-			list = append(list, QuarantineEntry{a.addr, q})
+		for _, entry := range result.value {
+			list = append(list, QuarantineEntry{result.addr, entry})
 			rows = append(rows, []string{
-				a.addr, fmt.Sprintf("%016x", uint64(q.Fingerprint)), strconv.Itoa(q.Crashes),
-				verdictNames[q.Verdict], q.Expires.Format(time.RFC3339),
+				result.addr, fmt.Sprintf("%016x", uint64(entry.Fingerprint)), strconv.Itoa(entry.Crashes),
+				verdictNames[entry.Verdict], entry.Expires.Format(time.RFC3339),
 			})
 		}
 	}
 	if err := env.print(list, []string{"ADDRESS", "FINGERPRINT", "CRASHES", "VERDICT", "EXPIRES"}, rows); err != nil {
 		return err
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func quarantineLift(ctx context.Context, env *Env, fingerprint string) error {
 	if _, err := strconv.ParseUint(fingerprint, 16, 64); err != nil {
-		return fmt.Errorf("%q is not a fingerprint; take the hexadecimal digits from quarantine list", fingerprint)
+		return fmt.Errorf("%q is not a fingerprint; use the hexadecimal digits that quarantine list shows", fingerprint)
 	}
 	lifted := 0
-	var faults []error
-	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
+	var errs []error
+	for _, result := range callEach(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
 		return struct{}{}, env.Admin.call(ctx, http.MethodDelete, addr, "/quarantine/"+fingerprint, nil, nil)
 	}) {
 		var refused *statusError
 		switch {
-		case a.err == nil:
+		case result.err == nil:
 			lifted++
-		case errors.As(a.err, &refused) && refused.status == http.StatusNotFound:
-			// Not on this host's list; another may have it.
+		case errors.As(result.err, &refused) && refused.status == http.StatusNotFound:
+			// Not in the list of this host; it may be in that of another.
 		default:
-			faults = append(faults, fmt.Errorf("%s: %w", a.addr, a.err))
+			errs = append(errs, fmt.Errorf("%s: %w", result.addr, result.err))
 		}
 	}
-	if lifted == 0 && len(faults) == 0 {
+	if lifted == 0 && len(errs) == 0 {
 		return fmt.Errorf("no entry host has %s in its list", fingerprint)
 	}
-	env.say("lifted on %d entry hosts", lifted)
-	return errors.Join(faults...)
+	env.printLine("lifted on %d entry hosts", lifted)
+	return errors.Join(errs...)
 }
--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -10,13 +10,13 @@
 	"bilberrydale/process/release"
 )
 
-// recoverCommand makes the tables that an entry host has in force the
-// platform's newest release, after the platform was restored to an earlier
-// state. Which content is right is the operator's choice, so the host is named.
+// recoverCommand publishes the tables that an entry host has in force as the
+// newest release, after the platform was restored to an earlier state. The
+// operator names the host, because only they can decide which content is right.
 type recoverCommand struct{ confirm bool }
 
 func (c *recoverCommand) flags(set *settings.Set) {
-	set.Bool(&c.confirm, "confirm", "accept the release; without it the command only shows what it would accept")
+	set.Bool(&c.confirm, "confirm", "accept the release; without it, the command only shows the release")
 }
 
 func (c *recoverCommand) run(ctx context.Context, env *Env, addr string) error {
@@ -27,15 +27,15 @@
 	if rel.Number == 0 {
 		return fmt.Errorf("%s has no release in force", addr)
 	}
-	env.say("%s has release %d by %s, hash %s, %d rows", addr, rel.Number, rel.Author, rel.Hash, len(rel.Rows))
+	env.printLine("%s has release %d by %s, hash %s, %d rows", addr, rel.Number, rel.Author, rel.Hash, len(rel.Rows))
 	if !c.confirm {
-		return errors.New("nothing was changed; add --confirm to accept these rows under a number above all")
+		return errors.New("nothing was changed; add --confirm to accept these rows as a release with a number above all others")
 	}
 	next, err := env.publisher().Recover(ctx, rel, env.Author)
 	if err != nil {
 		return err
 	}
-	env.say("release %d accepted, hash %s", next.Number, next.Hash)
+	env.printLine("release %d accepted, hash %s", next.Number, next.Hash)
 	if env.JSON {
 		return env.print(next.Ref(), nil, nil)
 	}
--- a/internal/ctl/releases.go
+++ b/internal/ctl/releases.go
@@ -10,18 +10,18 @@
 )
 
 func releaseCommands() []*command {
-	h, rec := &historyCommand{count: 20}, &recoverCommand{}
+	history, recovery := &historyCommand{count: 20}, &recoverCommand{}
 	return []*command{
-		{name: "history", help: "show the accepted releases, the newest first", flags: h.flags, run: h.run},
-		{name: "rollback", help: "make the content of an earlier release the next release", arg: "release", run: rollback},
-		{name: "recover", help: "after a restore of the platform: accept the tables that an entry host has in force", arg: "host", flags: rec.flags, run: rec.run},
+		{name: "history", help: "show the accepted releases, newest first", flags: history.flags, run: history.run},
+		{name: "rollback", help: "accept the content of an earlier release as the next release", arg: "release", run: rollback},
+		{name: "recover", help: "after a restore of the platform: accept the tables that an entry host has in force as the next release", arg: "host", flags: recovery.flags, run: recovery.run},
 	}
 }
 
 type historyCommand struct{ count int }
 
 func (c *historyCommand) flags(set *settings.Set) {
-	set.Int(&c.count, "count", "releases to show", 1, 10000)
+	set.Int(&c.count, "count", "number of releases to show", 1, 10000)
 }
 
 func (c *historyCommand) run(ctx context.Context, env *Env, _ string) error {
@@ -39,13 +39,13 @@
 func rollback(ctx context.Context, env *Env, text string) error {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
-		return fmt.Errorf("%q is not a release number; take one from history", text)
+		return fmt.Errorf("%q is not a release number; use one that history shows", text)
 	}
 	rel, err := env.publisher().Rollback(ctx, number, env.Author)
 	if err != nil {
 		return fmt.Errorf("nothing was changed: %w", err)
 	}
-	env.say("release %d accepted with the rows of release %d, hash %s", rel.Number, number, rel.Hash)
+	env.printLine("release %d accepted with the rows of release %d, hash %s", rel.Number, number, rel.Hash)
 	if env.JSON {
 		return env.print(rel.Ref(), nil, nil)
 	}
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -14,27 +14,27 @@
 	"bilberrydale/process/release"
 )
 
-// HostStatus is one entry host's answer to status. It reads the fields that
-// operators need from the entry host's own status document.
+// HostStatus is the status of one entry host. Its fields are a selection of
+// those in the entry host's own status document.
 type HostStatus struct {
-	Address   string `json:"address"`
+	Address   string `json:"address"` // admin address
 	Build     string `json:"build"`
 	Name      string `json:"name"`
 	Domain    string `json:"domain"`
 	Region    string `json:"region"`
 	Ready     bool   `json:"ready"`
 	Draining  bool   `json:"draining"`
-	Active    int64  `json:"active"`
-	Release   uint64 `json:"release"`
+	Active    int64  `json:"active"`  // requests in flight
+	Release   uint64 `json:"release"` // number of the release in force; 0: none
 	Hash      string `json:"hash"`
 	LastError string `json:"last_error,omitempty"`
-	// Releases is how releases reach this host.
+	// Releases is the state of the host's release distribution.
 	Releases *release.Status `json:"releases,omitempty"`
-	Error    string          `json:"fault,omitempty"` // why there is no answer
+	Error    string          `json:"fault,omitempty"` // why the status is missing or incomplete; empty if it is complete
 }
 
-// faults lists what is wrong with the host, each thing once.
-func (s *HostStatus) faults() string {
+// problems joins the errors that concern the host, without duplicates.
+func (s *HostStatus) problems() string {
 	var list []string
 	add := func(text string) {
 		if text != "" && !slices.Contains(list, text) {
@@ -54,18 +54,19 @@
 func hostCommands() []*command {
 	drain, status := &drainCommand{}, &statusCommand{}
 	return []*command{
-		{name: "status", help: "show which entry host has which release in force; fails when they differ", flags: status.flags, run: status.run},
-		{name: "peers", help: "show what each entry host believes of the others", run: peers},
-		{name: "drain", help: "take entry hosts out of service: no new requests, those in flight finish", flags: drain.flags, run: drain.run},
+		{name: "status", help: "show the release that each entry host has in force; fails if they differ", flags: status.flags, run: status.run},
+		{name: "peers", help: "show the state of all entry hosts as seen by each of them", run: listPeers},
+		{name: "drain", help: "take entry hosts out of service: they refuse new requests and finish those in flight", flags: drain.flags, run: drain.run},
 	}
 }
 
-func (e *Env) statuses(ctx context.Context) ([]HostStatus, error) {
+// hostStatuses returns the status of all entry hosts.
+func (e *Env) hostStatuses(ctx context.Context) ([]HostStatus, error) {
 	if len(e.Admin.opts.Addresses) == 0 {
 		return nil, errors.New("name the entry hosts with --hosts")
 	}
 	var out []HostStatus
-	for _, a := range each(ctx, e.Admin, func(ctx context.Context, addr string) (HostStatus, error) {
+	for _, result := range callEach(ctx, e.Admin, func(ctx context.Context, addr string) (HostStatus, error) {
 		var s HostStatus
 		if err := e.Admin.call(ctx, http.MethodGet, addr, "/status", nil, &s); err != nil {
 			return s, err
@@ -73,11 +74,11 @@
 		err := e.Admin.call(ctx, http.MethodGet, addr, "/release", nil, &s.Releases)
 		return s, err
 	}) {
-		a.value.Address = a.addr
-		if a.err != nil {
-			a.value.Error = a.err.Error()
+		result.value.Address = result.addr
+		if result.err != nil {
+			result.value.Error = result.err.Error()
 		}
-		out = append(out, a.value)
+		out = append(out, result.value)
 	}
 	return out, nil
 }
@@ -85,27 +86,28 @@
 type statusCommand struct{ wait time.Duration }
 
 func (c *statusCommand) flags(set *settings.Set) {
-	set.Duration(&c.wait, "wait", "longest wait for the hosts to agree on one release", 0, 10*time.Minute)
+	set.Duration(&c.wait, "wait", "longest wait until all hosts have the same release in force", 0, 10*time.Minute)
 }
 
-// pollEvery is the pause between two looks at hosts that do not agree yet.
-const pollEvery = 200 * time.Millisecond
+// statusPollInterval is the interval at which the status is read while the hosts
+// have different releases in force.
+const statusPollInterval = 200 * time.Millisecond
 
 func (c *statusCommand) run(ctx context.Context, env *Env, _ string) error {
-	giveUp := time.Now().Add(c.wait)
+	deadline := time.Now().Add(c.wait)
 	for {
-		list, err := env.statuses(ctx)
+		list, err := env.hostStatuses(ctx)
 		if err != nil {
 			return err
 		}
-		differ := disagreement(list)
-		if differ == nil || !time.Now().Before(giveUp) {
-			return errors.Join(printStatus(env, list), differ)
+		disagreement := checkAgreement(list)
+		if disagreement == nil || !time.Now().Before(deadline) {
+			return errors.Join(printStatus(env, list), disagreement)
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Join(printStatus(env, list), differ)
-		case <-time.After(pollEvery):
+			return errors.Join(printStatus(env, list), disagreement)
+		case <-time.After(statusPollInterval):
 		}
 	}
 }
@@ -115,34 +117,35 @@
 	for _, s := range list {
 		rows = append(rows, []string{
 			s.Address, s.Name, s.Build, s.Domain, strconv.FormatUint(s.Release, 10), s.Hash,
-			strconv.FormatBool(s.Ready), strconv.FormatBool(s.Draining), strconv.FormatInt(s.Active, 10), s.faults(),
+			strconv.FormatBool(s.Ready), strconv.FormatBool(s.Draining), strconv.FormatInt(s.Active, 10), s.problems(),
 		})
 	}
 	header := []string{"ADDRESS", "NAME", "BUILD", "DOMAIN", "RELEASE", "HASH", "READY", "DRAINING", "ACTIVE", "FAULTS"}
 	return env.print(list, header, rows)
 }
 
-// disagreement tells whether a release is not in force everywhere.
-func disagreement(list []HostStatus) error {
-	silent, without := 0, 0
+// checkAgreement returns an error unless all hosts have the same release in
+// force.
+func checkAgreement(list []HostStatus) error {
+	unresponsive, withoutRelease := 0, 0
 	releases := map[string]bool{}
 	for _, s := range list {
 		if s.Error != "" {
-			silent++
+			unresponsive++
 			continue
 		}
 		if s.Release == 0 {
-			without++
+			withoutRelease++
 		}
 		releases[fmt.Sprint(s.Release, " ", s.Hash)] = true
 	}
 	switch {
-	case without > 0:
-		return fmt.Errorf("%d of %d entry hosts have no release in force", without, len(list))
+	case withoutRelease > 0:
+		return fmt.Errorf("%d of %d entry hosts have no release in force", withoutRelease, len(list))
 	case len(releases) > 1:
 		return fmt.Errorf("the entry hosts have %d different releases in force", len(releases))
-	case silent > 0:
-		return fmt.Errorf("%d of %d entry hosts do not answer", silent, len(list))
+	case unresponsive > 0:
+		return fmt.Errorf("%d of %d entry hosts do not respond", unresponsive, len(list))
 	}
 	return nil
 }
@@ -150,7 +153,7 @@
 type drainCommand struct{ all bool }
 
 func (c *drainCommand) flags(set *settings.Set) {
-	set.Bool(&c.all, "all", "drain every entry host in --hosts, even if there are several")
+	set.Bool(&c.all, "all", "drain all entry hosts of --hosts, even if there are several")
 }
 
 func (c *drainCommand) run(ctx context.Context, env *Env, _ string) error {
@@ -161,15 +164,15 @@
 	if len(hosts) > 1 && !c.all {
 		return fmt.Errorf("--hosts names %d entry hosts; name one, or add --all", len(hosts))
 	}
-	var faults []error
-	for _, a := range each(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
+	var errs []error
+	for _, result := range callEach(ctx, env.Admin, func(ctx context.Context, addr string) (struct{}, error) {
 		return struct{}{}, env.Admin.call(ctx, http.MethodPost, addr, "/drain", nil, nil)
 	}) {
-		if a.err != nil {
-			faults = append(faults, fmt.Errorf("%s: %w", a.addr, a.err))
+		if result.err != nil {
+			errs = append(errs, fmt.Errorf("%s: %w", result.addr, result.err))
 			continue
 		}
-		env.say("%s drains", a.addr)
+		env.printLine("%s is draining", result.addr)
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -15,38 +15,39 @@
 	diff := &diffCommand{}
 	return []*command{
 		{name: "validate", help: "check the tables of a folder", arg: "folder", run: validate},
-		{name: "export", help: "write the newest tables to a folder, to be edited and applied", arg: "folder", run: export},
-		{name: "diff", help: "show what apply would change", arg: "folder", flags: diff.flags, run: diff.run},
-		{name: "apply", help: "make the edited tables of a folder the next release", arg: "folder", flags: apply.flags, run: apply.run},
+		{name: "export", help: "write the tables of the newest release to a folder, for editing", arg: "folder", run: export},
+		{name: "diff", help: "show the changes that apply would make", arg: "folder", flags: diff.flags, run: diff.run},
+		{name: "apply", help: "accept the edited tables of a folder as the next release", arg: "folder", flags: apply.flags, run: apply.run},
 	}
 }
 
 func validate(_ context.Context, env *Env, dir string) error {
 	t, err := table.ReadDir(dir)
-	var faults table.ValidationErrors
-	if errors.As(err, &faults) && env.JSON {
-		if err := env.print(faults, nil, nil); err != nil {
+	var invalid table.ValidationErrors
+	if errors.As(err, &invalid) && env.JSON {
+		if err := env.print(invalid, nil, nil); err != nil {
 			return err
 		}
-		return fmt.Errorf("%d faults", len(faults))
+		return fmt.Errorf("%d faults", len(invalid))
 	}
 	if err != nil {
 		return err
 	}
-	env.say("%s: %d routes and %d pools hold together", dir, len(t.Routes), len(t.Pools))
+	env.printLine("%s: %d routes and %d pools are valid", dir, len(t.Routes), len(t.Pools))
 	return nil
 }
 
-// export refuses a folder with tables that were edited and not applied.
+// export writes the tables of the newest release and their base to dir. It
+// refuses a folder with tables that were edited and not applied.
 func export(ctx context.Context, env *Env, dir string) error {
 	head, _, err := env.publisher().Head(ctx)
 	if err != nil {
 		return err
 	}
 	if head.Number == 0 {
-		return errors.New("the platform has no release yet; apply a first one")
+		return errors.New("the platform has no release yet; apply the first one")
 	}
-	if err := refuseUnapplied(dir); err != nil {
+	if err := checkNoUnappliedEdits(dir); err != nil {
 		return err
 	}
 	t, err := table.DecodeRows(head.Rows)
@@ -59,15 +60,16 @@
 	if err := newBase(head).write(dir); err != nil {
 		return err
 	}
-	env.say("%s: release %d by %s", dir, head.Number, head.Author)
+	env.printLine("%s: release %d by %s", dir, head.Number, head.Author)
 	return nil
 }
 
-func refuseUnapplied(dir string) error {
+// checkNoUnappliedEdits returns an error if export would overwrite edits in dir.
+func checkNoUnappliedEdits(dir string) error {
 	base, err := readBase(dir)
 	if errors.Is(err, errNoBase) {
 		if _, err := table.ReadDir(dir); err == nil {
-			return fmt.Errorf("%s holds tables that were not exported; name an empty folder", dir)
+			return fmt.Errorf("%s contains tables that were not exported; name an empty folder", dir)
 		}
 		return nil
 	}
@@ -76,14 +78,14 @@
 	}
 	t, err := table.ReadDir(dir)
 	if err != nil {
-		return fmt.Errorf("%s holds an edit that is not applied: %w", dir, err)
+		return fmt.Errorf("%s contains an edit that is not applied: %w", dir, err)
 	}
 	want, err := table.EncodeRows(t)
 	if err != nil {
 		return err
 	}
-	if n := len(changes(base, want)); n > 0 {
-		return fmt.Errorf("%s holds %d edited rows that are not applied; apply them or name another folder", dir, n)
+	if n := len(diffRows(base, want)); n > 0 {
+		return fmt.Errorf("%s contains %d edited rows that are not applied; apply them or name another folder", dir, n)
 	}
 	return nil
 }
@@ -95,18 +97,18 @@
 }
 
 func (c *applyCommand) run(ctx context.Context, env *Env, dir string) error {
-	x, err := env.readEdit(ctx, dir, c.from)
+	e, err := env.readEdit(ctx, dir, c.from)
 	if errors.Is(err, errNoBase) {
-		return fmt.Errorf("%s: %w: it is not known which rows you edited; export into a new folder and edit there, name the release with --base, or use --force-rebase to replace all rows", dir, err)
+		return fmt.Errorf("%s: %w: the edited rows cannot be determined; export into a new folder and edit there, name the release with --base, or use --force-rebase to replace all rows", dir, err)
 	}
 	if err != nil {
 		return err
 	}
-	if len(x.set.Changes) == 0 {
-		env.say("nothing to change")
+	if len(e.changeSet.Changes) == 0 {
+		env.printLine("nothing to change")
 		return nil
 	}
-	rel, err := env.publisher().Apply(ctx, x.set)
+	rel, err := env.publisher().Apply(ctx, e.changeSet)
 	var conflict *release.ConflictError
 	if errors.As(err, &conflict) {
 		return fmt.Errorf("nothing was changed: %w; export into another folder and make the edit there", err)
@@ -114,13 +116,13 @@
 	if err != nil {
 		return err
 	}
-	x.base.accepted(rel, x.set)
-	if err := x.base.write(dir); err != nil {
+	e.base.advance(rel, e.changeSet)
+	if err := e.base.write(dir); err != nil {
 		return fmt.Errorf("release %d is accepted, but: %w; export again before the next edit", rel.Number, err)
 	}
-	env.say("release %d accepted: %d rows changed, hash %s", rel.Number, len(x.set.Changes), rel.Hash)
-	if n := x.behind(rel); n > 0 {
-		env.say("%d other rows in the folder are older than the release; export to see them", n)
+	env.printLine("release %d accepted: %d rows changed, hash %s", rel.Number, len(e.changeSet.Changes), rel.Hash)
+	if n := e.countOutdatedRows(rel); n > 0 {
+		env.printLine("%d other rows in the folder are older than the release; export to see them", n)
 	}
 	if env.JSON {
 		rel.Rows = nil
@@ -129,15 +131,16 @@
 	return nil
 }
 
-// behind counts the rows that the folder holds in an older version than rel.
-func (x *edit) behind(rel release.Release) int {
+// countOutdatedRows counts the rows whose version in the folder differs from that
+// in rel, including those that rel no longer has.
+func (e *edit) countOutdatedRows(rel release.Release) int {
 	n := 0
 	for _, row := range rel.Rows {
-		if x.base.Rows[row.Key].Version != row.Version {
+		if e.base.Rows[row.Key].Version != row.Version {
 			n++
 		}
 	}
-	for key := range x.base.Rows {
+	for key := range e.base.Rows {
 		if _, ok := rel.Row(key); !ok {
 			n++
 		}
