--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -33,7 +33,7 @@
 	return o, p, Parse(p, args, set)
 }
 
-func TestFlagsGoBeforeVariablesBeforeDefaults(t *testing.T) {
+func TestPrecedenceOfFlagsVariablesAndDefaults(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("PROG_NAME", "from-env")
 	t.Setenv("PROG_COUNT", "5")
@@ -43,8 +43,8 @@
 	g.Expect(*o).To(Equal(options{name: "from-env", token: "t-env", count: 7, wait: time.Second, share: 0.5, on: true}))
 }
 
-// An operator who starts a daemon with five mistakes sees all five at once.
-func TestEveryFaultIsReportedTogether(t *testing.T) {
+// One start of a daemon with several invalid settings must report all of them.
+func TestAllErrorsAreReported(t *testing.T) {
 	g := NewWithT(t)
 	t.Setenv("PROG_ON", "maybe")
 	_, _, err := parse("--count", "many", "--wait=2h", "--share", "-1", "--nam", "x")
@@ -56,12 +56,12 @@
 	}
 }
 
-func TestUnexpectedArgumentIsAFault(t *testing.T) {
+func TestUnexpectedArgumentIsAnError(t *testing.T) {
 	_, _, err := parse("--name", "a", "extra")
 	NewWithT(t).Expect(err).To(MatchError(ContainSubstring(`"extra"`)))
 }
 
-func TestSecretIsReadFromAFileAndNeverShown(t *testing.T) {
+func TestSecretIsReadFromFileAndNotShown(t *testing.T) {
 	g := NewWithT(t)
 	path := filepath.Join(t.TempDir(), "token")
 	g.Expect(os.WriteFile(path, []byte("hush-hush\n"), 0o600)).To(Succeed())
--- a/internal/settings/version.go
+++ b/internal/settings/version.go
@@ -2,26 +2,27 @@
 
 import "runtime/debug"
 
-// shortRevision is enough of a revision's digits to find it.
-const shortRevision = 12
+// revisionDigits is the number of digits of the revision in a version. They
+// identify a revision.
+const revisionDigits = 12
 
-// Version names the build: the module's version, and the revision it was built
-// from where the toolchain recorded one.
+// Version returns the version of this build: that of the module and, if the
+// toolchain recorded it, the VCS revision.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return "unknown"
 	}
-	version, revision, changed := info.Main.Version, "", ""
+	version, revision, modified := info.Main.Version, "", ""
 	for _, s := range info.Settings {
 		switch s.Key {
 		case "vcs.revision":
-			revision = " " + s.Value[:min(shortRevision, len(s.Value))]
+			revision = " " + s.Value[:min(revisionDigits, len(s.Value))]
 		case "vcs.modified":
 			if s.Value == "true" {
-				changed = " with local changes"
+				modified = " with local changes"
 			}
 		}
 	}
-	return version + revision + changed
+	return version + revision + modified
 }
