--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -6,102 +6,109 @@
 	"sync"
 )
 
-// batch admits sequences to a limited number of slots, by priority and then by
-// arrival.
+// batch limits the sequences that run at the same time. Further sequences wait in
+// a queue of limited length, ordered by priority and then by arrival.
 type batch struct {
-	mu      sync.Mutex
-	slots   int
-	maxWait int
-	running int
-	seq     int
-	waiting waitQueue
+	mu            sync.Mutex
+	slots         int
+	queueCapacity int
+	running       int
+	lastArrival   int
+	queue         waiterHeap
 }
 
-type waiting struct {
-	priority, seq int
-	ready         chan struct{}
-	index         int
+// waiter is one sequence in the queue.
+type waiter struct {
+	priority, arrival int           // lower values first
+	granted           chan struct{} // closed when the sequence gets a slot
+	index             int           // in the heap; -1 after removal
 }
 
-func newBatch(slots, queue int) *batch { return &batch{slots: slots, maxWait: queue} }
+func newBatch(slots, queueCapacity int) *batch {
+	return &batch{slots: slots, queueCapacity: queueCapacity}
+}
 
-// enter takes a slot, waiting for one if the queue has room.
-func (b *batch) enter(ctx context.Context, priority int) bool {
+// acquire takes a slot and waits for one if the queue is not full. It returns false
+// if the queue is full or ctx ends first.
+func (b *batch) acquire(ctx context.Context, priority int) bool {
 	b.mu.Lock()
 	if b.running < b.slots {
 		b.running++
 		b.mu.Unlock()
 		return true
 	}
-	if len(b.waiting) >= b.maxWait {
+	if len(b.queue) >= b.queueCapacity {
 		b.mu.Unlock()
 		return false
 	}
-	b.seq++
-	w := &waiting{priority: priority, seq: b.seq, ready: make(chan struct{})}
-	heap.Push(&b.waiting, w)
+	b.lastArrival++
+	w := &waiter{priority: priority, arrival: b.lastArrival, granted: make(chan struct{})}
+	heap.Push(&b.queue, w)
 	b.mu.Unlock()
 	select {
-	case <-w.ready:
+	case <-w.granted:
 		return true
 	case <-ctx.Done():
-		return b.abandon(w)
+		return b.cancelWait(w)
 	}
 }
 
-// abandon leaves the queue; a slot granted meanwhile is kept.
-func (b *batch) abandon(w *waiting) bool {
+// cancelWait removes w from the queue. It returns true if w was granted a slot in
+// the meantime; the caller then holds the slot.
+func (b *batch) cancelWait(w *waiter) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if w.index < 0 {
 		return true
 	}
-	heap.Remove(&b.waiting, w.index)
+	heap.Remove(&b.queue, w.index)
 	return false
 }
 
-func (b *batch) leave() {
+// release returns a slot and grants it to the first sequence of the queue.
+func (b *batch) release() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.waiting) == 0 {
+	if len(b.queue) == 0 {
 		b.running--
 		return
 	}
-	w := heap.Pop(&b.waiting).(*waiting)
-	close(w.ready)
+	w := heap.Pop(&b.queue).(*waiter)
+	close(w.granted)
 }
 
 func (b *batch) counts() (running, queued int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.running, len(b.waiting)
+	return b.running, len(b.queue)
 }
 
-type waitQueue []*waiting
+// waiterHeap implements heap.Interface; the first element is the next to run.
+type waiterHeap []*waiter
 
-func (q waitQueue) Len() int { return len(q) }
+func (q waiterHeap) Len() int { return len(q) }
 
-func (q waitQueue) Less(i, j int) bool {
+func (q waiterHeap) Less(i, j int) bool {
 	if q[i].priority != q[j].priority {
 		return q[i].priority < q[j].priority
 	}
-	return q[i].seq < q[j].seq
+	return q[i].arrival < q[j].arrival
 }
 
-func (q waitQueue) Swap(i, j int) {
+func (q waiterHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
 }
 
 // Push implements heap.Interface.
-func (q *waitQueue) Push(x any) {
-	w := x.(*waiting)
+func (q *waiterHeap) Push(x any) {
+	w := x.(*waiter)
 	w.index = len(*q)
 	*q = append(*q, w)
 }
 
 // Pop implements heap.Interface.
-func (q *waitQueue) Pop() any {
+func (q *waiterHeap) Pop() any {
 	old := *q
 	w := old[len(old)-1]
 	*q = old[:len(old)-1]
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -10,82 +10,86 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-const prefixBytes = 64
+// maxPrefixBytes is the number of bytes of a prompt that identify its prefix.
+const maxPrefixBytes = 64
 
-func prefixOf(prompt string) string { return prompt[:min(prefixBytes, len(prompt))] }
+func promptPrefix(prompt string) string { return prompt[:min(maxPrefixBytes, len(prompt))] }
 
-// prefixID names a prefix in events and in KV transfers.
+// prefixID returns the identifier of a prefix in events and KV transfers.
 func prefixID(prefix string) string { return strconv.FormatUint(xxhash.Sum64String(prefix), 16) }
 
-// Event is one change of the prefix cache. Seq rises by one for each change;
-// an event that is lost leaves a gap.
+// CacheEvent is one change of the prefix cache. Seq increases by one with each
+// change, so a lost event leaves a gap.
 type CacheEvent struct {
-	Seq    uint64 `json:"seq"`
-	Kind   string `json:"kind"` // stored or evicted
-	Prefix string `json:"prefix"`
-	at     time.Time
+	Seq       uint64 `json:"seq"`
+	Kind      string `json:"kind"` // stored or evicted
+	Prefix    string `json:"prefix"`
+	createdAt time.Time
 }
 
-// maxEvents bounds the events kept for readers that come late.
-const maxEvents = 1024
+// maxRetainedEvents limits the events that are retained for late readers.
+const maxRetainedEvents = 1024
 
-// cache keeps the least recently used prefixes within limit. Engine.mu guards it.
+// cache holds up to capacity prompt prefixes and evicts the least recently used
+// one. Engine.mu guards it.
 type cache struct {
-	limit    int
-	lag      time.Duration
-	gap      int
-	prefixes []string // the least recently used first
-	events   []CacheEvent
-	seq      uint64
+	capacity   int
+	eventDelay time.Duration // age at which an event is published
+	dropEvery  int           // drop every nth event; 0: none
+	prefixes   []string      // least recently used first
+	events     []CacheEvent
+	seq        uint64 // of the last event
 }
 
-// use reports whether prefix is cached and makes it the most recent.
-func (c *cache) use(prefix string, now time.Time) bool {
+// touch caches prefix as the most recently used one. It reports whether prefix was
+// already cached.
+func (c *cache) touch(prefix string, now time.Time) bool {
 	if i := slices.Index(c.prefixes, prefix); i >= 0 {
 		c.prefixes = append(slices.Delete(c.prefixes, i, i+1), prefix)
 		return true
 	}
 	c.prefixes = append(c.prefixes, prefix)
-	c.emit("stored", prefix, now)
-	if len(c.prefixes) > c.limit {
-		c.emit("evicted", c.prefixes[0], now)
+	c.appendEvent("stored", prefix, now)
+	if len(c.prefixes) > c.capacity {
+		c.appendEvent("evicted", c.prefixes[0], now)
 		c.prefixes = c.prefixes[1:]
 	}
 	return false
 }
 
-func (c *cache) emit(kind, prefix string, now time.Time) {
+// appendEvent records an event, or drops it if its number is due to be lost.
+func (c *cache) appendEvent(kind, prefix string, now time.Time) {
 	c.seq++
-	if c.gap > 0 && c.seq%uint64(c.gap) == 0 {
+	if c.dropEvery > 0 && c.seq%uint64(c.dropEvery) == 0 {
 		return
 	}
 	c.events = append(c.events, CacheEvent{c.seq, kind, prefixID(prefix), now})
-	if len(c.events) > maxEvents {
+	if len(c.events) > maxRetainedEvents {
 		c.events = c.events[1:]
 	}
 }
 
-// after returns the events above seq that are old enough to be published.
-func (c *cache) after(seq uint64, now time.Time) []CacheEvent {
+// publishedAfter returns the events above seq that are old enough to be published.
+func (c *cache) publishedAfter(seq uint64, now time.Time) []CacheEvent {
 	out := []CacheEvent{}
 	for _, e := range c.events {
-		if e.Seq > seq && now.Sub(e.at) >= c.lag {
+		if e.Seq > seq && now.Sub(e.createdAt) >= c.eventDelay {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func (e *Engine) events(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	_ = json.NewEncoder(w).Encode(e.cache.after(after, time.Now()))
+	_ = json.NewEncoder(w).Encode(e.cache.publishedAfter(after, time.Now()))
 }
 
-// exportKV gives the cached prefix; importKV of another engine takes it, and
-// the next request with it needs no prefill there.
-func (e *Engine) exportKV(w http.ResponseWriter, r *http.Request) {
+// handleExportKV returns a cached prefix. After handleImportKV of another engine
+// has received it, requests with that prefix need no prefill there.
+func (e *Engine) handleExportKV(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, p := range e.cache.prefixes {
@@ -94,19 +98,19 @@
 			return
 		}
 	}
-	http.Error(w, "not cached", http.StatusNotFound)
+	http.Error(w, "prefix is not cached", http.StatusNotFound)
 }
 
-func (e *Engine) importKV(w http.ResponseWriter, r *http.Request) {
-	buf := make([]byte, prefixBytes+1)
+func (e *Engine) handleImportKV(w http.ResponseWriter, r *http.Request) {
+	buf := make([]byte, maxPrefixBytes+1)
 	n, _ := r.Body.Read(buf)
 	prefix := string(buf[:n])
 	if prefixID(prefix) != r.PathValue("prefix") {
-		http.Error(w, "content does not match its id", http.StatusBadRequest)
+		http.Error(w, "content does not match the prefix id", http.StatusBadRequest)
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cache.use(prefix, time.Now())
+	e.cache.touch(prefix, time.Now())
 	w.WriteHeader(http.StatusNoContent)
 }
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -1,6 +1,7 @@
-// Package engine is a stand-in for a model engine: continuous batching with
-// limited slots and priorities, streams that resume by offset, a prefix cache
-// in limited memory, a lagging load report, and orders with or without fencing.
+// Package engine is a test double of a model engine. It implements continuous
+// batching with a limited number of slots and priorities, streams that can be
+// resumed at an offset, a prefix cache of limited size, a delayed load report, and
+// orders with or without fencing.
 package engine
 
 import (
@@ -18,49 +19,50 @@
 	"bilberrydale/internal/standin/hop"
 )
 
-// Options configure a stand-in engine.
+// Options configure an Engine. New uses default values if Slots, QueueCapacity,
+// ResponseTokens or CacheCapacity are zero.
 type Options struct {
 	Name           string
-	Slots          int           // sequences in a batch
-	QueueCapacity  int           // waiting sequences; more are refused as not started
-	PrefillTime    time.Duration // until the first token, without a cached prefix
-	TokenInterval  time.Duration
-	ResponseTokens int           // of each answer
-	ReportMaxAge   time.Duration // age of the load report
-	CacheCapacity  int           // prompt prefixes kept
-	EnforceFencing bool          // refuse orders with an old fencing number
-	InitialModel   string        // loaded at the start
-	OrderDuration  time.Duration // until an accepted order is carried out
+	Slots          int           // sequences that run at the same time
+	QueueCapacity  int           // sequences that may wait; further ones are refused as not started
+	PrefillTime    time.Duration // time to the first token if the prefix is not cached
+	TokenInterval  time.Duration // time between tokens
+	ResponseTokens int           // tokens of each response
+	ReportMaxAge   time.Duration // age at which the load report is renewed
+	CacheCapacity  int           // prompt prefixes
+	EnforceFencing bool          // refuse orders with a stale fencing token
+	InitialModel   string        // model loaded at the start
+	OrderDuration  time.Duration // time to apply an accepted order
 	EventDelay     time.Duration // age at which a cache event is published
-	DropEventEvery int           // every so many cache events one is lost; 0: none
-	WeightStoreURL string        // base URL of the weight store; empty: models load at once
-	Crash          func()
+	DropEventEvery int           // drop every nth cache event; 0: none
+	WeightStoreURL string        // base URL of the weight store; empty: models load immediately
+	Crash          func()        // ends the server; called on a request that matches hop.Faults.CrashOnBody
 }
 
-// Engine is one stand-in engine.
+// Engine is a test double of a model engine. It is safe for concurrent use.
 type Engine struct {
 	*hop.Server
 	opts  Options
 	batch *batch
 
-	mu      sync.Mutex
-	streams map[string]string  // whole text by request and stage, for resumption
-	active  map[string]*stream // running streams by request
-	cache   cache
-	report  LoadReport
-	orders  orders
+	mu            sync.Mutex
+	responseTexts map[string]string  // complete text by request and stage, for resumption
+	activeStreams map[string]*stream // running streams by request id
+	cache         cache
+	cachedReport  LoadReport
+	orderState    orderState
 }
 
-// Load is the engine's report of itself.
+// LoadReport is the load that the engine reports on GET /load.
 type LoadReport struct {
-	Running int      `json:"running"`
-	Queued  int      `json:"queued"`
-	Slots   int      `json:"slots"`
-	Models  []string `json:"models"`
-	Role    string   `json:"role"`
-	Fence   uint64   `json:"fence"`
-	Leaving bool     `json:"leaving,omitempty"`
-	taken   time.Time
+	Running   int      `json:"running"`
+	Queued    int      `json:"queued"`
+	Slots     int      `json:"slots"`
+	Models    []string `json:"models"` // loaded models
+	Role      string   `json:"role"`
+	Fence     uint64   `json:"fence"`             // highest fencing token received
+	Leaving   bool     `json:"leaving,omitempty"` // the server will leave; it still accepts work
+	createdAt time.Time
 }
 
 // New returns an engine.
@@ -79,44 +81,45 @@
 	}
 	e := &Engine{
 		Server: hop.New(opts.Name, opts.Crash), opts: opts,
-		batch: newBatch(opts.Slots, opts.QueueCapacity), streams: map[string]string{},
-		active: map[string]*stream{},
-		cache:  cache{limit: opts.CacheCapacity, lag: opts.EventDelay, gap: opts.DropEventEvery},
+		batch: newBatch(opts.Slots, opts.QueueCapacity), responseTexts: map[string]string{},
+		activeStreams: map[string]*stream{},
+		cache:         cache{capacity: opts.CacheCapacity, eventDelay: opts.EventDelay, dropEvery: opts.DropEventEvery},
 	}
-	e.orders.models = []string{opts.InitialModel}
+	e.orderState.models = []string{opts.InitialModel}
 	return e
 }
 
-// Handler serves the engine and its switches.
+// Handler serves the engine's API and its fault injection.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	e.RegisterAdmin(mux)
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) { _ = json.NewEncoder(w).Encode(e.LoadReport()) })
-	mux.HandleFunc("PUT /orders", e.order)
-	mux.HandleFunc("GET /events", e.events)
-	mux.HandleFunc("GET /kv/{prefix}", e.exportKV)
-	mux.HandleFunc("PUT /kv/{prefix}", e.importKV)
-	mux.HandleFunc("DELETE /streams/{request}", e.cancelStream)
-	mux.HandleFunc("POST /", e.generate)
+	mux.HandleFunc("PUT /orders", e.handleOrder)
+	mux.HandleFunc("GET /events", e.handleEvents)
+	mux.HandleFunc("GET /kv/{prefix}", e.handleExportKV)
+	mux.HandleFunc("PUT /kv/{prefix}", e.handleImportKV)
+	mux.HandleFunc("DELETE /streams/{request}", e.handleCancelStream)
+	mux.HandleFunc("POST /", e.handleGenerate)
 	return mux
 }
 
-// Load returns the report, at most ReportLag old.
+// LoadReport returns a load report that is at most ReportMaxAge old.
 func (e *Engine) LoadReport() LoadReport {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if now := time.Now(); now.Sub(e.report.taken) >= e.opts.ReportMaxAge {
+	if now := time.Now(); now.Sub(e.cachedReport.createdAt) >= e.opts.ReportMaxAge {
 		running, queued := e.batch.counts()
-		e.report = LoadReport{
+		e.cachedReport = LoadReport{
 			Running: running, Queued: queued, Slots: e.opts.Slots,
-			Models: append([]string(nil), e.orders.models...), Role: e.orders.role, Fence: e.orders.fence, taken: now,
+			Models: append([]string(nil), e.orderState.models...), Role: e.orderState.role, Fence: e.orderState.fence, createdAt: now,
 			Leaving: e.Faults().Leaving,
 		}
 	}
-	return e.report
+	return e.cachedReport
 }
 
-func (e *Engine) generate(w http.ResponseWriter, r *http.Request) {
+// handleGenerate serves one sequence: it waits for a slot and streams the response.
+func (e *Engine) handleGenerate(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -124,14 +127,14 @@
 	f := e.Faults()
 	e.EchoHeaders(w, r)
 	priority, _ := strconv.Atoi(r.Header.Get(backend.HeaderPriority))
-	if f.Refuse || !e.batch.enter(r.Context(), priority) {
+	if f.Refuse || !e.batch.acquire(r.Context(), priority) {
 		w.Header().Set(backend.HeaderNotStarted, "true")
 		http.Error(w, "queue full", http.StatusServiceUnavailable)
 		return
 	}
-	defer e.batch.leave()
-	r, running := e.begin(r)
-	defer e.end(r, running)
+	defer e.batch.release()
+	r, running := e.registerStream(r)
+	defer e.unregisterStream(r, running)
 	resume, _ := strconv.ParseInt(r.Header.Get(backend.HeaderResume), 10, 64)
 	if resume == 0 {
 		e.CountExecution(r)
@@ -144,22 +147,22 @@
 		<-r.Context().Done()
 		return
 	}
-	e.answer(w, r, string(body), resume, f)
+	e.streamResponse(w, r, string(body), resume, f)
 }
 
-// answer streams the text from offset resume, one token a chunk.
-func (e *Engine) answer(w http.ResponseWriter, r *http.Request, prompt string, resume int64, f hop.Faults) {
+// streamResponse sends the response text from offset resume, one token per chunk.
+func (e *Engine) streamResponse(w http.ResponseWriter, r *http.Request, prompt string, resume int64, f hop.Faults) {
 	id := r.Header.Get(backend.HeaderRequestID) + "/" + r.Header.Get(backend.HeaderStage)
-	text := e.text(id, prompt)
+	text := e.responseText(id, prompt)
 	if resume > int64(len(text)) {
-		http.Error(w, "offset is past the end", http.StatusRequestedRangeNotSatisfiable)
+		http.Error(w, "resume offset is past the end of the response", http.StatusRequestedRangeNotSatisfiable)
 		return
 	}
 	wait := f.Delay
-	if resume == 0 && !e.hit(prompt) {
+	if resume == 0 && !e.touchPrefix(prompt) {
 		wait += e.opts.PrefillTime
 	}
-	cut := e.ConsumeFault(func(f *hop.Faults) *int { return &f.TruncateNext })
+	truncate := e.ConsumeFault(func(f *hop.Faults) *int { return &f.TruncateNext })
 	enc := json.NewEncoder(w)
 	flush := http.NewResponseController(w)
 	for off := resume; off < int64(len(text)); {
@@ -171,20 +174,22 @@
 		_ = enc.Encode(backend.Chunk{Offset: off, Data: text[off:end]})
 		_ = flush.Flush()
 		off = end
-		if cut && off > int64(len(text))/2 {
+		if truncate && off > int64(len(text))/2 {
 			panic(http.ErrAbortHandler)
 		}
 	}
 	_ = enc.Encode(backend.Chunk{Offset: int64(len(text)), Final: true})
 }
 
+// tokenBytes is the number of bytes of one generated token.
 const tokenBytes = 6
 
-// text returns the whole answer, the same for every resumption of a request.
-func (e *Engine) text(id, prompt string) string {
+// responseText returns the complete response. It is the same for all resumptions of
+// a request.
+func (e *Engine) responseText(id, prompt string) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if t, ok := e.streams[id]; ok {
+	if t, ok := e.responseTexts[id]; ok {
 		return t
 	}
 	var b strings.Builder
@@ -192,47 +197,50 @@
 	for b.Len() < e.opts.ResponseTokens*tokenBytes {
 		fmt.Fprintf(&b, "t%04d ", b.Len())
 	}
-	e.streams[id] = b.String()
-	return e.streams[id]
+	e.responseTexts[id] = b.String()
+	return e.responseTexts[id]
 }
 
-// hit reports whether the prompt's prefix is cached, and caches it.
-func (e *Engine) hit(prompt string) bool {
+// touchPrefix caches the prefix of the prompt and reports whether it was already
+// cached.
+func (e *Engine) touchPrefix(prompt string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.cache.use(prefixOf(prompt), time.Now())
+	return e.cache.touch(promptPrefix(prompt), time.Now())
 }
 
-// stream is one running answer, to be found by its request's id.
+// stream is one running response.
 type stream struct{ cancel context.CancelFunc }
 
-// begin makes the answer one that DELETE /streams can cancel.
-func (e *Engine) begin(r *http.Request) (*http.Request, *stream) {
+// registerStream makes the response cancelable by DELETE /streams. The returned
+// request has the context that is canceled.
+func (e *Engine) registerStream(r *http.Request) (*http.Request, *stream) {
 	ctx, cancel := context.WithCancel(r.Context())
 	s := &stream{cancel}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.active[r.Header.Get(backend.HeaderRequestID)] = s
+	e.activeStreams[r.Header.Get(backend.HeaderRequestID)] = s
 	return r.WithContext(ctx), s
 }
 
-// end forgets s. A resumption of the same request may have taken its place
-// while s was ending; it stays.
-func (e *Engine) end(r *http.Request, s *stream) {
+// unregisterStream removes s. While s was ending, a resumption of the same request
+// may have replaced it; that one stays registered.
+func (e *Engine) unregisterStream(r *http.Request, s *stream) {
 	s.cancel()
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	id := r.Header.Get(backend.HeaderRequestID)
-	if e.active[id] == s {
-		delete(e.active, id)
+	if e.activeStreams[id] == s {
+		delete(e.activeStreams, id)
 	}
 }
 
-// cancelStream ends a running stream without its final mark and frees its slot.
-func (e *Engine) cancelStream(w http.ResponseWriter, r *http.Request) {
+// handleCancelStream ends a running stream without a final chunk and frees its
+// slot.
+func (e *Engine) handleCancelStream(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	running, ok := e.active[r.PathValue("request")]
+	running, ok := e.activeStreams[r.PathValue("request")]
 	if !ok {
 		http.Error(w, "no such stream", http.StatusNotFound)
 		return
@@ -241,6 +249,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
+// sleep waits for d. It returns false if the request ends first.
 func sleep(r *http.Request, d time.Duration) bool {
 	if d <= 0 {
 		return r.Context().Err() == nil
--- a/internal/standin/engine/engine_test.go
+++ b/internal/standin/engine/engine_test.go
@@ -18,16 +18,16 @@
 	"bilberrydale/internal/standin/weights"
 )
 
-func start(t *testing.T, o Options) (*Engine, string) {
+func startEngine(t *testing.T, opts Options) (*Engine, string) {
 	t.Helper()
-	o.Name, o.Crash = "engine-1", func() {}
-	e := New(o)
+	opts.Name, opts.Crash = "engine-1", func() {}
+	e := New(opts)
 	srv := httptest.NewServer(e.Handler())
 	t.Cleanup(srv.Close)
 	return e, srv.URL
 }
 
-func call(t *testing.T, method, url, body string, header map[string]string) *http.Response {
+func sendRequest(t *testing.T, method, url, body string, header map[string]string) *http.Response {
 	t.Helper()
 	req, err := http.NewRequest(method, url, strings.NewReader(body))
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
@@ -40,7 +40,7 @@
 	return resp
 }
 
-func text(t *testing.T, resp *http.Response) (whole string, final bool) {
+func readStream(t *testing.T, resp *http.Response) (whole string, final bool) {
 	t.Helper()
 	dec := json.NewDecoder(resp.Body)
 	for {
@@ -52,90 +52,90 @@
 	}
 }
 
-func TestAResumedStreamGivesTheRestAndCountsOnce(t *testing.T) {
+func TestResumedStreamContinuesAndCountsOnce(t *testing.T) {
 	g := NewWithT(t)
-	e, url := start(t, Options{ResponseTokens: 20})
+	e, url := startEngine(t, Options{ResponseTokens: 20})
 	e.SetFaults(hop.Faults{TruncateNext: 1})
 	ids := map[string]string{backend.HeaderRequestID: "r", backend.HeaderStage: "s"}
-	part, final := text(t, call(t, http.MethodPost, url, "prompt", ids))
+	part, final := readStream(t, sendRequest(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(final).To(BeFalse())
 	ids[backend.HeaderResume] = strconv.Itoa(len(part))
-	rest, final := text(t, call(t, http.MethodPost, url, "prompt", ids))
+	rest, final := readStream(t, sendRequest(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(final).To(BeTrue())
 	delete(ids, backend.HeaderResume)
 	g.Expect(e.TotalExecutions()).To(BeEquivalentTo(1))
-	whole, _ := text(t, call(t, http.MethodPost, url, "prompt", ids))
+	whole, _ := readStream(t, sendRequest(t, http.MethodPost, url, "prompt", ids))
 	g.Expect(part + rest).To(Equal(whole))
 }
 
-func TestACancelledStreamEndsWithoutItsFinalMark(t *testing.T) {
+func TestCanceledStreamHasNoFinalChunk(t *testing.T) {
 	g := NewWithT(t)
-	e, url := start(t, Options{ResponseTokens: 10000, TokenInterval: time.Millisecond})
-	resp := call(t, http.MethodPost, url, "prompt", map[string]string{backend.HeaderRequestID: "r"})
+	e, url := startEngine(t, Options{ResponseTokens: 10000, TokenInterval: time.Millisecond})
+	resp := sendRequest(t, http.MethodPost, url, "prompt", map[string]string{backend.HeaderRequestID: "r"})
 	_, err := bufio.NewReader(resp.Body).ReadString('\n')
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(call(t, http.MethodDelete, url+"/streams/r", "", nil).StatusCode).To(Equal(http.StatusNoContent))
+	g.Expect(sendRequest(t, http.MethodDelete, url+"/streams/r", "", nil).StatusCode).To(Equal(http.StatusNoContent))
 	rest, err := io.ReadAll(resp.Body)
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(string(rest)).NotTo(ContainSubstring(`"final":true`))
 	g.Eventually(func() int { running, _ := e.batch.counts(); return running }).Should(BeZero())
-	g.Expect(call(t, http.MethodDelete, url+"/streams/r", "", nil).StatusCode).To(Equal(http.StatusNotFound))
+	g.Expect(sendRequest(t, http.MethodDelete, url+"/streams/r", "", nil).StatusCode).To(Equal(http.StatusNotFound))
 }
 
-func TestMoreUrgentSequencesStartFirst(t *testing.T) {
+func TestSequencesStartByPriority(t *testing.T) {
 	g := NewWithT(t)
 	b := newBatch(1, 8)
-	g.Expect(b.enter(t.Context(), 0)).To(BeTrue())
+	g.Expect(b.acquire(t.Context(), 0)).To(BeTrue())
 	order := make(chan int, 2)
 	for i, priority := range []int{2, 0} {
-		go func() { b.enter(t.Context(), priority); order <- priority; b.leave() }()
+		go func() { b.acquire(t.Context(), priority); order <- priority; b.release() }()
 		g.Eventually(func() int { _, queued := b.counts(); return queued }).Should(Equal(i + 1))
 	}
-	b.leave()
+	b.release()
 	g.Expect([]int{<-order, <-order}).To(Equal([]int{0, 2}))
 }
 
-func TestCacheEventsComeLateAndWithGaps(t *testing.T) {
+func TestCacheEventsAreDelayedAndDropped(t *testing.T) {
 	g := NewWithT(t)
-	c := cache{limit: 2, lag: time.Second, gap: 3}
-	t0 := time.Unix(0, 0)
+	c := cache{capacity: 2, eventDelay: time.Second, dropEvery: 3}
+	start := time.Unix(0, 0)
 	for _, p := range []string{"a", "b", "c", "b"} {
-		c.use(p, t0)
+		c.touch(p, start)
 	}
-	g.Expect(c.after(0, t0)).To(BeEmpty())
+	g.Expect(c.publishedAfter(0, start)).To(BeEmpty())
 	var seen []string
-	for _, e := range c.after(0, t0.Add(time.Second)) {
+	for _, e := range c.publishedAfter(0, start.Add(time.Second)) {
 		seen = append(seen, strconv.Itoa(int(e.Seq))+e.Kind)
 	}
 	g.Expect(seen).To(Equal([]string{"1stored", "2stored", "4evicted"}))
-	g.Expect(c.use("a", t0)).To(BeFalse())
+	g.Expect(c.touch("a", start)).To(BeFalse())
 }
 
-func TestKVMovesToAnotherEngine(t *testing.T) {
+func TestKVTransferToOtherEngine(t *testing.T) {
 	g := NewWithT(t)
-	_, from := start(t, Options{})
-	to, dest := start(t, Options{})
-	text(t, call(t, http.MethodPost, from, "a prompt", nil))
+	_, from := startEngine(t, Options{})
+	to, dest := startEngine(t, Options{})
+	readStream(t, sendRequest(t, http.MethodPost, from, "a prompt", nil))
 	id := prefixID("a prompt")
-	data, err := io.ReadAll(call(t, http.MethodGet, from+"/kv/"+id, "", nil).Body)
+	data, err := io.ReadAll(sendRequest(t, http.MethodGet, from+"/kv/"+id, "", nil).Body)
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(call(t, http.MethodPut, dest+"/kv/"+id, string(data), nil).StatusCode).To(Equal(http.StatusNoContent))
-	g.Expect(to.hit("a prompt")).To(BeTrue())
-	g.Expect(call(t, http.MethodPut, dest+"/kv/"+id, "other", nil).StatusCode).To(Equal(http.StatusBadRequest))
+	g.Expect(sendRequest(t, http.MethodPut, dest+"/kv/"+id, string(data), nil).StatusCode).To(Equal(http.StatusNoContent))
+	g.Expect(to.touchPrefix("a prompt")).To(BeTrue())
+	g.Expect(sendRequest(t, http.MethodPut, dest+"/kv/"+id, "other", nil).StatusCode).To(Equal(http.StatusBadRequest))
 }
 
-func TestOrdersLoadWeightsAndHonourFencing(t *testing.T) {
+func TestOrdersLoadWeightsAndEnforceFencing(t *testing.T) {
 	g := NewWithT(t)
 	store := weights.New(weights.Options{ModelBytes: 128 << 10, BytesPerSecond: 1 << 30})
 	srv := httptest.NewServer(store.Handler())
 	t.Cleanup(srv.Close)
 	for _, fencing := range []bool{true, false} {
-		e, url := start(t, Options{EnforceFencing: fencing, InitialModel: "m@1", WeightStoreURL: srv.URL, OrderDuration: time.Millisecond})
+		e, url := startEngine(t, Options{EnforceFencing: fencing, InitialModel: "m@1", WeightStoreURL: srv.URL, OrderDuration: time.Millisecond})
 		before := store.Reads()
-		g.Expect(call(t, http.MethodPut, url+"/orders", `{"fence":2,"models":["m@1","m@2"],"role":"decode"}`, nil).StatusCode).To(Equal(http.StatusNoContent))
+		g.Expect(sendRequest(t, http.MethodPut, url+"/orders", `{"fence":2,"models":["m@1","m@2"],"role":"decode"}`, nil).StatusCode).To(Equal(http.StatusNoContent))
 		g.Expect(store.Reads() - before).To(BeEquivalentTo(1))
 		g.Expect(e.LoadReport().Models).To(Equal([]string{"m@1", "m@2"}))
-		old := call(t, http.MethodPut, url+"/orders", `{"fence":1,"models":["m@1"]}`, nil)
+		old := sendRequest(t, http.MethodPut, url+"/orders", `{"fence":1,"models":["m@1"]}`, nil)
 		if fencing {
 			g.Expect(old.StatusCode).To(Equal(http.StatusPreconditionFailed))
 			g.Expect(e.AppliedFences()).To(Equal([]uint64{2}))
@@ -145,9 +145,9 @@
 	}
 }
 
-func TestLoadReportLagsAndTellsOfLeaving(t *testing.T) {
+func TestLoadReportIsCachedAndReportsLeaving(t *testing.T) {
 	g := NewWithT(t)
-	e, _ := start(t, Options{ReportMaxAge: time.Hour})
+	e, _ := startEngine(t, Options{ReportMaxAge: time.Hour})
 	g.Expect(e.LoadReport().Leaving).To(BeFalse())
 	e.SetFaults(hop.Faults{Leaving: true})
 	g.Expect(e.LoadReport().Leaving).To(BeFalse())
--- a/internal/standin/hop/hop.go
+++ b/internal/standin/hop/hop.go
@@ -1,5 +1,5 @@
-// Package hop holds what every stand-in backend server shares: the ids of a
-// hop, the count of executions, and the switches for failures.
+// Package hop contains the common part of the test doubles of backend servers:
+// returning the ids of a call, counting executions, and fault injection.
 package hop
 
 import (
@@ -12,65 +12,67 @@
 	"bilberrydale/connection/backend"
 )
 
-// Faults are the failure switches of one backend server.
+// Faults are the faults that a backend server injects. The zero value injects none.
 type Faults struct {
 	Delay          time.Duration `json:"delay"`  // nanoseconds added to each execution
-	FailNext       int           `json:"fail"`   // answer the next N executions with 500
-	Refuse         bool          `json:"refuse"` // refuse new work, marked as not started
-	Hang           bool          `json:"hang"`   // accept and never answer
-	TruncateNext   int           `json:"cut"`    // end the next N answers before they are whole
-	MisdeliverNext int           `json:"cross"`  // put another request's id on the next N answers
-	CrashOnBody    string        `json:"poison"` // a body that contains this kills the server
-	// Leaving is told in the load report and on each answer; the server goes
-	// on serving.
+	FailNext       int           `json:"fail"`   // respond to the next N executions with status 500
+	Refuse         bool          `json:"refuse"` // refuse new calls, marked as not started
+	Hang           bool          `json:"hang"`   // accept calls and never respond
+	TruncateNext   int           `json:"cut"`    // truncate the next N responses
+	MisdeliverNext int           `json:"cross"`  // return the id of another request with the next N responses
+	CrashOnBody    string        `json:"poison"` // crash on a request body that contains this; empty: never
+	// Leaving is reported in the load report and with each response. The server
+	// continues to accept calls.
 	Leaving bool `json:"leaving"`
 }
 
-// Server is the shared part. Execute is called once for each execution.
+// Server is the common part of a backend server. It is safe for concurrent use.
 type Server struct {
 	Name  string
-	Crash func() // called on a poisoned request; must end the server
+	Crash func() // called on a request that matches CrashOnBody; must end the server
 
-	mu       sync.Mutex
-	faults   Faults
-	executed map[string]int // by operation key or request id, then stage
-	total    atomic.Int64
+	mu         sync.Mutex
+	faults     Faults
+	executions map[string]int // by operation key or request id, then stage
+	total      atomic.Int64
 }
 
-// New returns the shared part of the backend server called name.
+// New returns the common part of a backend server.
 func New(name string, crash func()) *Server {
-	return &Server{Name: name, Crash: crash, executed: map[string]int{}}
+	return &Server{Name: name, Crash: crash, executions: map[string]int{}}
 }
 
-// SetFaults sets the switches.
+// SetFaults replaces the faults to inject.
 func (s *Server) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// Faults returns the switches.
+// Faults returns the faults to inject. The counts of the next N responses are those
+// that remain.
 func (s *Server) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// Executed returns how often each operation ran.
+// ExecutionCounts returns the number of executions of each operation and stage, by
+// "KEY/STAGE". KEY is the operation key, or the request id if there is none.
 func (s *Server) ExecutionCounts() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	out := make(map[string]int, len(s.executed))
-	for k, v := range s.executed {
+	out := make(map[string]int, len(s.executions))
+	for k, v := range s.executions {
 		out[k] = v
 	}
 	return out
 }
 
-// Total returns all executions.
+// TotalExecutions returns the number of all executions.
 func (s *Server) TotalExecutions() int64 { return s.total.Load() }
 
-// Count records one execution of the request.
+// CountExecution records one execution of the request.
 func (s *Server) CountExecution(r *http.Request) {
 	s.total.Add(1)
 	id := r.Header.Get(backend.HeaderKey)
@@ -79,10 +81,11 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.executed[id+"/"+r.Header.Get(backend.HeaderStage)]++
+	s.executions[id+"/"+r.Header.Get(backend.HeaderStage)]++
 }
 
-// Take uses up one of the counted switches, chosen by field.
+// ConsumeFault decrements the counted fault that field selects. It returns false if
+// the count is zero.
 func (s *Server) ConsumeFault(field func(*Faults) *int) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,7 +97,8 @@
 	return true
 }
 
-// Echo puts the hop's ids on the answer.
+// EchoHeaders returns the ids of the call in the headers of the response and sets
+// the header for leaving servers.
 func (s *Server) EchoHeaders(w http.ResponseWriter, r *http.Request) {
 	for _, h := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(h, r.Header.Get(h))
@@ -107,7 +111,7 @@
 	}
 }
 
-// Admin adds the switches and counts to mux.
+// RegisterAdmin adds the endpoints for health, faults and execution counts to mux.
 func (s *Server) RegisterAdmin(mux *http.ServeMux) {
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
 	mux.HandleFunc("PUT /admin/faults", func(w http.ResponseWriter, r *http.Request) {
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
-// Package service is a stand-in for a plain service and for the encoder,
-// retriever and reranker pools: it answers whole, and counts each execution of
-// calls that may not be repeated.
+// Package service is a test double of a plain service and of encoders, retrievers
+// and rerankers. It sends complete responses and counts executions, so that tests
+// can detect repeats of calls that must not be repeated.
 package service
 
 import (
@@ -14,19 +14,19 @@
 	"bilberrydale/internal/standin/hop"
 )
 
-// Options configure a stand-in service.
+// Options configure a Service.
 type Options struct {
 	Name          string
-	Slots         int           // requests run at once; more are refused as not started
-	ExecutionTime time.Duration // one execution
-	Crash         func()
+	Slots         int           // requests that run at the same time; further ones are refused as not started; 0: 64
+	ExecutionTime time.Duration // time of one execution
+	Crash         func()        // ends the server; called on a request that matches hop.Faults.CrashOnBody
 }
 
-// Service is one stand-in service.
+// Service is a test double of a plain service. It is safe for concurrent use.
 type Service struct {
 	*hop.Server
 	opts  Options
-	slots chan struct{}
+	slots chan struct{} // holds one element for each running request
 }
 
 // New returns a service.
@@ -37,8 +37,9 @@
 	return &Service{Server: hop.New(opts.Name, opts.Crash), opts: opts, slots: make(chan struct{}, opts.Slots)}
 }
 
-// Answer is what one stage adds: which stages and servers a request went
-// through, so that a test can tell whose answer it got.
+// Response is the response to one stage call. As the input of a stage is the
+// response of the preceding one, it records all stages and servers of a request;
+// tests use that to verify that a response belongs to their request.
 type Response struct {
 	Request         string          `json:"request"`
 	Stage           string          `json:"stage"`
@@ -47,18 +48,18 @@
 	Input           json.RawMessage `json:"input,omitempty"`
 }
 
-// Handler serves the service and its switches.
+// Handler serves the service and its fault injection.
 func (s *Service) Handler() http.Handler {
 	mux := http.NewServeMux()
 	s.RegisterAdmin(mux)
 	mux.HandleFunc("GET /load", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(map[string]any{"running": len(s.slots), "queued": 0, "slots": cap(s.slots), "leaving": s.Faults().Leaving})
 	})
-	mux.HandleFunc("POST /", s.execute)
+	mux.HandleFunc("POST /", s.handleExecute)
 	return mux
 }
 
-func (s *Service) execute(w http.ResponseWriter, r *http.Request) {
+func (s *Service) handleExecute(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
@@ -81,14 +82,15 @@
 		s.Crash()
 		panic(http.ErrAbortHandler)
 	}
-	if !s.work(r, f) {
+	if !s.waitForExecution(r, f) {
 		return
 	}
-	s.answer(w, r, body)
+	s.writeResponse(w, r, body)
 }
 
-// work spends the execution's time; false means that the caller is gone.
-func (s *Service) work(r *http.Request, f hop.Faults) bool {
+// waitForExecution waits for the execution time. It returns false if the caller
+// disconnects first.
+func (s *Service) waitForExecution(r *http.Request, f hop.Faults) bool {
 	if f.Hang {
 		<-r.Context().Done()
 		return false
@@ -101,19 +103,20 @@
 	}
 }
 
-func (s *Service) answer(w http.ResponseWriter, r *http.Request, body []byte) {
+// writeResponse sends the response, or a failed or truncated one if that is injected.
+func (s *Service) writeResponse(w http.ResponseWriter, r *http.Request, body []byte) {
 	if s.ConsumeFault(func(f *hop.Faults) *int { return &f.FailNext }) {
-		http.Error(w, "failed by switch", http.StatusInternalServerError)
+		http.Error(w, "injected failure", http.StatusInternalServerError)
 		return
 	}
-	a := Response{Request: r.Header.Get(backend.HeaderRequestID), Stage: r.Header.Get(backend.HeaderStage), Server: s.Name}
+	resp := Response{Request: r.Header.Get(backend.HeaderRequestID), Stage: r.Header.Get(backend.HeaderStage), Server: s.Name}
 	if uri := r.Header.Get(backend.HeaderURI); uri != "" {
-		a.OriginalRequest = r.Header.Get(backend.HeaderMethod) + " " + uri
+		resp.OriginalRequest = r.Header.Get(backend.HeaderMethod) + " " + uri
 	}
 	if json.Valid(body) {
-		a.Input = body
+		resp.Input = body
 	}
-	data, _ := json.Marshal(a)
+	data, _ := json.Marshal(resp)
 	w.Header().Set("Content-Type", "application/json")
 	if s.ConsumeFault(func(f *hop.Faults) *int { return &f.TruncateNext }) {
 		w.Header().Set("Content-Length", "1000000")
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is a stand-in for the weight store: every model has the same
-// size, and all readers share one rate.
+// Package weights is a test double of a weight store. All models have the same
+// size, and all readers share one rate limit.
 package weights
 
 import (
@@ -9,27 +9,28 @@
 	"golang.org/x/time/rate"
 )
 
-// Options configure the store.
+// Options configure a Store.
 type Options struct {
-	ModelBytes     int // bytes of a model
-	BytesPerSecond int // bytes a second, shared by all readers
+	ModelBytes     int // size of each model
+	BytesPerSecond int // rate limit, shared by all readers
 }
 
-// Store is one stand-in weight store.
+// Store is a test double of a weight store. It is safe for concurrent use.
 type Store struct {
-	opts  Options
-	limit *rate.Limiter
-	reads atomic.Int64
+	opts    Options
+	limiter *rate.Limiter
+	reads   atomic.Int64
 }
 
-const chunk = 64 << 10
+// chunkBytes is the unit of writes and the burst of the rate limit.
+const chunkBytes = 64 << 10
 
-// New returns a store.
+// New returns a Store.
 func New(opts Options) *Store {
-	return &Store{opts: opts, limit: rate.NewLimiter(rate.Limit(opts.BytesPerSecond), chunk)}
+	return &Store{opts: opts, limiter: rate.NewLimiter(rate.Limit(opts.BytesPerSecond), chunkBytes)}
 }
 
-// Reads returns how many reads were begun.
+// Reads returns the number of started reads.
 func (s *Store) Reads() int64 { return s.reads.Load() }
 
 // Handler serves GET /weights/{model}.
@@ -37,10 +38,10 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /weights/{model}", func(w http.ResponseWriter, r *http.Request) {
 		s.reads.Add(1)
-		buf := make([]byte, chunk)
-		for left := s.opts.ModelBytes; left > 0; left -= chunk {
-			n := min(left, chunk)
-			if s.limit.WaitN(r.Context(), n) != nil {
+		buf := make([]byte, chunkBytes)
+		for left := s.opts.ModelBytes; left > 0; left -= chunkBytes {
+			n := min(left, chunkBytes)
+			if s.limiter.WaitN(r.Context(), n) != nil {
 				return
 			}
 			if _, err := w.Write(buf[:n]); err != nil {
