--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,6 +1,5 @@
-// Package relay is a TCP relay on loopback that tests put between two processes
-// to disturb their connections from outside: it delays, holds, resets, refuses
-// and forgets them.
+// Package relay is a fault-injecting TCP proxy on loopback. Tests put it between two
+// processes to delay, pause, reset, refuse or blackhole their connections.
 package relay
 
 import (
@@ -12,134 +11,138 @@
 	"time"
 )
 
-// Relay passes the connections to its address on to a target. Its methods are
-// safe for concurrent use; after Close they do nothing.
+// Proxy forwards connections from its address to a target. Its methods are safe for
+// concurrent use; after Close they have no effect.
 type Proxy struct {
-	listener net.Listener
-	target   string
-	lost     atomic.Int64
+	listener        net.Listener
+	target          string
+	blackholedConns atomic.Int64
 
-	mu     sync.Mutex
-	conns  map[*pair]bool
-	link   link
-	change chan struct{} // closed when the link's state changes
-	closed bool
+	mu      sync.Mutex
+	conns   map[*connPair]bool
+	faults  faults
+	changed chan struct{} // closed when faults changes
+	closed  bool
 }
 
-// link is the state of all connections, present and new ones.
-type link struct {
-	delay       time.Duration // before each block
-	refuse      bool          // new connections are reset
-	holdAnswers bool          // nothing passes from the target; nothing is closed
-	holdAll     bool          // nothing passes in either direction
+// faults are the faults that apply to all connections, open and new ones.
+type faults struct {
+	delay          time.Duration // before each transfer
+	refuse         bool          // reset new connections
+	pauseResponses bool          // forward no bytes from the target; connections stay open
+	pauseAll       bool          // forward no bytes in either direction
 }
 
-// pair is a connection to the relay with the one to the target.
-type pair struct {
+// connPair is a connection to the proxy and the corresponding one to the target.
+type connPair struct {
 	client, server net.Conn
-	// forgot tells for each direction that its bytes vanish for good.
-	forgot [2]atomic.Bool
-	missed sync.Once
+	// blackholed is, by direction, whether all further bytes are discarded.
+	blackholed [2]atomic.Bool
+	countOnce  sync.Once
 }
 
-// Directions of a pair.
+// Directions of a connPair.
 const (
-	there = iota // to the target
-	back
+	toTarget = iota
+	toClient
 )
 
-// New starts a relay in front of target (host:port).
+// New starts a proxy in front of target (host:port).
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	r := &Proxy{listener: l, target: target, conns: map[*pair]bool{}, change: make(chan struct{})}
-	go r.accept()
+	r := &Proxy{listener: l, target: target, conns: map[*connPair]bool{}, changed: make(chan struct{})}
+	go r.acceptLoop()
 	return r, nil
 }
 
-// Address is where the relay takes connections.
+// Address returns the address of the proxy, host:port.
 func (r *Proxy) Address() string { return r.listener.Addr().String() }
 
-// Lost is the number of forgotten connections on which something was sent to the
-// target afterwards.
-func (r *Proxy) BlackholedConnections() int64 { return r.lost.Load() }
+// BlackholedConnections returns the number of blackholed connections on which bytes to
+// the target were discarded.
+func (r *Proxy) BlackholedConnections() int64 { return r.blackholedConns.Load() }
 
-// Delay holds each block of bytes up for d; 0: no more.
-func (r *Proxy) SetDelay(d time.Duration) { r.set(func(l *link) { l.delay = d }) }
+// SetDelay delays each transfer of bytes by d; 0 ends the delay.
+func (r *Proxy) SetDelay(d time.Duration) { r.updateFaults(func(f *faults) { f.delay = d }) }
 
-// Refuse resets new connections; those that are open live on.
-func (r *Proxy) RefuseConnections(on bool) { r.set(func(l *link) { l.refuse = on }) }
+// RefuseConnections resets new connections while on. Open connections continue.
+func (r *Proxy) RefuseConnections(on bool) { r.updateFaults(func(f *faults) { f.refuse = on }) }
 
-// Hold keeps back all bytes, or those of answers alone, like a stopped process or
-// a link that works one way. Release lets them pass.
-func (r *Proxy) Pause(answersOnly bool) {
-	r.set(func(l *link) { l.holdAnswers, l.holdAll = true, !answersOnly })
+// Pause holds back all bytes, or only those of responses, like a suspended process or
+// a link that works in one direction. Resume forwards them.
+func (r *Proxy) Pause(responsesOnly bool) {
+	r.updateFaults(func(f *faults) { f.pauseResponses, f.pauseAll = true, !responsesOnly })
 }
 
-// Release ends Hold.
-func (r *Proxy) Resume() { r.set(func(l *link) { l.holdAnswers, l.holdAll = false, false }) }
+// Resume ends Pause.
+func (r *Proxy) Resume() {
+	r.updateFaults(func(f *faults) { f.pauseResponses, f.pauseAll = false, false })
+}
 
-// Heal ends every disturbance. Connections that were held are reset: the two ends
-// have long given them up.
+// ClearFaults ends all faults. If connections were paused, all connections are reset,
+// because both ends have abandoned them by then.
 func (r *Proxy) ClearFaults() {
 	r.mu.Lock()
-	held := r.link.holdAnswers
+	paused := r.faults.pauseResponses
 	r.mu.Unlock()
-	if held {
+	if paused {
 		r.ResetConnections()
 	}
-	r.set(func(l *link) { *l = link{} })
+	r.updateFaults(func(f *faults) { *f = faults{} })
 }
 
-// Reset ends every connection as the crash of a process does.
+// ResetConnections resets all open connections, like the crash of a process.
 func (r *Proxy) ResetConnections() {
-	r.each(func(p *pair) {
-		abort(p.client)
-		abort(p.server)
+	r.forEachPair(func(p *connPair) {
+		resetConn(p.client)
+		resetConn(p.server)
 	})
 }
 
-// Forget makes the present connections silent for good, in both directions or for
-// answers alone. New ones work.
-func (r *Proxy) Blackhole(answersOnly bool) {
-	r.each(func(p *pair) {
-		p.forgot[back].Store(true)
-		if !answersOnly {
-			p.forgot[there].Store(true)
+// Blackhole permanently discards all bytes on the open connections, in both
+// directions or only those of responses. New connections work.
+func (r *Proxy) Blackhole(responsesOnly bool) {
+	r.forEachPair(func(p *connPair) {
+		p.blackholed[toClient].Store(true)
+		if !responsesOnly {
+			p.blackholed[toTarget].Store(true)
 		}
 	})
 }
 
-// Close ends the relay and its connections.
+// Close stops the proxy and resets its connections.
 func (r *Proxy) Close() {
 	_ = r.listener.Close()
 	r.ResetConnections()
-	r.set(func(l *link) { *l = link{} })
+	r.updateFaults(func(f *faults) { *f = faults{} })
 	r.mu.Lock()
 	r.closed = true
 	r.mu.Unlock()
 }
 
-func (r *Proxy) set(f func(*link)) {
+// updateFaults applies f to the faults and wakes the transfers that wait for a change.
+func (r *Proxy) updateFaults(f func(*faults)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
 		return
 	}
-	f(&r.link)
-	close(r.change)
-	r.change = make(chan struct{})
+	f(&r.faults)
+	close(r.changed)
+	r.changed = make(chan struct{})
 }
 
-func (r *Proxy) state() (link, chan struct{}) {
+// currentFaults returns the faults and a channel that is closed when they change.
+func (r *Proxy) currentFaults() (faults, chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.link, r.change
+	return r.faults, r.changed
 }
 
-func (r *Proxy) each(f func(*pair)) {
+func (r *Proxy) forEachPair(f func(*connPair)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for p := range r.conns {
@@ -147,42 +150,43 @@
 	}
 }
 
-func (r *Proxy) accept() {
+func (r *Proxy) acceptLoop() {
 	for {
 		client, err := r.listener.Accept()
 		if err != nil {
 			return // closed
 		}
-		go r.serve(client)
+		go r.handle(client)
 	}
 }
 
-// dialBound: the target is on this machine.
-const dialBound = time.Second
+// dialTimeout is short because the target is on the same machine.
+const dialTimeout = time.Second
 
-func (r *Proxy) serve(client net.Conn) {
-	r.wait(there)
-	if now, _ := r.state(); now.refuse {
-		abort(client)
+// handle connects client to the target and forwards both directions until they end.
+func (r *Proxy) handle(client net.Conn) {
+	r.waitForTransfer(toTarget)
+	if current, _ := r.currentFaults(); current.refuse {
+		resetConn(client)
 		return
 	}
-	server, err := net.DialTimeout("tcp", r.target, dialBound)
+	server, err := net.DialTimeout("tcp", r.target, dialTimeout)
 	if err != nil {
-		abort(client)
+		resetConn(client)
 		return
 	}
-	p := &pair{client: client, server: server}
-	if !r.add(p) {
-		abort(client)
-		abort(server)
+	p := &connPair{client: client, server: server}
+	if !r.register(p) {
+		resetConn(client)
+		resetConn(server)
 		return
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		r.copy(p, there)
+		r.copy(p, toTarget)
 	}()
-	r.copy(p, back)
+	r.copy(p, toClient)
 	<-done
 	r.mu.Lock()
 	delete(r.conns, p)
@@ -191,7 +195,8 @@
 	_ = server.Close()
 }
 
-func (r *Proxy) add(p *pair) bool {
+// register adds p to the open connections. It returns false after Close.
+func (r *Proxy) register(p *connPair) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
@@ -201,53 +206,53 @@
 	return true
 }
 
-// wait blocks while a direction is held, and for the delay of a slow link.
-func (r *Proxy) wait(direction int) {
+// waitForTransfer blocks while the direction is paused, and for the delay.
+func (r *Proxy) waitForTransfer(direction int) {
 	for {
-		now, change := r.state()
-		if now.holdAll || now.holdAnswers && direction == back {
-			<-change
+		current, changed := r.currentFaults()
+		if current.pauseAll || current.pauseResponses && direction == toClient {
+			<-changed
 			continue
 		}
-		if now.delay > 0 {
+		if current.delay > 0 {
 			select {
-			case <-time.After(now.delay):
-			case <-change:
+			case <-time.After(current.delay):
+			case <-changed:
 			}
 		}
 		return
 	}
 }
 
-// copy passes one direction on until it ends: an end is passed on as an end, a
-// reset as a reset. The end of a connection that was forgotten is not told.
-func (r *Proxy) copy(p *pair, direction int) {
+// copy forwards one direction until it ends. It forwards an end of stream as such and
+// an error as a reset. The end of a blackholed connection is not forwarded.
+func (r *Proxy) copy(p *connPair, direction int) {
 	from, to := p.client, p.server
-	if direction == back {
+	if direction == toClient {
 		from, to = p.server, p.client
 	}
 	buf := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buf)
-		r.wait(direction)
-		forgot := p.forgot[direction].Load()
+		r.waitForTransfer(direction)
+		blackholed := p.blackholed[direction].Load()
 		switch {
-		case forgot && direction == there && n > 0:
-			p.missed.Do(func() { r.lost.Add(1) })
-		case n > 0 && !forgot:
+		case blackholed && direction == toTarget && n > 0:
+			p.countOnce.Do(func() { r.blackholedConns.Add(1) })
+		case n > 0 && !blackholed:
 			if _, werr := to.Write(buf[:n]); werr != nil {
-				abort(from)
+				resetConn(from)
 				return
 			}
 		}
 		switch {
 		case err == nil:
 			continue
-		case forgot:
+		case blackholed:
 		case errors.Is(err, io.EOF):
 			closeWrite(to)
 		default:
-			abort(to)
+			resetConn(to)
 		}
 		return
 	}
@@ -255,12 +260,12 @@
 
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
-		_ = tcp.CloseWrite() // the other end may be gone; there is nobody to tell
+		_ = tcp.CloseWrite() // fails if the other end is closed; there is no one to report it to
 	}
 }
 
-// abort closes a connection with a reset instead of an end.
-func abort(c net.Conn) {
+// resetConn closes a connection with a reset instead of a regular end.
+func resetConn(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
 	}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -11,8 +11,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// echo answers each line with the same line until its client ends.
-func echo(t *testing.T) string {
+// startEchoServer starts a server that returns all bytes it receives, and returns its
+// address.
+func startEchoServer(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -42,22 +43,22 @@
 func dial(t *testing.T, r *Proxy) *client {
 	c, err := net.Dial("tcp", r.Address())
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
-	return follow(t, c)
+	return readLines(t, c)
 }
 
-// refused connects and sees the connection reset: while it is being opened, if the
-// reset is there before the system call returns, or as its end.
-func refused(t *testing.T, r *Proxy) {
+// expectRefused connects and expects a reset: an error of the connect call if the
+// reset arrives before the call returns, otherwise the end of the connection.
+func expectRefused(t *testing.T, r *Proxy) {
 	c, err := net.Dial("tcp", r.Address())
 	if err != nil {
 		NewWithT(t).Expect(err).To(MatchError(syscall.ECONNRESET))
 		return
 	}
-	follow(t, c).ended()
+	readLines(t, c).expectClosed()
 }
 
-// follow reads a connection's lines.
-func follow(t *testing.T, c net.Conn) *client {
+// readLines starts to read the lines of a connection.
+func readLines(t *testing.T, c net.Conn) *client {
 	g := NewWithT(t)
 	t.Cleanup(func() { _ = c.Close() })
 	out := &client{g, c, make(chan string, 16)}
@@ -70,75 +71,75 @@
 	return out
 }
 
-func (c *client) say(text string) {
+func (c *client) send(text string) {
 	_, err := c.Write([]byte(text + "\n"))
 	c.g.Expect(err).NotTo(HaveOccurred())
 }
 
-func (c *client) hears(text string) { c.g.Eventually(c.lines, "10s").Should(Receive(Equal(text))) }
-func (c *client) ended()            { c.g.Eventually(c.lines, "10s").Should(BeClosed()) }
+func (c *client) expectLine(text string) { c.g.Eventually(c.lines, "10s").Should(Receive(Equal(text))) }
+func (c *client) expectClosed()          { c.g.Eventually(c.lines, "10s").Should(BeClosed()) }
 
-func start(t *testing.T) (*WithT, *Proxy) {
+func startProxy(t *testing.T) (*WithT, *Proxy) {
 	g := NewWithT(t)
-	r, err := New(echo(t))
+	r, err := New(startEchoServer(t))
 	g.Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(r.Close)
 	return g, r
 }
 
-func TestBytesAndEndsPass(t *testing.T) {
-	_, r := start(t)
+func TestForwardsBytesAndEndOfStream(t *testing.T) {
+	_, r := startProxy(t)
 	c := dial(t, r)
-	c.say("a")
-	c.hears("a")
+	c.send("a")
+	c.expectLine("a")
 	c.g.Expect(c.Conn.(*net.TCPConn).CloseWrite()).To(Succeed())
-	c.ended()
+	c.expectClosed()
 }
 
-func TestHeldBytesPassAfterRelease(t *testing.T) {
-	_, r := start(t)
+func TestPausedBytesAreForwardedAfterResume(t *testing.T) {
+	_, r := startProxy(t)
 	c := dial(t, r)
-	for _, answersOnly := range []bool{false, true} {
-		r.Pause(answersOnly)
-		c.say("a")
+	for _, responsesOnly := range []bool{false, true} {
+		r.Pause(responsesOnly)
+		c.send("a")
 		c.g.Consistently(c.lines, 20*time.Millisecond).ShouldNot(Receive())
 		r.Resume()
-		c.hears("a")
+		c.expectLine("a")
 	}
 	r.Pause(true)
 	r.ClearFaults()
-	c.ended()
+	c.expectClosed()
 }
 
-func TestRefusalSparesOpenConnections(t *testing.T) {
-	_, r := start(t)
+func TestRefusalKeepsOpenConnections(t *testing.T) {
+	_, r := startProxy(t)
 	old := dial(t, r)
-	old.say("a")
-	old.hears("a")
+	old.send("a")
+	old.expectLine("a")
 	r.RefuseConnections(true)
-	refused(t, r)
-	old.say("b")
-	old.hears("b")
+	expectRefused(t, r)
+	old.send("b")
+	old.expectLine("b")
 	r.ClearFaults()
 	c := dial(t, r)
-	c.say("c")
-	c.hears("c")
+	c.send("c")
+	c.expectLine("c")
 	r.ResetConnections()
-	c.ended()
+	c.expectClosed()
 }
 
-// A connection is forgotten: what is sent on it vanishes and nobody is told, while
-// a new one works.
-func TestForgottenConnectionStaysSilent(t *testing.T) {
-	g, r := start(t)
+// Bytes on a blackholed connection are discarded without an error at either end, while
+// new connections work.
+func TestBlackholedConnection(t *testing.T) {
+	g, r := startProxy(t)
 	c := dial(t, r)
-	c.say("a")
-	c.hears("a")
+	c.send("a")
+	c.expectLine("a")
 	r.Blackhole(false)
-	c.say("b")
+	c.send("b")
 	g.Eventually(r.BlackholedConnections, "10s").Should(BeEquivalentTo(1))
 	fresh := dial(t, r)
-	fresh.say("c")
-	fresh.hears("c")
+	fresh.send("c")
+	fresh.expectLine("c")
 	g.Expect(c.lines).NotTo(Receive())
 }
