--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -59,7 +59,7 @@
 }
 
 func (o *options) run() error {
-	job := replay.Job{Seed: uint64(o.seed), Only: o.trace, Parallel: o.parallel}
+	job := replay.Job{Seed: uint64(o.seed), Scenario: o.trace, Concurrency: o.parallel}
 	for _, d := range replay.Deployments() {
 		if o.deployment == "" || o.deployment == d.Name {
 			job.Deployments = append(job.Deployments, d)
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return replay.WriteTable(os.Stdout, replay.Interleave(results, previous))
+	return replay.WriteTable(os.Stdout, replay.InterleavePrevious(results, previous))
 }
 
 // read takes in a recorded trace, if one is named.
@@ -130,14 +130,14 @@
 func record(job replay.Job, path string) error {
 	for _, d := range job.Deployments {
 		for _, s := range replay.Scenarios(d) {
-			if s.Name != job.Only || len(job.Deployments) != 1 {
+			if s.Name != job.Scenario || len(job.Deployments) != 1 {
 				continue
 			}
 			f, err := os.Create(path)
 			if err != nil {
 				return err
 			}
-			return errors.Join(replay.WriteTrace(f, replay.Generate(d, s, job.Seed)), f.Close())
+			return errors.Join(replay.WriteTrace(f, replay.GenerateTrace(d, s, job.Seed)), f.Close())
 		}
 	}
 	return errors.New("--record needs --deployment and --trace")
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -11,35 +11,35 @@
 
 // Size is how large a system is.
 type Size struct {
-	Daemons   int
-	Replicas  int
-	Models    int
-	Pipelines int
-	Accounts  int
-	Domains   int
-	Regions   int
+	EntryHosts     int
+	Replicas       int
+	Models         int
+	Pipelines      int
+	Accounts       int
+	FailureDomains int
+	Regions        int
 }
 
 // TwoYears returns the size to design for.
-func TwoYears() Size {
-	return Size{Daemons: 380, Replicas: 1100, Models: 14, Pipelines: 11, Accounts: 12_000, Domains: 10, Regions: 3}
+func PlannedSize() Size {
+	return Size{EntryHosts: 380, Replicas: 1100, Models: 14, Pipelines: 11, Accounts: 12_000, FailureDomains: 10, Regions: 3}
 }
 
 // Part returns the size with as many places and tables and a part of the
 // daemons, replicas and accounts.
-func (s Size) Part(num, den int) Size {
-	s.Daemons = s.Daemons * num / den
+func (s Size) Scaled(num, den int) Size {
+	s.EntryHosts = s.EntryHosts * num / den
 	s.Replicas = s.Replicas * num / den
 	s.Accounts = s.Accounts * num / den
 	return s
 }
 
 // Slots is how many requests a replica runs at once.
-const Slots = 16
+const SlotsPerReplica = 16
 
 // Domain returns the name of failure domain i and its region.
-func (s Size) Domain(i int) (domain, region string) {
-	d := i % s.Domains
+func (s Size) FailureDomain(i int) (domain, region string) {
+	d := i % s.FailureDomains
 	return fmt.Sprintf("domain-%d", d), fmt.Sprintf("region-%d", d%s.Regions)
 }
 
@@ -52,14 +52,14 @@
 	var t table.Tables
 	n := 0
 	for m := range s.Models {
-		p := table.Pool{Name: fmt.Sprintf("model-%02d", m), Kind: table.Engine, Slots: Slots}
+		p := table.Pool{Name: fmt.Sprintf("model-%02d", m), Kind: table.Engine, Slots: SlotsPerReplica}
 		p.Model = table.Model{Name: p.Name, Version: "1"}
 		count := s.Replicas / s.Models
 		if m < s.Replicas%s.Models {
 			count++
 		}
 		for i := range count {
-			domain, region := s.Domain(i)
+			domain, region := s.FailureDomain(i)
 			p.Servers = append(p.Servers, table.Server{
 				Name: fmt.Sprintf("%s-%03d", p.Name, i), Address: fmt.Sprintf("10.%d.%d.%d:8000", 1+n/65025, n/255%255, n%255),
 				Domain: domain, Region: region,
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -70,8 +70,8 @@
 
 // sizes are the three sizes that give each slope.
 func sizes() []Size {
-	full := TwoYears()
-	return []Size{full.Part(1, 4), full.Part(1, 2), full}
+	full := PlannedSize()
+	return []Size{full.Scaled(1, 4), full.Scaled(1, 2), full}
 }
 
 func each(b *testing.B, f func(b *testing.B, s Size)) {
@@ -91,8 +91,8 @@
 
 // Loads of the benchmarks, in requests on a server.
 const (
-	calm = Slots / 2
-	full = Slots * 4 / 3
+	calm = SlotsPerReplica / 2
+	full = SlotsPerReplica * 4 / 3
 )
 
 // caller is what one request needs besides; a request's own state holds it.
@@ -163,7 +163,7 @@
 }
 
 func BenchmarkDecisionParallel(b *testing.B) {
-	w := newWorld(b, TwoYears(), calm)
+	w := newWorld(b, PlannedSize(), calm)
 	now := start.Add(time.Second)
 	var next atomic.Uint64
 	b.ReportAllocs()
@@ -246,8 +246,8 @@
 		for range b.N {
 			most, perServer := 0, map[string]int{}
 			tables := s.Tables()
-			for h := range s.Daemons {
-				domain, region := s.Domain(h)
+			for h := range s.EntryHosts {
+				domain, region := s.FailureDomain(h)
 				reach := 0
 				for _, p := range tables.Pools {
 					reg := server.NewRegistry()
@@ -324,7 +324,7 @@
 
 func TestFullSizeDecisionsNeedNoAllocation(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, TwoYears(), calm)
+	w := newWorld(t, PlannedSize(), calm)
 	g.Expect(w.snap.Pools).To(HaveLen(14))
 	i, c := uint64(0), &caller{}
 	g.Expect(testing.AllocsPerRun(2000, func() {
@@ -339,7 +339,7 @@
 // each host 1,100.
 func TestReachIsBounded(t *testing.T) {
 	g := NewWithT(t)
-	s := TwoYears()
+	s := PlannedSize()
 	snap := build(t, s, server.NewRegistry())
 	reach := 0
 	for _, p := range snap.Pools {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -25,7 +25,7 @@
 )
 
 // Request is one kind of request in the mix.
-type Request struct {
+type RequestKind struct {
 	Path    string
 	Weight  float64 // share of the arrivals, against the other weights
 	Stream  bool
@@ -35,28 +35,28 @@
 
 // Options describe one run.
 type Options struct {
-	Targets  []string // callers' addresses of entry hosts on loopback
-	Rate     float64  // requests a second for all targets together
-	Duration time.Duration
-	Seed     uint64
-	Mix      []Request
-	Timeout  time.Duration // of one request
-	InFlight int           // requests at once; arrivals above are not sent
+	Targets     []string // callers' addresses of entry hosts on loopback
+	Rate        float64  // requests a second for all targets together
+	Duration    time.Duration
+	Seed        uint64
+	Mix         []RequestKind
+	Timeout     time.Duration // of one request
+	MaxInFlight int           // requests at once; arrivals above are not sent
 }
 
 // Line is the result of one kind of request. Latencies are in milliseconds
 // from the planned arrival to the whole answer.
-type Line struct {
-	Path    string         `json:"path"`
-	Sent    int            `json:"sent"`
-	Whole   int            `json:"whole"`   // whole answers
-	Unsent  int            `json:"unsent"`  // arrivals over Options.InFlight
-	Refused map[string]int `json:"refused"` // other answers by error kind
-	P50     float64        `json:"p50_ms"`
-	P99     float64        `json:"p99_ms"`
-	Max     float64        `json:"max_ms"`
-	First50 float64        `json:"first_byte_p50_ms"`
-	First99 float64        `json:"first_byte_p99_ms"`
+type Result struct {
+	Path         string         `json:"path"`
+	Sent         int            `json:"sent"`
+	Completed    int            `json:"whole"`   // whole answers
+	Unsent       int            `json:"unsent"`  // arrivals over Options.InFlight
+	Failures     map[string]int `json:"refused"` // other answers by error kind
+	P50          float64        `json:"p50_ms"`
+	P99          float64        `json:"p99_ms"`
+	Max          float64        `json:"max_ms"`
+	FirstByteP50 float64        `json:"first_byte_p50_ms"`
+	FirstByteP99 float64        `json:"first_byte_p99_ms"`
 }
 
 // ErrNotLoopback: a target is not on this machine.
@@ -70,24 +70,24 @@
 
 type recorder struct {
 	mu           sync.Mutex
-	line         Line
+	line         Result
 	whole, first *hdrhistogram.Histogram // microseconds
 }
 
 // Run sends the traffic and returns one line for each kind of request.
-func Run(ctx context.Context, o Options) ([]Line, error) {
+func Run(ctx context.Context, o Options) ([]Result, error) {
 	if err := o.check(); err != nil {
 		return nil, err
 	}
 	recs := make([]*recorder, len(o.Mix))
 	for i, m := range o.Mix {
 		recs[i] = &recorder{
-			line:  Line{Path: m.Path, Refused: map[string]int{}},
+			line:  Result{Path: m.Path, Failures: map[string]int{}},
 			whole: hdrhistogram.New(1, maxLatency, digits), first: hdrhistogram.New(1, maxLatency, digits),
 		}
 	}
 	o.generate(ctx, recs)
-	lines := make([]Line, len(recs))
+	lines := make([]Result, len(recs))
 	for i, r := range recs {
 		lines[i] = r.finish()
 	}
@@ -113,9 +113,9 @@
 // generate plans each arrival from the seed and sends it when it is due.
 func (o *Options) generate(ctx context.Context, recs []*recorder) {
 	rnd := rand.New(rand.NewPCG(o.Seed, 1))
-	client := &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: o.InFlight}}
+	client := &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: o.MaxInFlight}}
 	defer client.CloseIdleConnections()
-	slots := make(chan struct{}, o.InFlight)
+	slots := make(chan struct{}, o.MaxInFlight)
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	start := time.Now()
@@ -166,7 +166,7 @@
 	return len(o.Mix) - 1
 }
 
-func (o *Options) send(ctx context.Context, client *http.Client, target string, m Request, due time.Time, rec *recorder) {
+func (o *Options) send(ctx context.Context, client *http.Client, target string, m RequestKind, due time.Time, rec *recorder) {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+m.Path, strings.NewReader(m.Body))
@@ -226,17 +226,17 @@
 	defer r.mu.Unlock()
 	r.line.Sent++
 	if kind != "" {
-		r.line.Refused[kind]++
+		r.line.Failures[kind]++
 		return
 	}
-	r.line.Whole++
+	r.line.Completed++
 	_ = r.whole.RecordValue(now.Sub(due).Microseconds())
 	_ = r.first.RecordValue(first.Sub(due).Microseconds())
 }
 
 const microsPerMilli = 1000
 
-func (r *recorder) finish() Line {
+func (r *recorder) finish() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 {
@@ -244,6 +244,6 @@
 	}
 	l := r.line
 	l.P50, l.P99, l.Max = ms(r.whole, 50), ms(r.whole, 99), float64(r.whole.Max())/microsPerMilli
-	l.First50, l.First99 = ms(r.first, 50), ms(r.first, 99)
+	l.FirstByteP50, l.FirstByteP99 = ms(r.first, 50), ms(r.first, 99)
 	return l
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -14,8 +14,8 @@
 
 func options(target string) Options {
 	return Options{
-		Targets: []string{target}, Rate: 400, Duration: 250 * time.Millisecond, Seed: 7, Timeout: time.Second, InFlight: 64,
-		Mix: []Request{{Path: "/a", Weight: 3}, {Path: "/s", Weight: 1, Stream: true}},
+		Targets: []string{target}, Rate: 400, Duration: 250 * time.Millisecond, Seed: 7, Timeout: time.Second, MaxInFlight: 64,
+		Mix: []RequestKind{{Path: "/a", Weight: 3}, {Path: "/s", Weight: 1, Stream: true}},
 	}
 }
 
@@ -37,7 +37,7 @@
 	g.Expect(err).NotTo(HaveOccurred())
 	for i, l := range first {
 		g.Expect(l.Sent + l.Unsent).To(Equal(second[i].Sent + second[i].Unsent))
-		g.Expect(l.Whole).To(Equal(l.Sent), l.Path)
+		g.Expect(l.Completed).To(Equal(l.Sent), l.Path)
 	}
 	g.Expect(first[0].Sent).To(BeNumerically(">", first[1].Sent))
 }
@@ -58,8 +58,8 @@
 	t.Cleanup(srv.Close)
 	lines, err := Run(t.Context(), options(srv.Listener.Addr().String()))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(lines[0].Refused).To(HaveKeyWithValue("overloaded", lines[0].Sent))
-	g.Expect(lines[1].Refused).To(HaveKeyWithValue("cut", lines[1].Sent))
+	g.Expect(lines[0].Failures).To(HaveKeyWithValue("overloaded", lines[0].Sent))
+	g.Expect(lines[1].Failures).To(HaveKeyWithValue("cut", lines[1].Sent))
 }
 
 func TestOnlyLoopbackIsLoaded(t *testing.T) {
--- a/internal/loadctl/loadctl.go
+++ b/internal/loadctl/loadctl.go
@@ -39,7 +39,7 @@
 	p.Description = "Measures entry hosts on this machine."
 	o := &options{
 		targets: "127.0.0.1:18091", mix: "/v1/drafts", account: "load", body: `{}`, seed: 1, maxFailed: 1,
-		load:     load.Options{Rate: 50, Duration: 10 * time.Second, Timeout: 10 * time.Second, InFlight: 2000},
+		load:     load.Options{Rate: 50, Duration: 10 * time.Second, Timeout: 10 * time.Second, MaxInFlight: 2000},
 		overhead: overhead.Options{Requests: 20000, Clients: 1, Stages: 1, Body: 512},
 	}
 	traffic, over := flaggy.NewSubcommand("traffic"), flaggy.NewSubcommand("overhead")
@@ -69,7 +69,7 @@
 	set.Float(&o.load.Rate, "rate", "requests a second", 0.001, 1e6)
 	set.Duration(&o.load.Duration, "duration", "time in which requests arrive", time.Millisecond, 24*time.Hour)
 	set.Duration(&o.load.Timeout, "timeout", "longest wait for one answer", time.Millisecond, time.Hour)
-	set.Int(&o.load.InFlight, "in-flight", "requests at once; arrivals above are counted and not sent", 1, 100000)
+	set.Int(&o.load.MaxInFlight, "in-flight", "requests at once; arrivals above are counted and not sent", 1, 100000)
 	set.Int(&o.seed, "seed", "seed of the arrivals", 0, 1<<31-1)
 	set.Float(&o.maxFailed, "max-failed", "share of requests without a whole answer above which the command fails", 0, 1)
 	set.String(&o.trafficOut, "out", "file for the figures as JSON", nil)
@@ -83,11 +83,11 @@
 	set.String(&o.overheadOut, "out", "file for the figures as JSON", nil)
 }
 
-func parseMix(text, account, body string) ([]load.Request, error) {
-	var mix []load.Request
+func parseMix(text, account, body string) ([]load.RequestKind, error) {
+	var mix []load.RequestKind
 	for _, item := range strings.Split(text, ",") {
 		parts := strings.Split(item, ":")
-		r := load.Request{Path: parts[0], Weight: 1, Account: account, Body: body}
+		r := load.RequestKind{Path: parts[0], Weight: 1, Account: account, Body: body}
 		if len(parts) > 1 {
 			w, err := strconv.ParseFloat(parts[1], 64)
 			if err != nil || w <= 0 {
@@ -115,9 +115,9 @@
 	fmt.Fprintln(w, "PATH\tSENT\tWHOLE\tUNSENT\tP50 ms\tP99 ms\tMAX ms\tFIRST P50\tFIRST P99\tOTHER")
 	sent, whole := 0, 0
 	for _, l := range lines {
-		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", l.Path, l.Sent, l.Whole, l.Unsent, l.P50, l.P99, l.Max, l.First50, l.First99, l.Refused)
+		fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", l.Path, l.Sent, l.Completed, l.Unsent, l.P50, l.P99, l.Max, l.FirstByteP50, l.FirstByteP99, l.Failures)
 		sent += l.Sent + l.Unsent
-		whole += l.Whole
+		whole += l.Completed
 	}
 	if err := errors.Join(w.Flush(), writeJSON(o.trafficOut, lines)); err != nil {
 		return err
@@ -137,7 +137,7 @@
 	fmt.Fprintf(w, "requests a side %d, clients %d, stages %d, body %d bytes\n", r.Requests, r.Clients, r.Stages, r.Body)
 	fmt.Fprintln(w, "\tP50 µs\tP99 µs")
 	fmt.Fprintf(w, "direct\t%.1f\t%.1f\n", r.DirectP50, r.DirectP99)
-	fmt.Fprintf(w, "entry host\t%.1f\t%.1f\n", r.EntryP50, r.EntryP99)
+	fmt.Fprintf(w, "entry host\t%.1f\t%.1f\n", r.EntryHostP50, r.EntryHostP99)
 	fmt.Fprintf(w, "added\t%.1f\t%.1f\n", r.AddedP50, r.AddedP99)
 	fmt.Fprintf(w, "added allocations a request\t%.1f\t(%.0f bytes)\n", r.AddedAllocs, r.AddedBytes)
 	return errors.Join(w.Flush(), writeJSON(o.overheadOut, r))
--- a/internal/loadctl/loadctl_test.go
+++ b/internal/loadctl/loadctl_test.go
@@ -17,7 +17,7 @@
 	g := NewWithT(t)
 	mix, err := parseMix("/a,/b:2.5,/c:1:stream", "acc", "{}")
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(mix).To(Equal([]load.Request{
+	g.Expect(mix).To(Equal([]load.RequestKind{
 		{Path: "/a", Weight: 1, Account: "acc", Body: "{}"},
 		{Path: "/b", Weight: 2.5, Account: "acc", Body: "{}"},
 		{Path: "/c", Weight: 1, Account: "acc", Body: "{}", Stream: true},
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -35,14 +35,14 @@
 // Report holds microseconds and allocations for one request.
 type Report struct {
 	Options
-	DirectP50   float64 `json:"direct_p50_us"`
-	DirectP99   float64 `json:"direct_p99_us"`
-	EntryP50    float64 `json:"entry_p50_us"`
-	EntryP99    float64 `json:"entry_p99_us"`
-	AddedP50    float64 `json:"added_p50_us"`
-	AddedP99    float64 `json:"added_p99_us"`
-	AddedAllocs float64 `json:"added_allocations"`
-	AddedBytes  float64 `json:"added_bytes"`
+	DirectP50    float64 `json:"direct_p50_us"`
+	DirectP99    float64 `json:"direct_p99_us"`
+	EntryHostP50 float64 `json:"entry_p50_us"`
+	EntryHostP99 float64 `json:"entry_p99_us"`
+	AddedP50     float64 `json:"added_p50_us"`
+	AddedP99     float64 `json:"added_p99_us"`
+	AddedAllocs  float64 `json:"added_allocations"`
+	AddedBytes   float64 `json:"added_bytes"`
 }
 
 const (
@@ -100,9 +100,9 @@
 func report(o Options, direct, entry *side) Report {
 	r := Report{
 		Options: o, DirectP50: direct.micros(50), DirectP99: direct.micros(99),
-		EntryP50: entry.micros(50), EntryP99: entry.micros(99),
+		EntryHostP50: entry.micros(50), EntryHostP99: entry.micros(99),
 	}
-	r.AddedP50, r.AddedP99 = r.EntryP50-r.DirectP50, r.EntryP99-r.DirectP99
+	r.AddedP50, r.AddedP99 = r.EntryHostP50-r.DirectP50, r.EntryHostP99-r.DirectP99
 	n := float64(entry.hist.TotalCount())
 	r.AddedAllocs = (float64(entry.allocs) - float64(direct.allocs)) / n
 	r.AddedBytes = (float64(entry.bytes) - float64(direct.bytes)) / n
--- a/internal/replay/bound.go
+++ b/internal/replay/bound.go
@@ -11,7 +11,7 @@
 // fluid problem: buckets of one second, divisible requests, cached prefixes
 // and free links. A price for each pool and bucket bounds the worth from above
 // whatever the prices are; a subgradient search only makes the bound tighter.
-func Bound(d *Deployment, s Scenario, records []Record) float64 {
+func UpperBound(d *Deployment, s Scenario, records []Record) float64 {
 	b := newBounder(d, s, records)
 	best := b.flat()
 	mean := make([][]float64, len(b.price))
@@ -106,13 +106,13 @@
 // ByRoute returns the records with every service time replaced by its route's
 // mean. Their bound is the fluid bound of a policy that knows the demand but
 // not how long a single request takes.
-func ByRoute(d *Deployment, records []Record) []Record {
+func WithMeanServiceTimes(d *Deployment, records []Record) []Record {
 	out := slices.Clone(records)
 	for i := range out {
 		for _, m := range d.Mix {
 			if m.Route == out[i].Route {
 				out[i].Work = nil
-				for _, w := range m.Mean {
+				for _, w := range m.MeanServiceTimes {
 					out[i].Work = append(out[i].Work, micros(w))
 				}
 			}
@@ -188,14 +188,14 @@
 
 func pace(s Scenario, pool string, i int, at time.Duration) float64 {
 	for _, f := range s.Faults {
-		if f.Pool != pool || at < f.From || at >= f.Until || i%max(1, f.Every) != 0 {
+		if f.Pool != pool || at < f.From || at >= f.Until || i%max(1, f.EveryNth) != 0 {
 			continue
 		}
 		switch f.Kind {
-		case Dead:
+		case ServersDown:
 			return 0
-		case Slow:
-			return 1 / f.Factor
+		case SlowServers:
+			return 1 / f.SlowdownFactor
 		}
 	}
 	return 1
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -11,34 +11,34 @@
 // Deployment is one users' system: its tables, places, callers and the shape
 // of its work.
 type Deployment struct {
-	Name    string
-	Tables  table.Tables
-	Regions []string // one failure domain each
-	Hosts   int      // entry hosts a region
+	Name           string
+	Tables         table.Tables
+	Regions        []string // one failure domain each
+	HostsPerRegion int      // entry hosts a region
 	// Accounts are the client accounts with their part of the demand.
-	Accounts []Account
-	Mix      []Mix
-	Engines  string // the pool that generates
-	Reranker string // the pool of the slow-reranker trace
+	Accounts     []Account
+	Mix          []RouteMix
+	EnginePool   string // the pool that generates
+	RerankerPool string // the pool of the slow-reranker trace
 }
 
 // Account is a client account.
 type Account struct {
-	Name   string
-	Demand float64 // part of all requests
-	Weight float64 // of its fair share; contracted in proportion to the ordinary demand
+	Name           string
+	DemandFraction float64 // part of all requests
+	Weight         float64 // of its fair share; contracted in proportion to the ordinary demand
 }
 
 // Mix is how often a route is asked for and what it takes.
-type Mix struct {
-	Route string
-	Part  float64
-	Mean  []time.Duration // service time by stage
-	Bytes []int           // body, then the output of each stage
+type RouteMix struct {
+	Route            string
+	Fraction         float64
+	MeanServiceTimes []time.Duration // service time by stage
+	Bytes            []int           // body, then the output of each stage
 }
 
 // Domain returns the only failure domain of a region.
-func Domain(region string) string { return region + "-1" }
+func FailureDomain(region string) string { return region + "-1" }
 
 func pool(name string, kind table.PoolKind, slots, n int, regions []string) table.Pool {
 	p := table.Pool{Name: name, Kind: kind, Slots: slots}
@@ -54,7 +54,7 @@
 func newServer(pool string, i int, region string) table.Server {
 	return table.Server{
 		Name: fmt.Sprintf("%s-%d", pool, i+1), Address: fmt.Sprintf("%s-%d:80", pool, i+1),
-		Domain: Domain(region), Region: region,
+		Domain: FailureDomain(region), Region: region,
 	}
 }
 
@@ -82,7 +82,7 @@
 	encode, retrieve := stage("encoders", 200*ms, 1), stage("retrievers", 300*ms, 1)
 	rerank := stage("rerankers", 300*ms, 2)
 	d := &Deployment{
-		Name: "kalahari", Regions: r, Hosts: 2, Engines: "recipe-model", Reranker: "rerankers",
+		Name: "kalahari", Regions: r, HostsPerRegion: 2, EnginePool: "recipe-model", RerankerPool: "rerankers",
 		Accounts: []Account{{"boilers", .35, .35}, {"blenders", .3, .3}, {"depots", .2, .2}, {"buyers", .1, .1}, {"office", .05, .05}},
 	}
 	d.Tables.Pools = []table.Pool{
@@ -98,7 +98,7 @@
 		route("transfer", table.Interactive, 3*time.Second, 10, stage("kettle-floor", 500*ms, 1), once(stage("depot-ledger", time.Second, 2))),
 		route("order-status", table.Interactive, 2*time.Second, 1, stage("buyer-portal", 500*ms, 1)),
 	}
-	d.Mix = []Mix{
+	d.Mix = []RouteMix{
 		{"draft", .25, []time.Duration{40 * ms, 60 * ms, 80 * ms, 1200 * ms}, []int{24 << 10, 8 << 10, 48 << 10, 20 << 10, 12 << 10}},
 		{"substitution", .30, []time.Duration{30 * ms, 50 * ms, 700 * ms}, []int{4 << 10, 4 << 10, 16 << 10, 3 << 10}},
 		{"note-tags", .15, []time.Duration{40 * ms, 600 * ms, 40 * ms}, []int{6 << 10, 6 << 10, 1 << 10, 200}},
@@ -113,7 +113,7 @@
 	r := []string{"palermo", "catania", "siracusa"}
 	encode, retrieve := stage("encoders", 200*ms, 1), stage("retrievers", 300*ms, 1)
 	d := &Deployment{
-		Name: "zagara", Regions: r, Hosts: 2, Engines: "bilberry-pool", Reranker: "rerankers",
+		Name: "zagara", Regions: r, HostsPerRegion: 2, EnginePool: "bilberry-pool", RerankerPool: "rerankers",
 		Accounts: []Account{{"ville", .4, .4}, {"borghi", .25, .25}, {"lidi", .2, .2}, {"ricevimenti", .1, .1}, {"sposi", .05, .05}},
 	}
 	d.Tables.Pools = []table.Pool{
@@ -129,7 +129,7 @@
 		route("raise", table.Standard, 3*time.Second, 2, stage("planner-portal", 500*ms, 1), stage("notify-hub", 500*ms, 1)),
 		route("score", table.Background, 6*time.Second, .5, encode, stage("bilberry-pool", 3*time.Second, 5)),
 	}
-	d.Mix = []Mix{
+	d.Mix = []RouteMix{
 		{"chat", .40, []time.Duration{20 * ms, 40 * ms, 500 * ms}, []int{3 << 10, 4 << 10, 16 << 10, 1 << 10}},
 		{"proposal", .15, []time.Duration{40 * ms, 60 * ms, 80 * ms, 1500 * ms}, []int{16 << 10, 8 << 10, 48 << 10, 20 << 10, 16 << 10}},
 		{"visit", .10, []time.Duration{30 * ms, 60 * ms}, []int{500, 500, 200}},
@@ -161,13 +161,13 @@
 }
 
 // Rate returns the requests a second at which the engines are just full.
-func (d *Deployment) Rate() float64 {
-	p := d.pool(d.Engines)
+func (d *Deployment) SaturationRate() float64 {
+	p := d.pool(d.EnginePool)
 	var seconds float64
 	for _, m := range d.Mix {
 		for i, st := range d.route(m.Route).Stages {
-			if st.Pool == d.Engines {
-				seconds += m.Part * m.Mean[i].Seconds()
+			if st.Pool == d.EnginePool {
+				seconds += m.Fraction * m.MeanServiceTimes[i].Seconds()
 			}
 		}
 	}
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -14,17 +14,17 @@
 // host is a fake entry host around real decision code.
 type host struct {
 	*run
-	Place
-	*Decider
+	Location
+	*HostPolicy
 	rand     clock.Rand
 	registry *server.Registry
 	pickers  map[string]pick.Picker
 	profiles map[string]*admission.Profile
 }
 
-func (r *run) newHost(at Place, seed uint64) *host {
-	h := &host{run: r, Place: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
-	h.Decider = r.policy.New(at, h.rand)
+func (r *run) newHost(at Location, seed uint64) *host {
+	h := &host{run: r, Location: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
+	h.HostPolicy = r.policy.New(at, h.rand)
 	h.install()
 	return h
 }
@@ -109,8 +109,8 @@
 		f.end(admission.Failed)
 		return
 	}
-	if f.attempts == 0 && f.First != nil {
-		f.First(st.Pool)
+	if f.attempts == 0 && f.RecordFirstAttempt != nil {
+		f.RecordFirstAttempt(st.Pool)
 	}
 	f.attempts++
 	f.tried = append(f.tried, srv.State)
@@ -118,7 +118,7 @@
 }
 
 func (f *flow) affinity() uint64 {
-	if f.route.Stages[f.stage].Pool != f.deployment.Engines {
+	if f.route.Stages[f.stage].Pool != f.deployment.EnginePool {
 		return 0
 	}
 	return f.rec.Prefix
@@ -139,7 +139,7 @@
 		seq: f.nextSeq(), work: fromMicros(f.rec.Work[f.stage]), prefill: fromMicros(f.rec.Prefill), prefix: f.rec.Prefix,
 		poison: f.rec.Poison && f.stage == len(f.route.Stages)-1,
 	}
-	if !f.Blind {
+	if !f.Naive {
 		j.priority = int(f.req.Profile.Class)
 	}
 	a.job = j
@@ -170,8 +170,8 @@
 	}
 	f.current = nil
 	a.srv.State.EndRequest()
-	if f.Record != nil {
-		f.Record(f.time(), a.srv.State, recorded(r), f.now-a.at)
+	if f.RecordOutcome != nil {
+		f.RecordOutcome(f.time(), a.srv.State, recorded(r), f.now-a.at)
 	}
 	if r == succeeded {
 		f.req.StreamDuration = 0
@@ -185,10 +185,10 @@
 	st := &f.route.Stages[f.stage]
 	repeat := r == refused || r == unreached || st.Repeatable
 	limit := maxAttempts
-	if f.Blind {
+	if f.Naive {
 		limit++ // three retries
 	}
-	if repeat && f.attempts < limit && (f.Retry == nil || f.Retry(st.Pool)) {
+	if repeat && f.attempts < limit && (f.AllowRetry == nil || f.AllowRetry(st.Pool)) {
 		f.try()
 		return
 	}
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -9,41 +9,41 @@
 
 // Result holds the measures of one replay.
 type Result struct {
-	Deployment string  `json:"deployment"`
-	Scenario   string  `json:"scenario"`
-	Policy     string  `json:"policy"`
-	Seed       uint64  `json:"seed"`
-	Offered    int     `json:"offered"`
-	Completed  int     `json:"completed"`
-	Refused    int     `json:"refused"`
-	Worth      float64 `json:"worth"`    // of requests completed in time
-	OfBound    float64 `json:"of_bound"` // worth as a part of the bound
-	OfFluid    float64 `json:"of_fluid"` // the same of the bound that knows routes' means only
+	Deployment      string  `json:"deployment"`
+	Scenario        string  `json:"scenario"`
+	Policy          string  `json:"policy"`
+	Seed            uint64  `json:"seed"`
+	Offered         int     `json:"offered"`
+	Completed       int     `json:"completed"`
+	Refused         int     `json:"refused"`
+	Worth           float64 `json:"worth"`    // of requests completed in time
+	BoundRatio      float64 `json:"of_bound"` // worth as a part of the bound
+	FluidBoundRatio float64 `json:"of_fluid"` // the same of the bound that knows routes' means only
 	// Attainment is the part completed in time, by class.
-	Interactive float64 `json:"interactive"`
-	Standard    float64 `json:"standard"`
-	Background  float64 `json:"background"`
-	Cost        float64 `json:"cost"` // of slot seconds, by the stages' price
-	Stages      []Spend `json:"stages"`
-	Wasted      float64 `json:"wasted"` // worst stage's part spent on requests that missed
-	WastedIn    string  `json:"wasted_in"`
-	CrossBytes  int64   `json:"cross_bytes"`
-	WorstShare  float64 `json:"worst_share"` // worst account's part of its fair due
+	Interactive      float64     `json:"interactive"`
+	Standard         float64     `json:"standard"`
+	Background       float64     `json:"background"`
+	Cost             float64     `json:"cost"` // of slot seconds, by the stages' price
+	Stages           []StageCost `json:"stages"`
+	WastedFraction   float64     `json:"wasted"` // worst stage's part spent on requests that missed
+	WastedStage      string      `json:"wasted_in"`
+	CrossRegionBytes int64       `json:"cross_bytes"`
+	WorstShareRatio  float64     `json:"worst_share"` // worst account's part of its fair due
 	// WorstServed is the same when the due is a share of what was served, so
 	// that it shows how evenly and not how much.
-	WorstServed float64 `json:"worst_served"`
+	WorstServedRatio float64 `json:"worst_served"`
 	// Returned came back when told to, and Served of them completed then;
 	// background requests, which are refused as long as others wait, apart.
-	Returned         int     `json:"returned"`
-	Served           float64 `json:"served"`
-	ServedBackground float64 `json:"served_background"`
+	ClientRetries          int     `json:"returned"`
+	ClientRetrySuccess     float64 `json:"served"`
+	BackgroundRetrySuccess float64 `json:"served_background"`
 }
 
 // Spend is what one stage's slot time went into.
-type Spend struct {
-	Stage  string  `json:"stage"`
-	Cost   float64 `json:"cost"`
-	Wasted float64 `json:"wasted"`
+type StageCost struct {
+	Stage          string  `json:"stage"`
+	Cost           float64 `json:"cost"`
+	WastedFraction float64 `json:"wasted"`
 }
 
 func (r *run) measure() *Result {
@@ -53,7 +53,7 @@
 	}
 	m.Interactive, m.Standard, m.Background = r.attained("interactive"), r.attained("standard"), r.attained("background")
 	m.spending(slices.Concat(r.outcomes, r.returned), r.deployment)
-	m.WorstShare, m.WorstServed = r.worstShares()
+	m.WorstShareRatio, m.WorstServedRatio = r.worstShares()
 	r.comeBacks(m)
 	return m
 }
@@ -61,7 +61,7 @@
 func (r *run) comeBacks(m *Result) {
 	var back, served [2]int
 	for _, o := range r.returned {
-		m.CrossBytes += o.crossed
+		m.CrossRegionBytes += o.crossed
 		i := 0
 		if r.deployment.route(o.rec.Route).Class == table.Background {
 			i = 1
@@ -71,13 +71,13 @@
 			served[i]++
 		}
 	}
-	m.Returned = back[0] + back[1]
-	m.Served = float64(served[0]) / float64(max(1, back[0]))
-	m.ServedBackground = float64(served[1]) / float64(max(1, back[1]))
+	m.ClientRetries = back[0] + back[1]
+	m.ClientRetrySuccess = float64(served[0]) / float64(max(1, back[0]))
+	m.BackgroundRetrySuccess = float64(served[1]) / float64(max(1, back[1]))
 }
 
 func (m *Result) count(o *outcome, worth float64) {
-	m.CrossBytes += o.crossed
+	m.CrossRegionBytes += o.crossed
 	switch {
 	case o.completed:
 		m.Completed++
@@ -125,10 +125,10 @@
 			continue
 		}
 		part := float64(wasted[p.Name]) / float64(slots[p.Name])
-		m.Stages = append(m.Stages, Spend{p.Name, cost[p.Name], part})
+		m.Stages = append(m.Stages, StageCost{p.Name, cost[p.Name], part})
 		m.Cost += cost[p.Name]
-		if part > m.Wasted && slots[p.Name] >= leastSpend {
-			m.Wasted, m.WastedIn = part, p.Name
+		if part > m.WastedFraction && slots[p.Name] >= leastSpend {
+			m.WastedFraction, m.WastedStage = part, p.Name
 		}
 	}
 }
@@ -189,7 +189,7 @@
 		return 0
 	}
 	for i, st := range rt.Stages {
-		if st.Pool == r.deployment.Engines {
+		if st.Pool == r.deployment.EnginePool {
 			return fromMicros(rec.Work[i]).Seconds()
 		}
 	}
@@ -197,7 +197,7 @@
 }
 
 func (r *run) engineCapacity(from time.Duration) float64 {
-	c := capacity(r.deployment, r.scenario, r.deployment.Engines, int((from+sharePhase)/time.Second))
+	c := capacity(r.deployment, r.scenario, r.deployment.EnginePool, int((from+sharePhase)/time.Second))
 	var sum float64
 	for _, v := range c[int(from/time.Second):] {
 		sum += v
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -16,38 +16,38 @@
 )
 
 // Place is where an entry host stands.
-type Place struct{ Name, Domain, Region string }
+type Location struct{ Name, Domain, Region string }
 
 // Decider is the decision code of one entry host.
-type Decider struct {
+type HostPolicy struct {
 	Admitter  admission.Admitter
 	NewPicker func(table.Pool, []pick.Server) pick.Picker
 	// Tick runs the periodic part of the decisions; nil: none.
 	Tick func(now time.Time, pools map[string]pick.Picker)
 	// Record tells the decisions how an attempt ended; nil: not told.
-	Record func(now time.Time, s *server.State, o server.Outcome, took time.Duration)
+	RecordOutcome func(now time.Time, s *server.State, o server.Outcome, took time.Duration)
 	// Retry reports whether the budget allows another attempt at a pool;
 	// First counts a first attempt.
-	Retry func(pool string) bool
-	First func(pool string)
+	AllowRetry         func(pool string) bool
+	RecordFirstAttempt func(pool string)
 	// Blind deciders send no priority and repeat whatever failed.
-	Blind bool
+	Naive bool
 }
 
 // Policy makes the deciders of a run.
 type Policy struct {
 	Name string
-	New  func(at Place, r clock.Rand) *Decider
+	New  func(at Location, r clock.Rand) *HostPolicy
 }
 
 // Naive is the baseline: a random server, first come first served, three blind
 // retries, no admission.
 func Naive() Policy {
-	return Policy{"naive", func(Place, clock.Rand) *Decider {
-		return &Decider{
+	return Policy{"naive", func(Location, clock.Rand) *HostPolicy {
+		return &HostPolicy{
 			Admitter:  admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandomPicker(s) },
-			Blind:     true,
+			Naive:     true,
 		}
 	}}
 }
@@ -55,13 +55,13 @@
 // Placement is the naive policy with servers chosen by place and load, priority
 // at the engines and a retry budget, but no admission.
 func Placement() Policy {
-	return Policy{"placement", func(at Place, _ clock.Rand) *Decider {
-		d := &Decider{
+	return Policy{"placement", func(at Location, _ clock.Rand) *HostPolicy {
+		d := &HostPolicy{
 			Admitter: admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 				return pick.NewLocalityPicker(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
 			},
-			Record: func(now time.Time, s *server.State, o server.Outcome, took time.Duration) {
+			RecordOutcome: func(now time.Time, s *server.State, o server.Outcome, took time.Duration) {
 				s.RecordOutcome(now, o, took)
 			},
 		}
@@ -72,7 +72,7 @@
 
 // Current is the policy of the entry host.
 func Current() Policy {
-	return Policy{"current", func(at Place, r clock.Rand) *Decider {
+	return Policy{"current", func(at Location, r clock.Rand) *HostPolicy {
 		d := Placement().New(at, r)
 		c := admission.NewController(admission.DefaultOptions(), r)
 		d.Admitter = c
@@ -91,7 +91,7 @@
 }
 
 // budgets gives the decider a retry budget for each pool.
-func (d *Decider) budgets() {
+func (d *HostPolicy) budgets() {
 	pools := map[string]*limit.RetryBudget{}
 	of := func(pool string) *limit.RetryBudget {
 		if pools[pool] == nil {
@@ -99,8 +99,8 @@
 		}
 		return pools[pool]
 	}
-	d.First = func(pool string) { of(pool).RecordFirstAttempt() }
-	d.Retry = func(pool string) bool { return of(pool).Allow() }
+	d.RecordFirstAttempt = func(pool string) { of(pool).RecordFirstAttempt() }
+	d.AllowRetry = func(pool string) bool { return of(pool).Allow() }
 }
 
 // Policies returns every policy, the baseline first.
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -9,7 +9,7 @@
 )
 
 func short(name string, load float64) Scenario {
-	return Scenario{Name: name, Load: load, Length: 10 * time.Second}
+	return Scenario{Name: name, LoadFactor: load, Duration: 10 * time.Second}
 }
 
 // A figure is only worth something if the run that gave it can be repeated.
@@ -22,7 +22,7 @@
 				d := Kalahari()
 				s := short("x", 1.5)
 				var b bytes.Buffer
-				g.Expect(WriteJSON(&b, []*Result{Replay(d, s, Generate(d, s, 7), p, 7)})).To(Succeed())
+				g.Expect(WriteJSON(&b, []*Result{Replay(d, s, GenerateTrace(d, s, 7), p, 7)})).To(Succeed())
 				if first == nil {
 					first = b.Bytes()
 				}
@@ -35,7 +35,7 @@
 func TestTraceSurvivesWritingAndReading(t *testing.T) {
 	g := NewWithT(t)
 	d := Zagara()
-	want := Generate(d, short("x", .5), 3)
+	want := GenerateTrace(d, short("x", .5), 3)
 	var b bytes.Buffer
 	g.Expect(WriteTrace(&b, want)).To(Succeed())
 	got, err := ReadTrace(&b)
@@ -49,19 +49,19 @@
 	g := NewWithT(t)
 	d := Kalahari()
 	low := short("x", .3)
-	records := Generate(d, low, 1)
+	records := GenerateTrace(d, low, 1)
 	var offered float64
 	for i := range records {
 		offered += d.route(records[i].Route).Worth
 	}
-	g.Expect(Bound(d, low, records)).To(BeNumerically("~", offered, offered/100))
+	g.Expect(UpperBound(d, low, records)).To(BeNumerically("~", offered, offered/100))
 	high := short("x", 4)
-	records = Generate(d, high, 1)
+	records = GenerateTrace(d, high, 1)
 	offered = 0
 	for i := range records {
 		offered += d.route(records[i].Route).Worth
 	}
-	g.Expect(Bound(d, high, records)).To(BeNumerically("<", .8*offered))
+	g.Expect(UpperBound(d, high, records)).To(BeNumerically("<", .8*offered))
 }
 
 func TestFairDueLendsWhatOthersLeave(t *testing.T) {
@@ -76,14 +76,14 @@
 func TestRecordedTraceHasToFit(t *testing.T) {
 	g := NewWithT(t)
 	d := Kalahari()
-	records := Generate(d, short("x", .1), 1)
-	job := Job{Deployments: []*Deployment{d}, Only: "ordinary", Policies: []Policy{Naive()}, Records: records}
+	records := GenerateTrace(d, short("x", .1), 1)
+	job := Job{Deployments: []*Deployment{d}, Scenario: "ordinary", Policies: []Policy{Naive()}, Records: records}
 	_, err := Run(job)
 	g.Expect(err).NotTo(HaveOccurred())
 	records[3].Route = "nowhere"
 	_, err = Run(job)
 	g.Expect(err).To(MatchError(ContainSubstring("record 4")))
-	job.Only = ""
+	job.Scenario = ""
 	_, err = Run(job)
 	g.Expect(err).To(HaveOccurred())
 }
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -14,9 +14,9 @@
 type Job struct {
 	Seed        uint64
 	Deployments []*Deployment
-	Only        string // one scenario; empty: all
+	Scenario    string // one scenario; empty: all
 	Policies    []Policy
-	Parallel    int
+	Concurrency int
 	// Records, if set, are replayed in place of generated ones: a recorded
 	// trace of the one deployment and scenario that the job names.
 	Records []Record
@@ -33,7 +33,7 @@
 	var units []unit
 	for _, d := range j.Deployments {
 		for _, s := range Scenarios(d) {
-			if j.Only == "" || j.Only == s.Name {
+			if j.Scenario == "" || j.Scenario == s.Name {
 				u := unit{d: d, s: s}
 				if s.EqualShares {
 					u.d = d.equalShares()
@@ -43,7 +43,7 @@
 		}
 	}
 	if len(units) == 0 {
-		return nil, fmt.Errorf("there is no scenario %q", j.Only)
+		return nil, fmt.Errorf("there is no scenario %q", j.Scenario)
 	}
 	if j.Records != nil && len(units) != 1 {
 		return nil, fmt.Errorf("a recorded trace needs one deployment and one scenario, not %d", len(units))
@@ -51,21 +51,21 @@
 	n := len(j.Policies)
 	out := make([]*Result, len(units)*n)
 	g := errgroup.Group{}
-	g.SetLimit(max(1, j.Parallel))
+	g.SetLimit(max(1, j.Concurrency))
 	for i, u := range units {
 		g.Go(func() error {
 			u.records = j.Records
 			if u.records == nil {
-				u.records = Generate(u.d, u.s, j.Seed)
+				u.records = GenerateTrace(u.d, u.s, j.Seed)
 			}
 			if err := check(u.d, u.records); err != nil {
 				return err
 			}
-			bound := Bound(u.d, u.s, u.records)
-			fluid := Bound(u.d, u.s, ByRoute(u.d, u.records))
+			bound := UpperBound(u.d, u.s, u.records)
+			fluid := UpperBound(u.d, u.s, WithMeanServiceTimes(u.d, u.records))
 			for k, p := range j.Policies {
 				res := Replay(u.d, u.s, u.records, p, j.Seed)
-				res.Seed, res.OfBound, res.OfFluid = j.Seed, res.Worth/bound, res.Worth/fluid
+				res.Seed, res.BoundRatio, res.FluidBoundRatio = j.Seed, res.Worth/bound, res.Worth/fluid
 				out[i*n+k] = res
 			}
 			return nil
@@ -97,8 +97,8 @@
 	fmt.Fprintln(t, "deployment\ttrace\tpolicy\toffered\trefused\tworth\tof bound\tof fluid\tinteractive\tstandard\tbackground\tcost\twasted\tin\tcross MB\tworst share\tof served\tback\tserved\t")
 	for _, r := range results {
 		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%d\t%.0f\t%.3f\t%.3f\t%.3f\t%.3f\t%.3f\t%.0f\t%.3f\t%s\t%.1f\t%.2f\t%.2f\t%d\t%.2f\t\n",
-			r.Deployment, r.Scenario, r.Policy, r.Offered, r.Refused, r.Worth, r.OfBound, r.OfFluid, r.Interactive, r.Standard, r.Background,
-			r.Cost, r.Wasted, r.WastedIn, float64(r.CrossBytes)/(1<<20), r.WorstShare, r.WorstServed, r.Returned, r.Served)
+			r.Deployment, r.Scenario, r.Policy, r.Offered, r.Refused, r.Worth, r.BoundRatio, r.FluidBoundRatio, r.Interactive, r.Standard, r.Background,
+			r.Cost, r.WastedFraction, r.WastedStage, float64(r.CrossRegionBytes)/(1<<20), r.WorstShareRatio, r.WorstServedRatio, r.ClientRetries, r.ClientRetrySuccess)
 	}
 	return t.Flush()
 }
@@ -127,7 +127,7 @@
 }
 
 // Interleave puts each earlier result before the present one of its trace.
-func Interleave(results, previous []*Result) []*Result {
+func InterleavePrevious(results, previous []*Result) []*Result {
 	var out []*Result
 	for _, r := range results {
 		if r.Policy == Current().Name {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -80,7 +80,7 @@
 	}
 	for _, region := range d.Regions {
 		for i := range r.perRegion() {
-			at := Place{hostName(region, i), Domain(region), region}
+			at := Location{hostName(region, i), FailureDomain(region), region}
 			r.hosts = append(r.hosts, r.newHost(at, seed+uint64(len(r.hosts))+2))
 		}
 	}
@@ -146,15 +146,15 @@
 }
 
 func (r *run) perRegion() int {
-	if r.scenario.Hosts > 0 {
-		return r.scenario.Hosts
+	if r.scenario.HostsPerRegion > 0 {
+		return r.scenario.HostsPerRegion
 	}
-	return r.deployment.Hosts
+	return r.deployment.HostsPerRegion
 }
 
 func (r *run) reportEvery() time.Duration {
-	if r.scenario.ReportEvery > 0 {
-		return r.scenario.ReportEvery
+	if r.scenario.ReportInterval > 0 {
+		return r.scenario.ReportInterval
 	}
 	return time.Second
 }
@@ -198,20 +198,20 @@
 // fault starts or ends a fault.
 func (r *run) fault(f Fault, on bool) {
 	switch f.Kind {
-	case Cut:
+	case RegionPartition:
 		r.cut[f.Region] = on
-	case CutAll:
+	case FullPartition:
 		r.cutAll = on
-	case Replace:
+	case ServerReplacement:
 		r.replace(f)
-	case Slow:
+	case SlowServers:
 		for _, s := range r.hit(f) {
 			s.factor = 1
 			if on {
-				s.factor = f.Factor
+				s.factor = f.SlowdownFactor
 			}
 		}
-	case Dead:
+	case ServersDown:
 		for _, s := range r.hit(f) {
 			if on {
 				s.kill()
@@ -225,7 +225,7 @@
 func (r *run) hit(f Fault) []*fakeServer {
 	var out []*fakeServer
 	for i, s := range r.deployment.pool(f.Pool).Servers {
-		if i%f.Every == 0 {
+		if i%f.EveryNth == 0 {
 			out = append(out, r.servers[s.Address])
 		}
 	}
@@ -241,7 +241,7 @@
 			continue
 		}
 		servers := slices.Clone(pools[i].Servers)
-		for k := 0; k < len(servers); k += f.Every {
+		for k := 0; k < len(servers); k += f.EveryNth {
 			servers[k].Name += "b"
 			servers[k].Address = "b" + servers[k].Address
 		}
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -9,25 +9,25 @@
 
 // Scenario is a trace's demand and the faults that happen during it.
 type Scenario struct {
-	Name   string
-	Load   float64 // demand as a multiple of what just fills the engines
-	Length time.Duration
-	Bursts []Burst
-	Faults []Fault
+	Name       string
+	LoadFactor float64 // demand as a multiple of what just fills the engines
+	Duration   time.Duration
+	Bursts     []Burst
+	Faults     []Fault
 	// EqualShares makes every account weigh the same, whatever its size.
 	EqualShares bool
 	// Hosts is how many entry hosts a region has; 0: as the deployment.
-	Hosts int
+	HostsPerRegion int
 	// ReportEvery is how often servers report their load; 0: each second.
-	ReportEvery time.Duration
-	Poison      time.Duration // a crashing request is sent again this often; 0: never
+	ReportInterval time.Duration
+	PoisonInterval time.Duration // a crashing request is sent again this often; 0: never
 }
 
 // Burst is additional demand of one account.
 type Burst struct {
-	Account     int // index into Deployment.Accounts
-	Load        float64
-	From, Until time.Duration
+	AccountIndex int // index into Deployment.Accounts
+	LoadFactor   float64
+	From, Until  time.Duration
 }
 
 // FaultKind names a fault.
@@ -35,21 +35,21 @@
 
 // Kinds of faults.
 const (
-	Slow    FaultKind = iota // servers take Factor times as long
-	Dead                     // servers refuse connections; work on them is lost
-	Cut                      // a region's links to all others are silent
-	CutAll                   // no region reaches another
-	Replace                  // a release replaces servers by fresh ones
+	SlowServers       FaultKind = iota // servers take Factor times as long
+	ServersDown                        // servers refuse connections; work on them is lost
+	RegionPartition                    // a region's links to all others are silent
+	FullPartition                      // no region reaches another
+	ServerReplacement                  // a release replaces servers by fresh ones
 )
 
 // Fault is one fault and how long it lasts.
 type Fault struct {
-	Kind        FaultKind
-	Pool        string
-	Every       int // of the pool's servers, each Every-th; 1: all
-	Region      string
-	Factor      float64
-	From, Until time.Duration
+	Kind           FaultKind
+	Pool           string
+	EveryNth       int // of the pool's servers, each Every-th; 1: all
+	Region         string
+	SlowdownFactor float64
+	From, Until    time.Duration
 }
 
 const (
@@ -62,27 +62,27 @@
 // Scenarios returns the stated traces of a deployment, in the order of the
 // design note.
 func Scenarios(d *Deployment) []Scenario {
-	half := Fault{Kind: Dead, Pool: d.Engines, Every: 2, From: faultFrom, Until: faultUntil}
+	half := Fault{Kind: ServersDown, Pool: d.EnginePool, EveryNth: 2, From: faultFrom, Until: faultUntil}
 	burst := Burst{bigAccount, 1, faultFrom, faultUntil}
 	return []Scenario{
-		{Name: "ordinary", Load: .6},
-		{Name: "release", Load: .7, Faults: []Fault{{Kind: Replace, Pool: d.Engines, Every: 3, From: faultFrom}}},
-		{Name: "burst", Load: .6, Bursts: []Burst{burst}},
-		{Name: "slow-reranker", Load: .7, Faults: []Fault{{Kind: Slow, Pool: d.Reranker, Every: 3, Factor: 12, From: faultFrom, Until: faultUntil}}},
-		{Name: "slow-engines", Load: .6, Faults: []Fault{{Kind: Slow, Pool: d.Engines, Every: 4, Factor: 3, From: faultFrom, Until: faultUntil}}},
-		{Name: "half-engines", Load: .8, Faults: []Fault{half}},
-		{Name: "domain-cut", Load: .6, Faults: []Fault{{Kind: Cut, Region: d.Regions[1], From: faultFrom, Until: faultUntil}}},
-		{Name: "region-cut", Load: .7, Faults: []Fault{{Kind: CutAll, From: faultFrom, Until: faultUntil}}},
-		{Name: "crash", Load: .6, Poison: 5 * time.Second},
-		{Name: "burst+half", Load: .6, Bursts: []Burst{burst}, Faults: []Fault{half}},
-		{Name: "pool-down", Load: .6, Faults: []Fault{{Kind: Dead, Pool: d.Engines, Every: 1, From: faultFrom, Until: faultUntil}}},
-		{Name: "load-1x", Load: 1},
-		{Name: "load-1.5x", Load: 1.5},
-		{Name: "equal-1.5x", Load: 1.5, EqualShares: true},
-		{Name: "stale-1.5x", Load: 1.5, ReportEvery: 10 * time.Second},
-		{Name: "hosts-1.5x", Load: 1.5, Hosts: 12},
-		{Name: "load-2x", Load: 2},
-		{Name: "load-3x", Load: 3},
+		{Name: "ordinary", LoadFactor: .6},
+		{Name: "release", LoadFactor: .7, Faults: []Fault{{Kind: ServerReplacement, Pool: d.EnginePool, EveryNth: 3, From: faultFrom}}},
+		{Name: "burst", LoadFactor: .6, Bursts: []Burst{burst}},
+		{Name: "slow-reranker", LoadFactor: .7, Faults: []Fault{{Kind: SlowServers, Pool: d.RerankerPool, EveryNth: 3, SlowdownFactor: 12, From: faultFrom, Until: faultUntil}}},
+		{Name: "slow-engines", LoadFactor: .6, Faults: []Fault{{Kind: SlowServers, Pool: d.EnginePool, EveryNth: 4, SlowdownFactor: 3, From: faultFrom, Until: faultUntil}}},
+		{Name: "half-engines", LoadFactor: .8, Faults: []Fault{half}},
+		{Name: "domain-cut", LoadFactor: .6, Faults: []Fault{{Kind: RegionPartition, Region: d.Regions[1], From: faultFrom, Until: faultUntil}}},
+		{Name: "region-cut", LoadFactor: .7, Faults: []Fault{{Kind: FullPartition, From: faultFrom, Until: faultUntil}}},
+		{Name: "crash", LoadFactor: .6, PoisonInterval: 5 * time.Second},
+		{Name: "burst+half", LoadFactor: .6, Bursts: []Burst{burst}, Faults: []Fault{half}},
+		{Name: "pool-down", LoadFactor: .6, Faults: []Fault{{Kind: ServersDown, Pool: d.EnginePool, EveryNth: 1, From: faultFrom, Until: faultUntil}}},
+		{Name: "load-1x", LoadFactor: 1},
+		{Name: "load-1.5x", LoadFactor: 1.5},
+		{Name: "equal-1.5x", LoadFactor: 1.5, EqualShares: true},
+		{Name: "stale-1.5x", LoadFactor: 1.5, ReportInterval: 10 * time.Second},
+		{Name: "hosts-1.5x", LoadFactor: 1.5, HostsPerRegion: 12},
+		{Name: "load-2x", LoadFactor: 2},
+		{Name: "load-3x", LoadFactor: 3},
 	}
 }
 
@@ -93,16 +93,16 @@
 )
 
 // Generate makes the trace of a scenario; the seed alone decides it.
-func Generate(d *Deployment, s Scenario, seed uint64) []Record {
+func GenerateTrace(d *Deployment, s Scenario, seed uint64) []Record {
 	g := &generator{d: d, r: rand.New(rand.NewPCG(seed, 0x5eed)), zipf: nil}
 	g.zipf = rand.NewZipf(g.r, 1.1, 4, prefixes-1)
 	var out []Record
-	out = g.arrivals(out, s.Load*d.Rate(), 0, length(s), -1)
+	out = g.arrivals(out, s.LoadFactor*d.SaturationRate(), 0, length(s), -1)
 	for _, b := range s.Bursts {
-		out = g.arrivals(out, b.Load*d.Rate(), b.From, b.Until, b.Account)
+		out = g.arrivals(out, b.LoadFactor*d.SaturationRate(), b.From, b.Until, b.AccountIndex)
 	}
-	if s.Poison > 0 {
-		for at := s.Poison; at < length(s); at += s.Poison {
+	if s.PoisonInterval > 0 {
+		for at := s.PoisonInterval; at < length(s); at += s.PoisonInterval {
 			rec := g.record(at, 1)
 			rec.Route, rec.Poison = d.Mix[0].Route, true
 			g.work(&rec, &d.Mix[0])
@@ -114,8 +114,8 @@
 }
 
 func length(s Scenario) time.Duration {
-	if s.Length > 0 {
-		return s.Length
+	if s.Duration > 0 {
+		return s.Duration
 	}
 	return traceLength
 }
@@ -139,9 +139,9 @@
 
 func (g *generator) record(at time.Duration, account int) Record {
 	if account < 0 {
-		account = draw(g.r.Float64(), len(g.d.Accounts), func(i int) float64 { return g.d.Accounts[i].Demand })
+		account = draw(g.r.Float64(), len(g.d.Accounts), func(i int) float64 { return g.d.Accounts[i].DemandFraction })
 	}
-	m := &g.d.Mix[draw(g.r.Float64(), len(g.d.Mix), func(i int) float64 { return g.d.Mix[i].Part })]
+	m := &g.d.Mix[draw(g.r.Float64(), len(g.d.Mix), func(i int) float64 { return g.d.Mix[i].Fraction })]
 	rec := Record{
 		At: micros(at), Region: g.d.Regions[g.r.IntN(len(g.d.Regions))],
 		Account: g.d.Accounts[account].Name, Route: m.Route, Prefix: g.zipf.Uint64() + 1,
@@ -150,14 +150,14 @@
 	return rec
 }
 
-func (g *generator) work(rec *Record, m *Mix) {
+func (g *generator) work(rec *Record, m *RouteMix) {
 	rec.Work = rec.Work[:0]
 	rec.Bytes = append(rec.Bytes[:0], m.Bytes...)
 	for i, st := range g.d.route(m.Route).Stages {
-		w := m.Mean[i].Seconds() * math.Exp(sigma*g.r.NormFloat64()-sigma*sigma/2)
+		w := m.MeanServiceTimes[i].Seconds() * math.Exp(sigma*g.r.NormFloat64()-sigma*sigma/2)
 		rec.Work = append(rec.Work, int64(w*1e6))
-		if st.Pool == g.d.Engines {
-			rec.Prefill = int64(prefillShare * m.Mean[i].Seconds() * 1e6)
+		if st.Pool == g.d.EnginePool {
+			rec.Prefill = int64(prefillShare * m.MeanServiceTimes[i].Seconds() * 1e6)
 		}
 	}
 }
