--- a/cmd/bilberryctl/main.go
+++ b/cmd/bilberryctl/main.go
@@ -1,4 +1,4 @@
-// Command bilberryctl is the operators' command.
+// Command bilberryctl is the command line tool for operators.
 package main
 
 import (
--- a/cmd/bilberryd/main.go
+++ b/cmd/bilberryd/main.go
@@ -23,19 +23,19 @@
 	}
 }
 
-// drainDelay is the daemon's default: time for a balancer to see that the host
-// is no longer ready.
-const drainDelay = 2 * time.Second
+// defaultDrainDelay gives a balancer time to see that the host is not ready any
+// more, before the host refuses requests.
+const defaultDrainDelay = 2 * time.Second
 
 func run(args []string) error {
 	opts := entryhost.DefaultOptions()
-	opts.DrainDelay = drainDelay
-	p := flaggy.NewParser("bilberryd")
-	p.Version = settings.Version()
-	p.Description = "Serves callers' requests through the stages of their routes."
-	set := settings.New(p, "BILBERRYD")
+	opts.DrainDelay = defaultDrainDelay
+	parser := flaggy.NewParser("bilberryd")
+	parser.Version = settings.Version()
+	parser.Description = "Serves callers' requests through the stages of their routes."
+	set := settings.New(parser, "BILBERRYD")
 	opts.Register(set)
-	if err := errors.Join(settings.Parse(p, args, set), opts.Check()); err != nil {
+	if err := errors.Join(settings.Parse(parser, args, set), opts.Check()); err != nil {
 		return err
 	}
 	reload := make(chan os.Signal, 1)
@@ -43,7 +43,8 @@
 	opts.Reload = reload
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	// A second signal ends the process at once, cutting what is in flight.
+	// Once ctx ends, signals have their default action again: a second one ends the
+	// process at once and cuts off the requests in flight.
 	context.AfterFunc(ctx, stop)
 	host, err := entryhost.New(ctx, opts)
 	if err != nil {
--- a/cmd/bilberryedge/main.go
+++ b/cmd/bilberryedge/main.go
@@ -1,4 +1,4 @@
-// Command bilberryedge is the daemon of an entry host on a platform that keeps
+// Command bilberryedge is the daemon of an entry host on a platform that stores
 // configuration and backend servers in its object API.
 package main
 
@@ -18,8 +18,8 @@
 )
 
 func main() {
-	// First of all: until then a SIGHUP, which only asks to read the settings
-	// again, ends the process.
+	// This comes first: SIGHUP requests a reload of the settings, but until it is
+	// handled, it ends the process.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	if err := run(os.Args[1:], hup); err != nil {
@@ -28,37 +28,39 @@
 	}
 }
 
-// memoryShare of the platform's limit is where the garbage collector works
-// harder; the rest is for unread bytes in sockets, which count as well.
-const memoryShare = 0.6
+// memoryLimitShare is the share of the platform's memory limit that is set as the
+// soft limit of the Go runtime, from which the garbage collector works harder. The
+// rest is for unread bytes in socket buffers, which count toward the platform's
+// limit as well.
+const memoryLimitShare = 0.6
 
 func run(args []string, hup <-chan os.Signal) error {
 	path := os.Getenv(platform.SettingsEnvVar)
-	p := flaggy.NewParser("bilberryedge")
-	p.Version = settings.Version()
-	p.Description = "Serves clients' requests on a platform that keeps configuration and backend servers."
-	p.String(&path, "", "settings", "path of the platform's settings file ["+platform.SettingsEnvVar+"]")
+	parser := flaggy.NewParser("bilberryedge")
+	parser.Version = settings.Version()
+	parser.Description = "Serves clients' requests on a platform that stores configuration and backend servers in its object API."
+	parser.String(&path, "", "settings", "path of the platform's settings file ["+platform.SettingsEnvVar+"]")
 	check := flaggy.NewSubcommand("check")
-	check.Description = "Reads and checks the settings file, and ends."
-	p.AttachSubcommand(check, 1)
-	if err := p.ParseArgs(args); err != nil {
+	check.Description = "Reads and checks the settings file, then exits."
+	parser.AttachSubcommand(check, 1)
+	if err := parser.ParseArgs(args); err != nil {
 		return err
 	}
-	read := func() (platform.Settings, error) { return platform.ReadSettings(path) }
-	set, err := read()
+	readSettings := func() (platform.Settings, error) { return platform.ReadSettings(path) }
+	loaded, err := readSettings()
 	if err != nil {
 		return err
 	}
 	if check.Used {
-		fmt.Printf("%s: host %s in %s, clients at %s, store at %s\n", path, set.Host, set.Domain, set.ClientAddress, set.StoreAddress)
+		fmt.Printf("%s: host %s in %s, clients at %s, store at %s\n", path, loaded.Host, loaded.Domain, loaded.ClientAddress, loaded.StoreAddress)
 		return nil
 	}
-	return serve(set, read, hup)
+	return serve(loaded, readSettings, hup)
 }
 
-func serve(set platform.Settings, read func() (platform.Settings, error), hup <-chan os.Signal) error {
-	if set.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(set.MemoryBytes)))
+func serve(initial platform.Settings, readSettings func() (platform.Settings, error), hup <-chan os.Signal) error {
+	if initial.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(initial.MemoryBytes)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
@@ -67,11 +69,11 @@
 		for range hup {
 			select {
 			case reload <- struct{}{}:
-			default: // one is waiting already
+			default: // a reload is already pending
 			}
 		}
 	}()
-	host, err := edge.New(edge.Options{Settings: set, Reload: reload, ReadSettings: read, LogOutput: os.Stdout})
+	host, err := edge.New(edge.Options{Settings: initial, Reload: reload, ReadSettings: readSettings, LogOutput: os.Stdout})
 	if err != nil {
 		return err
 	}
--- a/cmd/load/main.go
+++ b/cmd/load/main.go
@@ -1,4 +1,4 @@
-// Command load measures entry hosts on this machine.
+// Command load runs load tests against entry hosts on the local machine.
 package main
 
 import (
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -1,5 +1,6 @@
-// Command replay replays seeded or recorded traces in virtual time on the
-// decision code and prints the measures of every policy side by side.
+// Command replay replays generated or recorded traces in virtual time on the code
+// for admission and server selection, and prints the results of the policies side
+// by side.
 package main
 
 import (
@@ -23,33 +24,33 @@
 }
 
 type options struct {
-	seed       int
-	deployment string
-	trace      string
-	policies   string
-	out        string
-	against    string
-	record     string
-	recorded   string
-	parallel   int
+	seed         int
+	deployment   string
+	trace        string
+	policies     string
+	outFile      string
+	baselineFile string
+	recordFile   string
+	recordedFile string
+	parallel     int
 }
 
 func run(args []string) error {
 	o := options{seed: 1, policies: strings.Join(replay.PolicyNames(), ","), parallel: max(1, runtime.NumCPU()/4)}
-	p := flaggy.NewParser("replay")
-	p.Description = "Replays traces on the decision code, in virtual time."
-	p.ShowHelpOnUnexpected = false
-	set := settings.New(p, "REPLAY")
-	set.Int(&o.seed, "seed", "seed of the traces", 0, 1<<31-1)
+	parser := flaggy.NewParser("replay")
+	parser.Description = "Replays traces in virtual time on the code for admission and server selection."
+	parser.ShowHelpOnUnexpected = false
+	set := settings.New(parser, "REPLAY")
+	set.Int(&o.seed, "seed", "seed of the generated traces", 0, 1<<31-1)
 	set.String(&o.deployment, "deployment", "kalahari or zagara; empty: both", nil)
-	set.String(&o.trace, "trace", "one trace by name; empty: all", nil)
+	set.String(&o.trace, "trace", "name of one trace; empty: all", nil)
 	set.String(&o.policies, "policies", "policies to compare, separated by commas", settings.Required)
-	set.String(&o.out, "out", "file for the measures as JSON", nil)
-	set.String(&o.against, "against", "file of an earlier --out to show beside", nil)
-	set.String(&o.record, "record", "file to write the trace to, in place of a replay; needs --deployment and --trace", nil)
-	set.String(&o.recorded, "recorded", "file of a recorded trace to replay; needs --deployment and --trace, whose faults happen", nil)
-	set.Int(&o.parallel, "parallel", "replays at once", 1, 64)
-	if err := p.ParseArgs(args); err != nil {
+	set.String(&o.outFile, "out", "file to write the results to as JSON", nil)
+	set.String(&o.baselineFile, "against", "file written by an earlier --out to show beside the results", nil)
+	set.String(&o.recordFile, "record", "file to write the generated trace to instead of replaying it; needs --deployment and --trace", nil)
+	set.String(&o.recordedFile, "recorded", "file of a recorded trace to replay; needs --deployment and --trace, whose faults are injected", nil)
+	set.Int(&o.parallel, "parallel", "maximum replays at a time", 1, 64)
+	if err := parser.ParseArgs(args); err != nil {
 		return err
 	}
 	if err := set.Validate(); err != nil {
@@ -72,23 +73,23 @@
 		}
 		job.Policies = append(job.Policies, p)
 	}
-	if o.record != "" {
-		return record(job, o.record)
+	if o.recordFile != "" {
+		return recordTrace(job, o.recordFile)
 	}
-	if err := o.read(&job); err != nil {
+	if err := o.readRecordedTrace(&job); err != nil {
 		return err
 	}
 	results, err := replay.Run(job)
 	if err != nil {
 		return err
 	}
-	if err := o.show(results); err != nil {
+	if err := o.printResults(results); err != nil {
 		return err
 	}
-	if o.out == "" {
+	if o.outFile == "" {
 		return nil
 	}
-	f, err := os.Create(o.out)
+	f, err := os.Create(o.outFile)
 	if err != nil {
 		return err
 	}
@@ -96,11 +97,12 @@
 	return replay.WriteJSON(f, results)
 }
 
-func (o *options) show(results []*replay.Result) error {
-	if o.against == "" {
+// printResults prints the results, beside those of an earlier run if one is named.
+func (o *options) printResults(results []*replay.Result) error {
+	if o.baselineFile == "" {
 		return replay.WriteTable(os.Stdout, results)
 	}
-	f, err := os.Open(o.against)
+	f, err := os.Open(o.baselineFile)
 	if err != nil {
 		return err
 	}
@@ -112,12 +114,12 @@
 	return replay.WriteTable(os.Stdout, replay.InterleavePrevious(results, previous))
 }
 
-// read takes in a recorded trace, if one is named.
-func (o *options) read(job *replay.Job) error {
-	if o.recorded == "" {
+// readRecordedTrace adds the recorded trace to job if one is named.
+func (o *options) readRecordedTrace(job *replay.Job) error {
+	if o.recordedFile == "" {
 		return nil
 	}
-	f, err := os.Open(o.recorded)
+	f, err := os.Open(o.recordedFile)
 	if err != nil {
 		return err
 	}
@@ -126,8 +128,9 @@
 	return err
 }
 
-// record writes the one generated trace that the job names.
-func record(job replay.Job, path string) error {
+// recordTrace writes the generated trace that job names to path. The job has to
+// name one deployment and one trace.
+func recordTrace(job replay.Job, path string) error {
 	for _, d := range job.Deployments {
 		for _, s := range replay.Scenarios(d) {
 			if s.Name != job.Scenario || len(job.Deployments) != 1 {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,5 +1,5 @@
-// Command standin runs one small stand-in for an outside system: the platform,
-// a model engine or a plain service.
+// Command standin runs a small stand-in for one external system: the platform's
+// object API, a model engine, a plain service or a weight store.
 package main
 
 import (
@@ -25,69 +25,72 @@
 	}
 }
 
-const crashExit = 3
+// crashExitCode is the exit code of a stand-in that crashes on request.
+const crashExitCode = 3
 
-func crash() { os.Exit(crashExit) }
+func crash() { os.Exit(crashExitCode) }
 
 func run(args []string) error {
-	p := flaggy.NewParser("standin")
-	p.Version = settings.Version()
+	parser := flaggy.NewParser("standin")
+	parser.Version = settings.Version()
 	listen := "127.0.0.1:0"
-	eng := engine.Options{Name: "engine", Slots: 8, ResponseTokens: 16, PrefillTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, ReportMaxAge: time.Second, CacheCapacity: 256, Crash: crash}
-	svc := service.Options{Name: "service", Slots: 64, ExecutionTime: 5 * time.Millisecond, Crash: crash}
+	engineOpts := engine.Options{Name: "engine", Slots: 8, ResponseTokens: 16, PrefillTime: 20 * time.Millisecond, TokenInterval: 2 * time.Millisecond, ReportMaxAge: time.Second, CacheCapacity: 256, Crash: crash}
+	serviceOpts := service.Options{Name: "service", Slots: 64, ExecutionTime: 5 * time.Millisecond, Crash: crash}
 
-	store := weights.Options{ModelBytes: 64 << 20, BytesPerSecond: 16 << 20}
+	weightsOpts := weights.Options{ModelBytes: 64 << 20, BytesPerSecond: 16 << 20}
 
-	pc, ec, sc := flaggy.NewSubcommand("platform"), flaggy.NewSubcommand("engine"), flaggy.NewSubcommand("service")
-	wc := flaggy.NewSubcommand("weights")
-	pc.Description, ec.Description, sc.Description = "object API with versions and watches", "model engine", "plain service, encoder, retriever or reranker"
-	wc.Description = "weight store with a rate"
+	platformCmd, engineCmd, serviceCmd := flaggy.NewSubcommand("platform"), flaggy.NewSubcommand("engine"), flaggy.NewSubcommand("service")
+	weightsCmd := flaggy.NewSubcommand("weights")
+	platformCmd.Description, engineCmd.Description, serviceCmd.Description = "object API with versions and watches", "model engine", "plain service, encoder, retriever or reranker"
+	weightsCmd.Description = "weight store with a rate limit"
 	var sets []*settings.Set
-	for _, c := range []*flaggy.Subcommand{pc, ec, sc, wc} {
-		p.AttachSubcommand(c, 1)
-		set := settings.New(c, "STANDIN")
+	for _, cmd := range []*flaggy.Subcommand{platformCmd, engineCmd, serviceCmd, weightsCmd} {
+		parser.AttachSubcommand(cmd, 1)
+		set := settings.New(cmd, "STANDIN")
 		set.String(&listen, "listen", "address, host:port", settings.Required)
 		sets = append(sets, set)
 	}
-	registerEngine(sets[1], &eng)
-	sets[2].String(&svc.Name, "name", "name of the backend server", settings.Required)
-	sets[2].Int(&svc.Slots, "slots", "requests run at once", 1, 10000)
-	sets[2].Duration(&svc.ExecutionTime, "time", "time of one execution", 0, time.Minute)
-	sets[3].Int(&store.ModelBytes, "size", "bytes of a model", 1, 1<<40)
-	sets[3].Int(&store.BytesPerSecond, "rate", "bytes a second for all readers together", 1, 1<<40)
-	if err := settings.Parse(p, args, sets...); err != nil {
+	registerEngineSettings(sets[1], &engineOpts)
+	sets[2].String(&serviceOpts.Name, "name", "name of the backend server", settings.Required)
+	sets[2].Int(&serviceOpts.Slots, "slots", "maximum requests running at a time", 1, 10000)
+	sets[2].Duration(&serviceOpts.ExecutionTime, "time", "duration of one execution", 0, time.Minute)
+	sets[3].Int(&weightsOpts.ModelBytes, "size", "bytes of a model", 1, 1<<40)
+	sets[3].Int(&weightsOpts.BytesPerSecond, "rate", "limit of bytes per second over all readers", 1, 1<<40)
+	if err := settings.Parse(parser, args, sets...); err != nil {
 		return err
 	}
 	switch {
-	case pc.Used:
+	case platformCmd.Used:
 		return serve(listen, platform.NewStore().Handler())
-	case ec.Used:
-		return serve(listen, engine.New(eng).Handler())
-	case sc.Used:
-		return serve(listen, service.New(svc).Handler())
-	case wc.Used:
-		return serve(listen, weights.New(store).Handler())
+	case engineCmd.Used:
+		return serve(listen, engine.New(engineOpts).Handler())
+	case serviceCmd.Used:
+		return serve(listen, service.New(serviceOpts).Handler())
+	case weightsCmd.Used:
+		return serve(listen, weights.New(weightsOpts).Handler())
 	}
 	return fmt.Errorf("name one of platform, engine, service, weights; see --help")
 }
 
-func registerEngine(set *settings.Set, o *engine.Options) {
+// registerEngineSettings adds the settings of a model engine to set.
+func registerEngineSettings(set *settings.Set, o *engine.Options) {
 	set.String(&o.Name, "name", "name of the backend server", settings.Required)
-	set.String(&o.InitialModel, "model", "model loaded at the start", nil)
+	set.String(&o.InitialModel, "model", "model that is loaded at start", nil)
 	set.Int(&o.Slots, "slots", "sequences in a batch", 1, 10000)
-	set.Int(&o.ResponseTokens, "tokens", "tokens of each answer", 1, 100000)
+	set.Int(&o.ResponseTokens, "tokens", "tokens of each response", 1, 100000)
 	set.Duration(&o.PrefillTime, "prefill", "time to the first token without a cached prefix", 0, time.Minute)
 	set.Duration(&o.TokenInterval, "per-token", "time between tokens", 0, time.Minute)
-	set.Duration(&o.ReportMaxAge, "report-lag", "age of the load report", 0, time.Minute)
-	set.Int(&o.CacheCapacity, "cache", "prompt prefixes kept", 1, 1000000)
-	set.Duration(&o.EventDelay, "event-lag", "age at which a cache event is published", 0, time.Hour)
-	set.Int(&o.DropEventEvery, "event-gap", "every so many cache events one is lost; 0 for none", 0, 1000000)
-	set.Duration(&o.OrderDuration, "order-time", "time to carry out an order", 0, time.Hour)
-	set.String(&o.WeightStoreURL, "weights", "base URL of the weight store; empty for none", nil)
-	set.Bool(&o.EnforceFencing, "fencing", "refuse orders with an old fencing number")
+	set.Duration(&o.ReportMaxAge, "report-lag", "age at which the load report is renewed", 0, time.Minute)
+	set.Int(&o.CacheCapacity, "cache", "prompt prefixes kept in the cache", 1, 1000000)
+	set.Duration(&o.EventDelay, "event-lag", "time from a cache event to its publication", 0, time.Hour)
+	set.Int(&o.DropEventEvery, "event-gap", "drop every nth cache event; 0: none", 0, 1000000)
+	set.Duration(&o.OrderDuration, "order-time", "duration of the execution of an order", 0, time.Hour)
+	set.String(&o.WeightStoreURL, "weights", "base URL of the weight store; empty: none", nil)
+	set.Bool(&o.EnforceFencing, "fencing", "refuse orders with an outdated fencing token")
 }
 
-// serve listens on addr and tells the address it got, for port 0.
+// serve serves h on addr and prints the address of the listener, which callers
+// need if the port of addr is 0.
 func serve(addr string, h http.Handler) error {
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/entryhost/admin.go
+++ b/entryhost/admin.go
@@ -10,7 +10,8 @@
 	"bilberrydale/internal/settings"
 )
 
-// Status is what an entry host says of itself to operators.
+// Status is the answer to GET /status: identity, readiness, release and request
+// counts of an entry host.
 type Status struct {
 	Build       string `json:"build"`
 	Name        string `json:"name"`
@@ -28,7 +29,7 @@
 	Failed      int64  `json:"failed"`
 }
 
-// Status returns the present state.
+// Status returns the current status of the host. It may be called concurrently.
 func (h *Host) Status() Status {
 	rel, _ := h.releases.follower.Current()
 	s := Status{
@@ -44,26 +45,30 @@
 	return s
 }
 
+// adminHandler serves the operators' port. Every path but /ready requires the admin
+// token.
 func (h *Host) adminHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /ready", h.health)
-	mux.Handle("GET /status", h.authorized(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.Status()) }))
-	mux.Handle("POST /drain", h.authorized(func(w http.ResponseWriter, _ *http.Request) {
+	mux.HandleFunc("GET /ready", h.serveHealth)
+	mux.Handle("GET /status", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, h.Status()) }))
+	mux.Handle("POST /drain", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		h.Drain()
 		w.WriteHeader(http.StatusAccepted)
 	}))
-	mux.Handle("GET /debug/vars", h.authorized(h.serveVars))
-	h.adminProfiles(mux)
-	h.adminReleases(mux)
-	h.adminMembers(mux)
-	h.adminPolicy(mux)
-	h.adminRequests(mux)
+	mux.Handle("GET /debug/vars", h.requireAdminToken(h.serveVars))
+	h.registerProfileRoutes(mux)
+	h.registerReleaseRoutes(mux)
+	h.registerMembershipRoutes(mux)
+	h.registerPolicyRoutes(mux)
+	h.registerRequestRoutes(mux)
 	return mux
 }
 
-// authorized asks for the admin token, compared in constant time so that its
-// bytes cannot be found by timing. Without a token the listener is loopback.
-func (h *Host) authorized(next http.HandlerFunc) http.Handler {
+// requireAdminToken answers 401 unless the request carries the admin token. The
+// comparison takes constant time, so that the token cannot be guessed byte by
+// byte from response times. If no token is set, every request passes;
+// Options.Check then accepts a loopback address only.
+func (h *Host) requireAdminToken(next http.HandlerFunc) http.Handler {
 	want := sha256.Sum256([]byte(h.opts.AdminToken))
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		got := sha256.Sum256([]byte(strings.TrimPrefix(r.Header.Get("Authorization"), "Bearer ")))
--- /dev/null
+++ b/entryhost/cross_domain_loads.go
@@ -0,0 +1,52 @@
+package entryhost
+
+import (
+	"context"
+	"time"
+
+	"bilberrydale/process/clock"
+	"bilberrydale/process/report"
+	"bilberrydale/process/server"
+)
+
+// crossDomainPoller polls the load reports of the few servers in other failure
+// domains that this host may use; reports from its own domain are shared among
+// the domain's peers. The rate of polls is fixed, so with more servers reports
+// get older and traffic stays the same. Pickers treat the load of a server with
+// an outdated report as unknown.
+type crossDomainPoller struct {
+	prober            report.Prober
+	clock             clock.Clock
+	servers           func() []*server.State
+	requestsPerSecond int
+}
+
+// Run polls the servers in turn until ctx ends, and returns nil.
+func (o *crossDomainPoller) Run(ctx context.Context) error {
+	var remaining []*server.State // of the current pass over all servers
+	for {
+		select {
+		case <-ctx.Done():
+			return nil
+		case <-o.clock.After(time.Second / time.Duration(o.requestsPerSecond)):
+		}
+		if len(remaining) == 0 {
+			remaining = o.servers()
+			continue
+		}
+		o.fetch(ctx, remaining[0])
+		remaining = remaining[1:]
+	}
+}
+
+// fetch polls one server and stores its report. If the poll fails, the last
+// report stays.
+func (o *crossDomainPoller) fetch(ctx context.Context, s *server.State) {
+	r, err := o.prober.Poll(ctx, s.Address, false)
+	if err != nil {
+		return
+	}
+	s.SetLoad(&server.Load{
+		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: o.clock.Now(),
+	})
+}
--- a/entryhost/loads_test.go
+++ b/entryhost/cross_domain_loads_test.go
@@ -12,26 +12,27 @@
 	"bilberrydale/process/server"
 )
 
-type countingProber struct{ asked chan string }
+// recordingProber sends the address of each poll on polled.
+type recordingProber struct{ polled chan string }
 
 // Poll implements report.Prober.
-func (p *countingProber) Poll(_ context.Context, address string, _ bool) (report.Report, error) {
-	p.asked <- address
+func (p *recordingProber) Poll(_ context.Context, address string, _ bool) (report.Report, error) {
+	p.polled <- address
 	return report.Report{Running: 5, Queued: 2, Slots: 8}, nil
 }
 
 // CloseIdleConnections implements report.Prober.
-func (*countingProber) CloseIdleConnections() {}
+func (*recordingProber) CloseIdleConnections() {}
 
-// Without the bound on the rate, reports would cost as much as there are
-// servers: hosts times servers in all.
-func TestOutsideLoadsKeepToTheirRate(t *testing.T) {
+// Guards against polls at a rate that grows with the number of servers: the cost
+// of all hosts would be the number of hosts times the number of servers.
+func TestCrossDomainPollerLimitsRate(t *testing.T) {
 	g := NewWithT(t)
 	c := clock.NewManual(time.Unix(1000, 0))
 	reg := server.NewRegistry()
 	a, b := reg.Get("a", "10.0.0.1:80", c.Now()), reg.Get("b", "10.0.0.2:80", c.Now())
-	p := &countingProber{make(chan string, 10)}
-	o := &outsideLoads{prober: p, clock: c, perSecond: 4, servers: func() []*server.State { return []*server.State{a, b} }}
+	p := &recordingProber{make(chan string, 10)}
+	o := &crossDomainPoller{prober: p, clock: c, requestsPerSecond: 4, servers: func() []*server.State { return []*server.State{a, b} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- o.Run(ctx) }()
@@ -39,12 +40,12 @@
 		g.Eventually(c.Waiters).Should(Equal(1))
 		c.Advance(250 * time.Millisecond)
 	}
-	step() // takes the round
+	step() // reads the list of servers
 	for _, want := range []string{a.Address, b.Address} {
 		g.Eventually(c.Waiters).Should(Equal(1))
-		g.Expect(p.asked).To(BeEmpty())
+		g.Expect(p.polled).To(BeEmpty())
 		step()
-		g.Eventually(p.asked).Should(Receive(Equal(want)))
+		g.Eventually(p.polled).Should(Receive(Equal(want)))
 	}
 	g.Eventually(c.Waiters).Should(Equal(1))
 	g.Expect(b.EstimatedRequests(c.Now())).To(BeNumerically("~", 7, .5))
--- a/entryhost/explain.go
+++ b/entryhost/explain.go
@@ -9,7 +9,8 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Explanation says what this entry host would do with a request now.
+// Explanation is the answer to GET /explain: the route, admission decision and
+// server choices that a request would get on this entry host now.
 type Explanation struct {
 	Release  uint64             `json:"release"`
 	Route    string             `json:"route"` // empty: no route matches
@@ -18,17 +19,20 @@
 	Stages   []StagePlan        `json:"stages,omitempty"`
 }
 
-// StagePlan is where one stage would run now.
+// StagePlan is the server choice for one stage: Server, or Error if no server
+// can take the stage, and the candidates that it was made from.
 type StagePlan struct {
 	Stage      string           `json:"stage"`
 	Pool       string           `json:"pool"`
-	Server     string           `json:"server,omitempty"` // the choice is random among equals
+	Server     string           `json:"server,omitempty"` // the picker chooses at random among equal candidates
 	Error      string           `json:"error,omitempty"`
 	Candidates []pick.Candidate `json:"candidates,omitempty"`
 }
 
-// explain answers GET /explain?method=&path=&account=&header=K:V&timeout=.
-func (h *Host) explain(w http.ResponseWriter, r *http.Request) {
+// serveExplain serves GET /explain?method=&path=&account=&header=K:V&timeout=.
+// The default method is POST; timeout is ignored, the route's deadline applies.
+// Nothing is admitted or dispatched.
+func (h *Host) serveExplain(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	snap := h.inForce.Load()
 	if snap == nil {
@@ -36,9 +40,9 @@
 		return
 	}
 	header := http.Header{}
-	for _, kv := range q["header"] {
-		k, v, _ := strings.Cut(kv, ":")
-		header.Set(k, strings.TrimSpace(v))
+	for _, field := range q["header"] {
+		name, value, _ := strings.Cut(field, ":")
+		header.Set(name, strings.TrimSpace(value))
 	}
 	method := q.Get("method")
 	if method == "" {
@@ -51,25 +55,27 @@
 	writeJSON(w, out)
 }
 
+// explainRoute adds the admission decision and the server choices of route rt.
 func (h *Host) explainRoute(out *Explanation, rt *snapshot.Route, account string) {
 	now := h.clock.Now()
 	out.Route, out.Class = rt.Name, string(rt.Class)
-	out.Decision = h.policy.control.Explain(now, &admission.Request{
+	out.Decision = h.policy.controller.Explain(now, &admission.Request{
 		Profile: rt.Profile, Account: account, ArrivedAt: now, Deadline: now.Add(rt.Deadline.Std()),
 	})
 	for i := range rt.Stages {
 		st := &rt.Stages[i]
 		plan := StagePlan{Stage: st.Name, Pool: st.Pool.Name}
 		if p, ok := st.Pool.Picker.(*pick.LocalityPicker); ok {
-			plan.place(p, &pick.Attempt{Now: now, Rand: h.rand, Class: rt.Class})
+			plan.setChoice(p, &pick.Attempt{Now: now, Rand: h.rand, Class: rt.Class})
 		}
 		out.Stages = append(out.Stages, plan)
 	}
 }
 
-func (s *StagePlan) place(p *pick.LocalityPicker, info *pick.Attempt) {
-	s.Candidates = p.Explain(info.Now)
-	srv, err := p.Preview(info)
+// setChoice fills in the candidates and the server that p chooses for attempt.
+func (s *StagePlan) setChoice(p *pick.LocalityPicker, attempt *pick.Attempt) {
+	s.Candidates = p.Explain(attempt.Now)
+	srv, err := p.Preview(attempt)
 	if err != nil {
 		s.Error = err.Error()
 		return
--- a/entryhost/health.go
+++ b/entryhost/health.go
@@ -7,14 +7,18 @@
 	"net/http"
 )
 
-func (h *Host) draining() bool { return h.leaving.Load() || h.gate.Closed() }
+// draining reports whether a drain has been requested or has begun.
+func (h *Host) draining() bool { return h.drainRequested.Load() || h.gate.Closed() }
 
-// ready reports whether the balancer may send requests here.
+// ready reports whether the balancer may send requests to this host: a release
+// is in force, the host has joined the distribution of releases and it is not
+// draining.
 func (h *Host) ready() bool {
-	return h.inForce.Load() != nil && h.releases.spread.Joined() && !h.draining()
+	return h.inForce.Load() != nil && h.releases.distributor.Joined() && !h.draining()
 }
 
-func (h *Host) health(w http.ResponseWriter, _ *http.Request) {
+// serveHealth answers 200 if the host is ready and 503 if it is not.
+func (h *Host) serveHealth(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Cache-Control", "no-store")
 	if !h.ready() {
 		http.Error(w, "not ready", http.StatusServiceUnavailable)
@@ -23,10 +27,11 @@
 	_, _ = w.Write([]byte("ready\n"))
 }
 
-// Drain takes the host out of service on an operator's order; the process
-// keeps running. It returns at once.
+// Drain takes the host out of service: readiness turns false at once, and new
+// requests are refused after Options.DrainDelay. The process keeps running.
+// Drain returns immediately; calls after the first have no effect.
 func (h *Host) Drain() {
-	if h.leaving.Swap(true) {
+	if h.drainRequested.Swap(true) {
 		return
 	}
 	h.log.Info("leaving: not ready", "delay", h.opts.DrainDelay)
@@ -40,8 +45,9 @@
 	}()
 }
 
-// shutdown drains and stops the servers. Refusing before the balancer has
-// noticed would hand callers refusals that another host could have answered.
+// shutdown drains the host and stops its servers. New requests are refused only
+// after the drain delay: until the balancer has noticed that the host is not
+// ready, callers would get refusals for requests that another host could serve.
 func (h *Host) shutdown() error {
 	h.Drain()
 	if !h.gate.Closed() {
@@ -58,7 +64,7 @@
 	for _, finish := range h.afterDrain {
 		err = errors.Join(err, finish(ctx))
 	}
-	err = errors.Join(err, h.callers.Shutdown(ctx), h.admin.Shutdown(ctx), h.flushSpans(ctx))
+	err = errors.Join(err, h.callersServer.Shutdown(ctx), h.adminServer.Shutdown(ctx), h.flushSpans(ctx))
 	h.log.Info("stopped", "err", err)
 	return err
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -26,7 +26,8 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Host is one entry host.
+// Host is an entry host: its listeners, its HTTP servers and the background
+// tasks behind them.
 type Host struct {
 	opts        Options
 	incarnation uint64
@@ -40,40 +41,43 @@
 	gate     drain.Gate
 	tracer   trace.Tracer
 
-	releases releasesPart
-	members  membersPart
-	policy   policyPart
-	requests requestsPart
+	releases   releaseComponents
+	membership membershipComponents
+	policy     policyComponents
+	requests   requestComponents
 
-	leaving atomic.Bool // readiness is false; requests are still taken
-	vars    expvar.Map  // of this host; served under "bilberry"
+	drainRequested atomic.Bool // not ready any more; requests are served until gate closes
+	vars           expvar.Map  // served under "bilberry" at /debug/vars
 
-	// afterDrain runs in turn at shutdown, after the last request has ended or
-	// the drain has taken too long, and while every actor still runs. What an
-	// actor did at its own end would race with the end of the peers' actor.
+	// afterDrain is called in order at shutdown, once the last request has ended
+	// or the drain has timed out, and while all tasks still run. Work that a task
+	// did at its own end would race with the end of the peer connections.
 	afterDrain []func(context.Context) error
 
-	actors     []actor
-	reloads    []chan os.Signal
-	flushSpans func(context.Context) error
-	callers    *http.Server
-	admin      *http.Server
-	listeners  [2]net.Listener
+	tasks         []task
+	certReloads   []chan os.Signal
+	flushSpans    func(context.Context) error
+	callersServer *http.Server
+	adminServer   *http.Server
+	listeners     [2]net.Listener
 }
 
-// actor is a part that runs until its context ends.
-type actor struct {
+// task is background work that runs until its context ends. An error from it
+// shuts the host down.
+type task struct {
 	name string
 	run  func(context.Context) error
 }
 
-// add registers an actor; each wire function adds its own.
-func (h *Host) add(name string, run func(context.Context) error) {
-	h.actors = append(h.actors, actor{name, run})
+// addTask registers a background task that Run starts. Each wire function adds
+// the tasks of its components.
+func (h *Host) addTask(name string, run func(context.Context) error) {
+	h.tasks = append(h.tasks, task{name, run})
 }
 
 // New builds an entry host and opens its listeners, so that a port in use is
-// an error before anything runs.
+// reported before anything runs. It returns the errors of Options.Check and those
+// of logging, tracing and listening. Call Run to serve.
 func New(ctx context.Context, opts Options) (*Host, error) {
 	if err := opts.Check(); err != nil {
 		return nil, err
@@ -96,34 +100,37 @@
 		store:    objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(opts.PlatformURL, opts.PlatformToken)), objectapi.ClientOptions{}),
 		registry: server.NewRegistry(),
 	}
-	// The order matters: later parts use what earlier ones made.
-	if err := h.wireMembers(); err != nil {
+	// The order matters: each step uses components that earlier steps created.
+	if err := h.wireMembership(); err != nil {
 		return nil, err
 	}
 	h.wireReleases()
 	h.wirePolicy()
 	h.wireRequests()
 	h.publishVars()
-	h.callers = &http.Server{
+	h.callersServer = &http.Server{
 		Handler: h.callersHandler(), ReadHeaderTimeout: opts.ReadHeaderTimeout, ReadTimeout: opts.ReadTimeout,
-		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.serverLog("callers"),
+		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.httpErrorLog("callers"),
 	}
-	h.admin = &http.Server{
+	h.adminServer = &http.Server{
 		Handler: h.adminHandler(), ReadHeaderTimeout: opts.ReadHeaderTimeout, ReadTimeout: opts.ReadTimeout,
-		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.serverLog("admin"),
+		IdleTimeout: opts.IdleTimeout, MaxHeaderBytes: opts.MaxHeaderBytes, ErrorLog: h.httpErrorLog("admin"),
 	}
 	if err := h.listen(); err != nil {
-		_ = h.members.listener.Close()
+		_ = h.membership.listener.Close()
 		return nil, err
 	}
 	return h, nil
 }
 
-// serverLog passes on what net/http reports of broken connections.
-func (h *Host) serverLog(port string) *stdlog.Logger {
+// httpErrorLog returns a logger for the connection errors that net/http reports,
+// at level debug.
+func (h *Host) httpErrorLog(port string) *stdlog.Logger {
 	return h.log.With("port", port).StandardLog(log.StandardLogOptions{ForceLevel: log.DebugLevel})
 }
 
+// listen opens the callers' and the admin port. On an error it closes those that it
+// opened.
 func (h *Host) listen() error {
 	ports := []struct{ name, addr, cert, key string }{
 		{"callers", h.opts.ListenAddress, h.opts.CertFile, h.opts.KeyFile},
@@ -132,14 +139,14 @@
 	for i, p := range ports {
 		l, err := net.Listen("tcp", p.addr)
 		if err == nil {
-			h.listeners[i], err = h.secure(l, p.name, p.cert, p.key)
+			h.listeners[i], err = h.wrapTLS(l, p.name, p.cert, p.key)
 		}
 		if err != nil {
 			h.closeListeners()
 			return fmt.Errorf("listen for %s: %w", p.name, err)
 		}
 	}
-	h.add("certificate reloads", h.forwardReloads)
+	h.addTask("certificate reloads", h.forwardReloadSignals)
 	return nil
 }
 
@@ -151,23 +158,26 @@
 	}
 }
 
-// Addresses returns the callers' and the operators' address.
+// Addresses returns the addresses, host:port, on which the host listens for
+// callers and for operators.
 func (h *Host) Addresses() (callers, admin string) {
 	return h.listeners[0].Addr().String(), h.listeners[1].Addr().String()
 }
 
-// Run serves until ctx ends, then drains: readiness goes false, new requests
-// are refused, and those in flight finish. The actors run to the end of the
-// drain: a request in flight may still need a claim, a lease or a peer.
+// Run serves until ctx ends or a task fails, then drains: readiness turns
+// false, new requests are refused after the drain delay, and those in flight
+// finish or run into the drain timeout. The tasks run to the end of the drain,
+// because a request in flight may still need a claim, a lease or a peer. Run is
+// called once; it returns the first error of a server, a task or the shutdown.
 func (h *Host) Run(ctx context.Context) error {
 	callers, admin := h.Addresses()
 	h.log.Info("entry host started", "callers", callers, "admin", admin, "incarnation", h.incarnation)
 	running, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, gctx := errgroup.WithContext(running)
-	g.Go(func() error { return serve(h.callers, h.listeners[0]) })
-	g.Go(func() error { return serve(h.admin, h.listeners[1]) })
-	for _, a := range h.actors {
+	g.Go(func() error { return serve(h.callersServer, h.listeners[0]) })
+	g.Go(func() error { return serve(h.adminServer, h.listeners[1]) })
+	for _, a := range h.tasks {
 		g.Go(func() error {
 			if err := a.run(gctx); err != nil {
 				return fmt.Errorf("%s: %w", a.name, err)
@@ -178,7 +188,7 @@
 	g.Go(func() error {
 		select {
 		case <-ctx.Done():
-		case <-gctx.Done(): // a part failed
+		case <-gctx.Done(): // a task or a server failed
 		}
 		defer stop()
 		return h.shutdown()
@@ -186,6 +196,7 @@
 	return g.Wait()
 }
 
+// serve serves s on l until the server is shut down, which is not an error.
 func serve(s *http.Server, l net.Listener) error {
 	if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
 		return err
--- a/entryhost/shell_test.go
+++ b/entryhost/host_test.go
@@ -22,56 +22,59 @@
 	"bilberrydale/version/table"
 )
 
-// held is a backend server that holds each call until release is closed.
-type held struct {
-	arrived chan http.Header
-	release chan struct{}
-	once    sync.Once
+// blockingServer is a backend server that does not respond until unblocked is
+// closed. It sends the headers of each stage call on arrived.
+type blockingServer struct {
+	arrived   chan http.Header
+	unblocked chan struct{}
+	once      sync.Once
 }
 
-func (s *held) letGo() { s.once.Do(func() { close(s.release) }) }
+func (s *blockingServer) unblock() { s.once.Do(func() { close(s.unblocked) }) }
 
-func (s *held) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *blockingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	for _, name := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(name, r.Header.Get(name))
 	}
-	if r.Header.Get(backend.HeaderRequestID) != "" { // no question for the server's load
+	if r.Header.Get(backend.HeaderRequestID) != "" { // not a poll of the server's load
 		s.arrived <- r.Header.Clone()
 	}
-	<-s.release
+	<-s.unblocked
 	_, _ = w.Write([]byte(`"whole"`))
 }
 
-// heldWorld has one route of one stage to a held backend server.
-func heldWorld() (*world, *held) {
-	w := newWorld()
-	s := &held{arrived: make(chan http.Header, 8), release: make(chan struct{})}
-	w.pool(table.Pool{Name: "encoders", Kind: table.Service, Slots: 8}, s)
-	DeferCleanup(s.letGo) // a failed spec must not leave calls that wait for ever
-	r := fourStages()
+// newBlockingEnv returns a platform with one route of one stage, and the
+// blocking server that runs the stage.
+func newBlockingEnv() (*testEnv, *blockingServer) {
+	env := newTestEnv()
+	s := &blockingServer{arrived: make(chan http.Header, 8), unblocked: make(chan struct{})}
+	env.addPool(table.Pool{Name: "encoders", Kind: table.Service, Slots: 8}, s)
+	DeferCleanup(s.unblock) // a failed spec must not leave blocked calls behind
+	r := fourStageRoute()
 	r.Stages = r.Stages[:1]
-	w.tables.Routes = []table.Route{r}
-	w.apply("ada")
-	return w, s
+	env.tables.Routes = []table.Route{r}
+	env.publish("ada")
+	return env, s
 }
 
-type sent struct {
+// callerResponse is the response that a caller got.
+type callerResponse struct {
 	status int
 	body   string
 	header http.Header
 }
 
-func sendInBackground(h *Host) chan sent {
-	out := make(chan sent, 1)
+func sendAsync(h *Host) chan callerResponse {
+	out := make(chan callerResponse, 1)
 	go func() {
 		defer GinkgoRecover()
-		resp, body := send(h, "/v1/drafts", "", `{}`)
-		out <- sent{resp.StatusCode, string(body), resp.Header}
+		resp, body := sendToHost(h, "/v1/drafts", "", `{}`)
+		out <- callerResponse{resp.StatusCode, string(body), resp.Header}
 	}()
 	return out
 }
 
-func get(h *Host, path string) (int, string) {
+func getAdmin(h *Host, path string) (int, string) {
 	_, admin := h.Addresses()
 	resp, err := http.Get("http://" + admin + path)
 	Expect(err).NotTo(HaveOccurred())
@@ -81,88 +84,88 @@
 	return resp.StatusCode, string(data)
 }
 
-var _ = Describe("the shell of the daemon", func() {
-	// A caller's request is in flight when the platform ends the host. First
-	// readiness goes false while requests are still taken, so that the balancer
-	// moves callers away before one is refused; then new requests are refused as
-	// not run; the one in flight gets its whole answer, and the parts it may
-	// still need run until then.
-	It("cuts no request at a graceful shutdown", func() {
-		w, s := heldWorld()
-		h := w.newHost("e1", func(o *Options) { o.DrainDelay = 3 * time.Second })
+var _ = Describe("the entry host daemon", func() {
+	// A request is in flight when the platform ends the host. First, readiness has to
+	// turn false while new requests are still served, so that the balancer moves
+	// callers away before one is refused. Then new requests are refused as not run.
+	// The one in flight gets its complete response, and the tasks that it may still
+	// need run until then.
+	It("cuts off no request at a graceful shutdown", func() {
+		env, s := newBlockingEnv()
+		h := env.newHost("e1", func(o *Options) { o.DrainDelay = 3 * time.Second })
 		c := clock.NewManual(time.Unix(0, 0))
 		h.clock = c
-		partEnded := make(chan struct{})
-		h.add("probe", func(ctx context.Context) error {
+		taskEnded := make(chan struct{})
+		h.addTask("probe", func(ctx context.Context) error {
 			<-ctx.Done()
-			close(partEnded)
+			close(taskEnded)
 			return nil
 		})
 		finished := make(chan int64, 1)
 		h.afterDrain = append(h.afterDrain, func(context.Context) error {
 			defer GinkgoRecover()
-			Expect(partEnded).NotTo(BeClosed())
+			Expect(taskEnded).NotTo(BeClosed())
 			finished <- h.gate.Active()
 			return nil
 		})
 		stop, done := runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
-		first := sendInBackground(h)
+		first := sendAsync(h)
 		Eventually(s.arrived).Should(Receive())
 
 		stop()
 		Eventually(h.ready).Should(BeFalse())
-		status, _ := get(h, "/ready")
+		status, _ := getAdmin(h, "/ready")
 		Expect(status).To(Equal(http.StatusServiceUnavailable))
-		second := sendInBackground(h) // the balancer has not noticed yet
+		second := sendAsync(h) // the balancer has not noticed the drain yet
 		Eventually(s.arrived).Should(Receive())
 
 		Eventually(func() bool { c.Advance(3 * time.Second); return h.gate.Closed() }).Should(BeTrue())
-		late := <-sendInBackground(h)
+		late := <-sendAsync(h)
 		Expect(late.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(late.body).To(And(ContainSubstring(`"kind":"draining"`), ContainSubstring(`"ran":"no"`)))
-		Expect(partEnded).NotTo(BeClosed())
+		Expect(taskEnded).NotTo(BeClosed())
 		Expect(done).NotTo(Receive())
 
-		s.letGo()
-		for _, ch := range []chan sent{first, second} {
-			var got sent
+		s.unblock()
+		for _, ch := range []chan callerResponse{first, second} {
+			var got callerResponse
 			Eventually(ch).Should(Receive(&got))
 			Expect(got.status).To(Equal(http.StatusOK))
 			Expect(got.body).To(Equal(`"whole"`))
 		}
 		Eventually(done, 10*time.Second).Should(Receive(BeNil()))
 		Expect(finished).To(Receive(BeZero()))
-		Expect(partEnded).To(BeClosed())
+		Expect(taskEnded).To(BeClosed())
 	})
 
-	// A request meets a defect of ours and panics. Its caller gets one answer;
-	// the requests beside it and after it are served.
+	// A request panics in the host because of a bug. Its caller has to get one
+	// response, and later requests are served.
 	It("survives a panic of one request", func() {
-		w, s := heldWorld()
-		s.letGo()
-		h := w.host("e1")
+		env, s := newBlockingEnv()
+		s.unblock()
+		h := env.startHost("e1")
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
-		sound := h.inForce.Load()
-		broken := *sound.Routes[0]
+		valid := h.inForce.Load()
+		broken := *valid.Routes[0]
 		broken.Stages = []snapshot.Stage{{Stage: broken.Stages[0].Stage}} // no pool
 		h.inForce.Store(&snapshot.Snapshot{Routes: []*snapshot.Route{&broken}})
-		got := <-sendInBackground(h)
+		got := <-sendAsync(h)
 		Expect(got.status).To(Equal(http.StatusInternalServerError))
 		Expect(got.body).To(ContainSubstring(`"kind":"internal"`))
-		h.inForce.Store(sound)
-		Expect((<-sendInBackground(h)).status).To(Equal(http.StatusOK))
+		h.inForce.Store(valid)
+		Expect((<-sendAsync(h)).status).To(Equal(http.StatusOK))
 		Expect(h.gate.Active()).To(BeZero())
 	})
 
-	It("makes one span a hop and passes the trace on", func() {
-		w, s := heldWorld()
-		s.letGo()
+	It("creates one span per hop and propagates the trace", func() {
+		env, s := newBlockingEnv()
+		s.unblock()
 		spans := tracetest.NewInMemoryExporter()
-		h := w.newHost("e1", func(o *Options) { o.SpanExporter = spans })
+		h := env.newHost("e1", func(o *Options) { o.SpanExporter = spans })
 		runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
-		Expect((<-sendInBackground(h)).status).To(Equal(http.StatusOK))
+		Expect((<-sendAsync(h)).status).To(Equal(http.StatusOK))
 		var hop http.Header
 		Eventually(s.arrived).Should(Receive(&hop))
 		Eventually(spans.GetSpans).Should(HaveLen(2))
@@ -174,10 +177,10 @@
 		Expect(hop.Get("Traceparent")).To(ContainSubstring(stage.SpanContext.TraceID().String() + "-" + stage.SpanContext.SpanID().String()))
 	})
 
-	It("bounds callers and answers the balancer on their port", func() {
-		w, s := heldWorld()
-		s.letGo()
-		h := w.newHost("e1", func(o *Options) { o.MaxBodyBytes, o.MaxHeaderBytes, o.HealthPath = 16, 4096, "/up" })
+	It("limits the size of requests and answers the balancer on the callers' port", func() {
+		env, s := newBlockingEnv()
+		s.unblock()
+		h := env.newHost("e1", func(o *Options) { o.MaxBodyBytes, o.MaxHeaderBytes, o.HealthPath = 16, 4096, "/up" })
 		callers, _ := h.Addresses()
 		runHost(h)
 		Eventually(func() int {
@@ -186,24 +189,24 @@
 			resp.Body.Close()
 			return resp.StatusCode
 		}, 5*time.Second).Should(Equal(http.StatusOK))
-		resp, body := send(h, "/v1/drafts", "", strings.Repeat("a", 17))
+		resp, body := sendToHost(h, "/v1/drafts", "", strings.Repeat("a", 17))
 		Expect(resp.StatusCode).To(Equal(http.StatusRequestEntityTooLarge))
 		Expect(string(body)).To(ContainSubstring(`"ran":"no"`))
-		resp, _ = send(h, "/v1/drafts", strings.Repeat("a", 16<<10), "{}")
+		resp, _ = sendToHost(h, "/v1/drafts", strings.Repeat("a", 16<<10), "{}")
 		Expect(resp.StatusCode).To(Equal(http.StatusRequestHeaderFieldsTooLarge))
 	})
 
 	It("shows no secret in status, variables or logs", func() {
-		w, s := heldWorld()
-		s.letGo()
-		h := w.newHost("e1", func(o *Options) { o.AdminToken, o.PeerSecret, o.PlatformToken = "hush-a", "hush-b", "hush-c" })
+		env, s := newBlockingEnv()
+		s.unblock()
+		h := env.newHost("e1", func(o *Options) { o.AdminToken, o.PeerSecret, o.PlatformToken = "hush-a", "hush-b", "hush-c" })
 		var logged bytes.Buffer
 		h.log.SetOutput(&logged)
 		stop, done := runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		_, admin := h.Addresses()
 		for _, path := range []string{"/status", "/debug/vars", "/tables", "/peers", "/debug/pprof/"} {
-			status, _ := get(h, path)
+			status, _ := getAdmin(h, path)
 			Expect(status).To(Equal(http.StatusUnauthorized), path)
 			req, err := http.NewRequest(http.MethodGet, "http://"+admin+path, nil)
 			Expect(err).NotTo(HaveOccurred())
@@ -223,50 +226,51 @@
 		Expect(logged.String()).NotTo(ContainSubstring("hush"))
 	})
 
-	// Callers send more at once than the host is to hold. What is over the bound
-	// gets its final answer before its body is read; what is within goes on.
-	It("bounds the requests in the host", func() {
-		w, s := heldWorld()
-		h := w.newHost("e1", func(o *Options) { o.MaxInFlight = 2 })
+	// Callers send more requests at once than the host may have in flight. Those over
+	// the limit are refused before their bodies are read; the others are served.
+	It("limits the requests in flight", func() {
+		env, s := newBlockingEnv()
+		h := env.newHost("e1", func(o *Options) { o.MaxInFlight = 2 })
 		runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
-		held := []chan sent{sendInBackground(h), sendInBackground(h)}
+		held := []chan callerResponse{sendAsync(h), sendAsync(h)}
 		Eventually(h.gate.Active).Should(BeEquivalentTo(2))
-		over := <-sendInBackground(h)
+		over := <-sendAsync(h)
 		Expect(over.status).To(Equal(http.StatusServiceUnavailable))
 		Expect(over.body).To(And(ContainSubstring(`"kind":"overloaded"`), ContainSubstring(`"ran":"no"`)))
 		Expect(over.header.Get("Retry-After")).To(Equal("1"))
 		Expect(over.header.Get("X-Request-Id")).NotTo(BeEmpty())
-		s.letGo()
+		s.unblock()
 		for _, ch := range held {
 			Expect((<-ch).status).To(Equal(http.StatusOK))
 		}
 	})
 
-	// A burst of refusals must not cost a log line each; their number stays known.
-	It("bounds the log lines about refusals", func() {
-		w, _ := heldWorld()
-		h := w.newHost("e1", func(o *Options) { o.RefusalLogsPerSecond, o.LogLevel = 1, "info" })
+	// A burst of refusals must not cause a log line for each of them; those that are
+	// not logged are counted.
+	It("limits the log lines about refusals", func() {
+		env, _ := newBlockingEnv()
+		h := env.newHost("e1", func(o *Options) { o.RefusalLogsPerSecond, o.LogLevel = 1, "info" })
 		var logged bytes.Buffer
 		h.log.SetOutput(&logged)
 		stop, done := runHost(h)
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		limit := h.requests.handler.(*entry.Handler).LogLimit
-		limit.SetLimit(0) // the burst alone
+		limit.SetLimit(0) // only the burst of 1 is logged
 		for range 5 {
-			resp, _ := send(h, "/nowhere", "", "{}")
+			resp, _ := sendToHost(h, "/nowhere", "", "{}")
 			Expect(resp.StatusCode).To(Equal(http.StatusNotFound))
 		}
-		_, vars := get(h, "/debug/vars")
+		_, vars := getAdmin(h, "/debug/vars")
 		Expect(vars).To(ContainSubstring(`"refusals_unlogged": 4`))
 		stop()
 		Eventually(done, 10*time.Second).Should(Receive())
 		Expect(strings.Count(logged.String(), "request refused")).To(Equal(1))
 	})
 
-	It("says which port is taken before anything runs", func() {
-		w, _ := heldWorld()
-		running := w.newHost("e1", func(*Options) {})
+	It("reports which port is in use before anything runs", func() {
+		env, _ := newBlockingEnv()
+		running := env.newHost("e1", func(*Options) {})
 		runHost(running)
 		o := running.opts
 		o.AdminAddress, _ = running.Addresses()
@@ -274,7 +278,7 @@
 		Expect(err).To(MatchError(ContainSubstring("listen for admin")))
 	})
 
-	It("reports every fault of its settings together", func() {
+	It("reports all errors in its settings together", func() {
 		o := DefaultOptions()
 		o.AdminAddress, o.ListenAddress, o.PeerAddress = "10.0.0.1:1", "127.0.0.1:9", "127.0.0.1:9"
 		o.CertFile, o.AdminCertFile, o.AdminKeyFile = "c.pem", "none.pem", "none.key"
--- /dev/null
+++ b/entryhost/membership.go
@@ -0,0 +1,138 @@
+package entryhost
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync/atomic"
+
+	"bilberrydale/connection/peerconn"
+	"bilberrydale/connection/serverprobe"
+	"bilberrydale/process/lease"
+	"bilberrydale/process/member"
+	"bilberrydale/process/order"
+	"bilberrydale/process/peer"
+	"bilberrydale/process/report"
+)
+
+// membershipComponents track the other entry hosts and send orders to the engines
+// of the failure domain.
+type membershipComponents struct {
+	link peer.Link
+	view member.View
+
+	monitor      *member.Monitor
+	reportPoller *report.Poller
+	elector      *lease.Elector
+	orderManager *order.Manager
+	modelCache   atomic.Pointer[releaseModels]
+	mesh         *peer.Mesh
+	listener     net.Listener
+}
+
+// checkPeerAddress requires a secret for a peer port that is not on loopback:
+// without one, anybody who reaches the port could connect as an entry host.
+func (o *Options) checkPeerAddress() error {
+	if o.PeerSecret == "" && !isLoopback(o.PeerAddress) {
+		return errors.New("--peer: an address other than loopback needs --peer-secret")
+	}
+	return nil
+}
+
+// wireMembership opens the peer port and adds the mesh of connections between
+// entry hosts.
+func (h *Host) wireMembership() error {
+	l, err := net.Listen("tcp", h.opts.PeerAddress)
+	if err != nil {
+		return fmt.Errorf("listen for peers: %w", err)
+	}
+	self := peer.Identity{
+		Host: h.opts.Name, Incarnation: h.incarnation, Domain: h.opts.Domain, Region: h.opts.Region,
+		Address: l.Addr().String(),
+	}
+	if h.opts.Membership.AdvertiseAddress != "" {
+		self.Address = h.opts.Membership.AdvertiseAddress
+	}
+	connOptions := peerconn.Options{Self: self, Secret: []byte(h.opts.PeerSecret)}
+	mesh := peer.NewMesh(peer.MeshOptions{
+		Self: self, Clock: h.clock, Rand: h.rand,
+		Dial: func(ctx context.Context, address string, dispatch peer.Dispatch) (peer.Conn, error) {
+			c, err := peerconn.Dial(ctx, address, connOptions, dispatch)
+			if err != nil {
+				return nil, err
+			}
+			return c, nil
+		},
+	})
+	h.membership.link, h.membership.mesh, h.membership.listener = mesh, mesh, l
+	server := &peerconn.Server{
+		Options: connOptions, Dispatch: mesh.Dispatch,
+		OnAccept: func(c peer.Conn) {
+			if id := c.Peer(); id.Host == self.Host && id.Incarnation != self.Incarnation {
+				h.log.Error("another entry host has this name; give each its own --name", "address", id.Address)
+			}
+			mesh.AddAccepted(c)
+		},
+		OnReject: func(address string, cause error) { h.log.Warn("peer refused", "address", address, "err", cause) },
+	}
+	h.addTask("peer port", func(ctx context.Context) error {
+		defer mesh.Close()
+		return server.Run(ctx, l)
+	})
+	h.wireMonitor(mesh)
+	return nil
+}
+
+// wireMonitor adds the membership view of the other entry hosts and the sharing
+// of backend server reports.
+func (h *Host) wireMonitor(mesh *peer.Mesh) {
+	seeds := h.opts.seedAddresses()
+	monitor := member.New(member.Options{
+		Link: mesh, Clock: h.clock, Rand: h.rand, Draining: h.gate.Closed,
+		Seeds: func() []string { return append(h.membership.reportPoller.Seeds(), seeds...) },
+	})
+	mesh.OnConnect(monitor.RecordAlive)
+	h.membership.monitor, h.membership.view = monitor, monitor
+	h.membership.reportPoller = report.New(report.Options{
+		Link: mesh, View: monitor, Monitor: monitor, Clock: h.clock, Rand: h.rand,
+		Prober: serverprobe.New(serverprobe.Options{}), Targets: h.reportTargets, ListHosts: h.store.Hosts,
+	})
+	h.addTask("membership", monitor.Run)
+	h.addTask("backend server reports", h.membership.reportPoller.Run)
+	h.wireOrders(monitor)
+}
+
+// reportTargets returns the backend servers of all pools of the release in force.
+func (h *Host) reportTargets() []report.Target {
+	snap := h.inForce.Load()
+	if snap == nil {
+		return nil
+	}
+	var out []report.Target
+	for _, p := range snap.Pools {
+		for _, s := range p.Picker.Servers() {
+			out = append(out, report.Target{State: s.State, Domain: s.Domain})
+		}
+	}
+	return out
+}
+
+// seedAddresses returns the entries of PeerSeeds without blanks.
+func (o *Options) seedAddresses() []string {
+	var out []string
+	for address := range strings.SplitSeq(o.PeerSeeds, ",") {
+		if address = strings.TrimSpace(address); address != "" {
+			out = append(out, address)
+		}
+	}
+	return out
+}
+
+func (h *Host) registerMembershipRoutes(mux *http.ServeMux) {
+	mux.Handle("GET /peers", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, h.membership.view.Peers())
+	}))
+}
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -1,6 +1,6 @@
-// Package entryhost assembles the daemon of an entry host from the parts that
-// live for a request, a connection, a version and the process. It is the
-// library behind cmd/bilberryd and may import all of them.
+// Package entryhost assembles the daemon of an entry host from the packages of
+// the four lifetimes: request, connection, version and process. It is the library
+// behind cmd/bilberryd and may import all of them.
 package entryhost
 
 import (
@@ -17,34 +17,34 @@
 	"bilberrydale/process/telemetry"
 )
 
-// Options are the settings of one entry host. Zero values get their defaults
-// from DefaultOptions.
+// Options are the settings of an entry host. Start from DefaultOptions: New does
+// not replace zero values by defaults. Name, Domain and Region have no default.
 type Options struct {
-	Name   string // of this entry host
+	Name   string // of this entry host; unique among all entry hosts
 	Domain string // failure domain
 	Region string
 
-	ListenAddress string // callers, host:port
-	AdminAddress  string // operators, host:port
-	PeerAddress   string // other entry hosts, host:port
-	PeerSeeds     string // addresses of other entry hosts, separated by commas
+	ListenAddress string // for callers, host:port
+	AdminAddress  string // for operators, host:port; loopback only without AdminToken
+	PeerAddress   string // for other entry hosts, host:port; loopback only without PeerSecret
+	PeerSeeds     string // peer addresses of other entry hosts to connect to first, separated by commas
 
 	PlatformURL   string // base URL of the object API
-	PlatformToken string
-	AdminToken    string
-	PeerSecret    string
+	PlatformToken string // bearer token for the platform
+	AdminToken    string // bearer token for calls to the admin port
+	PeerSecret    string // shared by all entry hosts
 
-	// DrainDelay is the time between readiness going false and the first
+	// DrainDelay is the time between readiness turning false and the first
 	// refusal, in which the balancer takes this host out of service.
 	DrainDelay           time.Duration
 	DrainTimeout         time.Duration
-	LogLevel             string
+	LogLevel             string // debug, info, warn or error
 	LogJSON              bool
-	RefusalLogsPerSecond int // lines a second about error answers
-	SpanExporterName     string
-	OTLPEndpoint         string
+	RefusalLogsPerSecond int    // limit of log lines per second about error responses
+	SpanExporterName     string // one of the Export constants of package telemetry
+	OTLPEndpoint         string // of the collector, host:port
 	SpanSampleRatio      float64
-	// SpanExporter gets the spans in place of Spans, if set.
+	// SpanExporter, if set, is used instead of the exporter with SpanExporterName.
 	SpanExporter sdktrace.SpanExporter
 
 	callerOptions
@@ -56,7 +56,7 @@
 	Releases   ReleaseOptions
 }
 
-// DefaultOptions returns the defaults.
+// DefaultOptions returns the defaults of all settings.
 func DefaultOptions() Options {
 	return Options{
 		ListenAddress: "127.0.0.1:8080", AdminAddress: "127.0.0.1:8081", PeerAddress: "127.0.0.1:8082",
@@ -64,60 +64,64 @@
 		LogLevel: "info", RefusalLogsPerSecond: 50, SpanExporterName: telemetry.ExportNone, SpanSampleRatio: 1,
 		Requests:      DefaultRequestOptions(),
 		Policy:        defaultPolicyOptions(),
-		Membership:    defaultMembersOptions(),
+		Membership:    defaultMembershipOptions(),
 		callerOptions: defaultCallerOptions(),
 		Releases:      defaultReleaseOptions(),
 	}
 }
 
-// Register adds every setting to set.
+// Register adds all settings to set, which writes their values to o.
 func (o *Options) Register(set *settings.Set) {
 	set.String(&o.Name, "name", "name of this entry host", settings.Required)
 	set.String(&o.Domain, "domain", "failure domain of this entry host", settings.Required)
 	set.String(&o.Region, "region", "region of this entry host", settings.Required)
-	set.String(&o.ListenAddress, "listen", "callers' address, host:port", address)
-	set.String(&o.AdminAddress, "admin", "operators' address, host:port; without a token loopback only", address)
-	set.String(&o.PeerAddress, "peer", "address for other entry hosts, host:port", address)
-	set.String(&o.PeerSeeds, "peers", "peer addresses of other entry hosts, separated by commas", addresses)
-	set.String(&o.PlatformURL, "platform", "base URL of the platform's object API", baseURL)
+	set.String(&o.ListenAddress, "listen", "address for callers, host:port", validateAddress)
+	set.String(&o.AdminAddress, "admin", "address for operators, host:port; without --admin-token loopback only", validateAddress)
+	set.String(&o.PeerAddress, "peer", "address for other entry hosts, host:port; without --peer-secret loopback only", validateAddress)
+	set.String(&o.PeerSeeds, "peers", "peer addresses of other entry hosts, separated by commas", validateAddresses)
+	set.String(&o.PlatformURL, "platform", "base URL of the platform's object API", validateBaseURL)
 	set.Secret(&o.PlatformToken, "platform-token", "bearer token for the platform")
-	set.Secret(&o.AdminToken, "admin-token", "bearer token that admin calls need")
-	set.Secret(&o.PeerSecret, "peer-secret", "secret that entry hosts prove to each other")
-	set.Duration(&o.DrainDelay, "drain-delay", "time from readiness going false to the first refusal, for the balancer to notice", 0, time.Minute)
+	set.Secret(&o.AdminToken, "admin-token", "bearer token required for calls to the admin port")
+	set.Secret(&o.PeerSecret, "peer-secret", "shared secret by which entry hosts authenticate each other")
+	set.Duration(&o.DrainDelay, "drain-delay", "time from readiness turning false to the first refusal, in which the balancer takes the host out of service", 0, time.Minute)
 	set.Duration(&o.DrainTimeout, "drain-timeout", "longest wait for requests in flight at shutdown", time.Second, 10*time.Minute)
 	set.String(&o.LogLevel, "log-level", "debug, info, warn or error", settings.OneOf("debug", "info", "warn", "error"))
 	set.Bool(&o.LogJSON, "log-json", "write logs as JSON")
-	set.Int(&o.RefusalLogsPerSecond, "log-refusals", "log lines a second about error answers", 0, 100000)
+	set.Int(&o.RefusalLogsPerSecond, "log-refusals", "log lines per second about error responses", 0, 100000)
 	set.String(&o.SpanExporterName, "spans", "span exporter: none, stdout or otlp", settings.OneOf(telemetry.ExportNone, telemetry.ExportStdout, telemetry.ExportOTLP))
-	set.String(&o.OTLPEndpoint, "spans-to", "OTLP collector, host:port", nil)
-	set.Float(&o.SpanSampleRatio, "spans-share", "share of requests traced", 0, 1)
-	o.callerOptions.register(set)
-	o.tlsOptions.register(set)
-	o.Requests.register(set)
-	o.Policy.register(set)
-	o.Membership.register(set)
-	o.Releases.register(set)
+	set.String(&o.OTLPEndpoint, "spans-to", "address of the OTLP collector, host:port", nil)
+	set.Float(&o.SpanSampleRatio, "spans-share", "share of requests that are traced", 0, 1)
+	o.callerOptions.registerSettings(set)
+	o.tlsOptions.registerSettings(set)
+	o.Requests.registerSettings(set)
+	o.Policy.registerSettings(set)
+	o.Membership.registerSettings(set)
+	o.Releases.registerSettings(set)
 }
 
-func address(v string) error {
+// validateAddress returns an error unless v has the form host:port.
+func validateAddress(v string) error {
 	if _, _, err := net.SplitHostPort(v); err != nil {
 		return fmt.Errorf("%q is not host:port", v)
 	}
 	return nil
 }
 
-func addresses(list string) error {
+// validateAddresses applies validateAddress to each entry of a comma-separated
+// list. The empty list is valid.
+func validateAddresses(list string) error {
 	if list == "" {
 		return nil
 	}
-	var faults []error
+	var errs []error
 	for _, v := range strings.Split(list, ",") {
-		faults = append(faults, address(strings.TrimSpace(v)))
+		errs = append(errs, validateAddress(strings.TrimSpace(v)))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-func baseURL(v string) error {
+// validateBaseURL returns an error unless v is an HTTP or HTTPS URL with a host.
+func validateBaseURL(v string) error {
 	u, err := url.Parse(v)
 	if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
 		return fmt.Errorf("%q is not a base URL such as http://10.0.0.1:8090", v)
@@ -125,34 +129,37 @@
 	return nil
 }
 
-// Check reports every fault between settings.
+// Check returns all conflicts between settings, joined into one error. It also
+// loads the certificates.
 func (o *Options) Check() error {
-	faults := []error{o.tlsOptions.check(), o.callerOptions.check(), o.distinctPorts(), o.checkPeer(), o.Requests.BackendHeaders.Check()}
-	if o.AdminToken == "" && !loopback(o.AdminAddress) {
-		faults = append(faults, errors.New("--admin: an address other than loopback needs --admin-token"))
+	errs := []error{o.tlsOptions.check(), o.callerOptions.check(), o.checkDistinctPorts(), o.checkPeerAddress(), o.Requests.BackendHeaders.Check()}
+	if o.AdminToken == "" && !isLoopback(o.AdminAddress) {
+		errs = append(errs, errors.New("--admin: an address other than loopback needs --admin-token"))
 	}
 	if o.SpanExporterName == telemetry.ExportOTLP {
-		if err := address(o.OTLPEndpoint); err != nil {
-			faults = append(faults, fmt.Errorf("--spans-to: %w; the exporter otlp needs its collector", err))
+		if err := validateAddress(o.OTLPEndpoint); err != nil {
+			errs = append(errs, fmt.Errorf("--spans-to: %w; the exporter otlp needs its collector", err))
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-// distinctPorts finds two ports of one address; port 0 is any free one.
-func (o *Options) distinctPorts() error {
+// checkDistinctPorts returns an error if two listeners have the same address.
+// Addresses with port 0 may be equal: each gets a free port.
+func (o *Options) checkDistinctPorts() error {
 	seen := map[string]string{}
-	var faults []error
+	var errs []error
 	for _, p := range []struct{ name, addr string }{{"listen", o.ListenAddress}, {"admin", o.AdminAddress}, {"peer", o.PeerAddress}} {
 		if other, dup := seen[p.addr]; dup && !strings.HasSuffix(p.addr, ":0") {
-			faults = append(faults, fmt.Errorf("--%s: %s is also --%s", p.name, p.addr, other))
+			errs = append(errs, fmt.Errorf("--%s: %s is also --%s", p.name, p.addr, other))
 		}
 		seen[p.addr] = p.name
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
-func loopback(addr string) bool {
+// isLoopback reports whether the host of addr is localhost or a loopback IP.
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return false
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -15,63 +15,67 @@
 	"bilberrydale/version/table"
 )
 
-// MembersOptions are the settings of membership and orders.
+// MembershipOptions are the settings of membership, of the order lease and of
+// orders to engines.
 type MembershipOptions struct {
-	AdvertiseAddress string  // address that peers dial; empty: the listening one
-	OrdersPerSecond  float64 // orders a second in a failure domain
-	// LeaseTTL is how long one renewal of the lease to give orders lasts. The
-	// next holder waits a fifth more.
+	AdvertiseAddress string  // address that peers dial, host:port; empty: the listener's address
+	OrdersPerSecond  float64 // limit of orders to the engines of a failure domain
+	// LeaseTTL is the duration of one renewal of the lease that allows a host to
+	// send orders. The next holder waits a fifth longer.
 	LeaseTTL time.Duration
 }
 
-func defaultMembersOptions() MembershipOptions {
+func defaultMembershipOptions() MembershipOptions {
 	return MembershipOptions{OrdersPerSecond: 1, LeaseTTL: 15 * time.Second}
 }
 
-// Parts of the lease's TTL. An order and its reading back end within the
-// longest order, which is below the margin that the holder leaves.
+// Fractions of the lease's TTL. An order and the read that confirms it end
+// within TTL/maxOrderDivisor. This is below the margin TTL/leaseMarginDivisor
+// before expiry at which the holder stops sending orders.
 const (
-	marginPart       = 3
-	longestOrderPart = 5
-	orderTimeoutPart = 11
+	leaseMarginDivisor  = 3
+	maxOrderDivisor     = 5
+	orderTimeoutDivisor = 11
 )
 
-func (o *MembershipOptions) register(set *settings.Set) {
-	set.String(&o.AdvertiseAddress, "peer-advertise", "peer address that other entry hosts dial, host:port; default the one listened on", nil)
-	set.Float(&o.OrdersPerSecond, "order-rate", "orders a second to the engines of the failure domain, within the weight store's rate", 0.01, 1000)
-	set.Duration(&o.LeaseTTL, "lease-ttl", "duration of one renewal of the lease to give orders", 5*time.Second, 10*time.Minute)
+func (o *MembershipOptions) registerSettings(set *settings.Set) {
+	set.String(&o.AdvertiseAddress, "peer-advertise", "peer address that other entry hosts dial, host:port; default: the listener's address", nil)
+	set.Float(&o.OrdersPerSecond, "order-rate", "limit of orders per second to the engines of the failure domain; keep it within the rate of the weight store", 0.01, 1000)
+	set.Duration(&o.LeaseTTL, "lease-ttl", "duration of one renewal of the lease for sending orders", 5*time.Second, 10*time.Minute)
 }
 
-// leaseCandidates is how many hosts of a domain try for its lease. The others
-// make no call to the platform for it.
-const leaseCandidates = 2
+// leaseCandidateCount is the number of hosts of a failure domain that try to
+// acquire its lease. The others make no calls to the platform for it.
+const leaseCandidateCount = 2
 
-// membersVars shows every entry host of the process by name.
-var membersVars = expvar.NewMap("members")
+// membershipVars holds the variables of each entry host in the process by its
+// name.
+var membershipVars = expvar.NewMap("members")
 
-// giveOrders lets one host of the failure domain order its engines.
-func (h *Host) giveOrders(m *member.Monitor) {
-	self := h.members.link.Self()
-	p, ttl := &h.members, h.opts.Membership.LeaseTTL
-	p.lease = lease.NewElector(lease.Options{
+// wireOrders adds the lease of the failure domain and, for its holder, the sending
+// of orders to the domain's engines.
+func (h *Host) wireOrders(monitor *member.Monitor) {
+	self := h.membership.link.Self()
+	p, ttl := &h.membership, h.opts.Membership.LeaseTTL
+	p.elector = lease.NewElector(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.KeyPrefix + h.opts.Domain, Host: h.opts.Name,
-		IsCandidate: func() bool { return !h.gate.Closed() && member.IsOwner(m, self, "lease", leaseCandidates) },
-		TTL:         ttl, Margin: ttl / marginPart, MaxOrderDuration: ttl / longestOrderPart,
+		IsCandidate: func() bool { return !h.gate.Closed() && member.IsOwner(monitor, self, "lease", leaseCandidateCount) },
+		TTL:         ttl, Margin: ttl / leaseMarginDivisor, MaxOrderDuration: ttl / maxOrderDivisor,
 	})
-	p.orders = order.New(order.Options{
-		Lease: p.lease, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Membership.OrdersPerSecond,
-		Targets: h.engineTargets, Timeout: ttl / orderTimeoutPart,
+	p.orderManager = order.New(order.Options{
+		Lease: p.elector, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Membership.OrdersPerSecond,
+		Targets: h.engineTargets, Timeout: ttl / orderTimeoutDivisor,
 	})
-	h.add("lease", p.lease.Run)
-	h.add("orders", p.orders.Run)
-	membersVars.Set(h.opts.Name, expvar.Func(h.membersStatus))
+	h.addTask("lease", p.elector.Run)
+	h.addTask("orders", p.orderManager.Run)
+	membershipVars.Set(h.opts.Name, expvar.Func(h.membershipStatus))
 }
 
-// engineTargets returns what the tables want of the engines of this failure
-// domain. A pool stays on its earlier model version until enough servers have
-// the accepted one, so both are wanted until then; without the second, the
-// switch would wait for a load that nobody ordered. An engine in several pools
-// gets the models of all.
+// engineTargets returns the desired state of each engine of this failure domain.
+// A pool stays on its current model version until enough servers have loaded the
+// one of the accepted release. Until then both are desired: without the new one,
+// the switch would wait for a load that no host orders. An engine in several
+// pools gets the models of all of them.
 func (h *Host) engineTargets() []order.Target {
 	snap := h.inForce.Load()
 	if snap == nil {
@@ -96,38 +100,39 @@
 	return out
 }
 
-// modelTable is the model of each engine pool of one release.
-type modelTable struct {
-	hash   string
-	models map[string]string
+// releaseModels holds the models of the engine pools of one release.
+type releaseModels struct {
+	hash   string            // of the release
+	byPool map[string]string // model by pool name
 }
 
-// acceptedModels returns the models of the newest release by pool. Rows are
-// decoded once a release.
+// acceptedModels returns the model of each engine pool of the newest accepted
+// release, by pool name. The rows of a release are decoded once. The result is
+// nil if they cannot be decoded.
 func (h *Host) acceptedModels() map[string]string {
 	rel, _ := h.releases.follower.Current()
-	if t := h.members.accepted.Load(); t != nil && t.hash == rel.Hash {
-		return t.models
+	if t := h.membership.modelCache.Load(); t != nil && t.hash == rel.Hash {
+		return t.byPool
 	}
 	tables, err := table.DecodeRows(rel.Rows)
 	if err != nil {
-		return nil // the release is not in force here either
+		return nil // compilation fails as well, so the release is not in force here
 	}
-	t := &modelTable{hash: rel.Hash, models: map[string]string{}}
+	t := &releaseModels{hash: rel.Hash, byPool: map[string]string{}}
 	for _, p := range tables.Pools {
 		if p.Kind == table.Engine {
-			t.models[p.Name] = p.Model.String()
+			t.byPool[p.Name] = p.Model.String()
 		}
 	}
-	h.members.accepted.Store(t)
-	return t.models
+	h.membership.modelCache.Store(t)
+	return t.byPool
 }
 
-// modelHeld reports whether a pool in force still has an earlier model than the
-// release says. The gate's own flag does not tell: compiling the release in
-// force while the next one waits for its switch clears what the next one set,
-// and the pool would stay on the earlier model for good.
-func (h *Host) modelHeld() bool {
+// modelHeldBack reports whether a pool in force has another model than the
+// accepted release names. modelGate.pending alone is not enough: recompiling the
+// release in force while the next one waits for its activation clears the flag
+// that the next one set, and the pool would keep the earlier model forever.
+func (h *Host) modelHeldBack() bool {
 	snap := h.inForce.Load()
 	if snap == nil {
 		return false
@@ -140,6 +145,8 @@
 	return false
 }
 
+// addEngines adds the engines of p that are in this failure domain and usable to
+// byAddress, and the models to their targets.
 func (h *Host) addEngines(byAddress map[string]*order.Target, p *snapshot.Pool, models []string) {
 	if p.Kind != table.Engine {
 		return
@@ -163,14 +170,15 @@
 	}
 }
 
-func (h *Host) membersStatus() any {
-	p := &h.members
-	fence, held := p.lease.Held(h.clock.Now())
+// membershipStatus returns the variables of membership, load reports and orders.
+func (h *Host) membershipStatus() any {
+	p := &h.membership
+	fence, held := p.elector.Held(h.clock.Now())
 	states := map[member.State]int{}
-	for _, other := range p.view.Peers() {
-		states[other.State]++
+	for _, peer := range p.view.Peers() {
+		states[peer.State]++
 	}
-	hb, rep, ord := &p.monitor.Counters, &p.servers.Counters, &p.orders.Counters
+	hb, rep, ord := &p.monitor.Counters, &p.reportPoller.Counters, &p.orderManager.Counters
 	return map[string]any{
 		"alive": states[member.Alive], "suspect": states[member.Suspect], "gone": states[member.Gone],
 		"heartbeats_sent": hb.Sent.Load(), "heartbeats_received": hb.Received.Load(), "heartbeats_failed": hb.Failed.Load(),
--- a/entryhost/path_test.go
+++ b/entryhost/pipeline_test.go
@@ -21,43 +21,44 @@
 	"bilberrydale/version/table"
 )
 
-// world is a platform, backend servers and entry hosts on loopback.
-type world struct {
+// testEnv is a stand-in platform with backend servers on loopback. It starts
+// entry hosts that follow its releases.
+type testEnv struct {
 	objects  *platform.Store
 	store    *httptest.Server
 	services map[string]*service.Service
 	tables   table.Tables
 }
 
-func newWorld() *world {
-	w := &world{objects: platform.NewStore(), services: map[string]*service.Service{}}
-	w.store = httptest.NewServer(w.objects.Handler())
-	DeferCleanup(w.store.Close)
-	return w
+func newTestEnv() *testEnv {
+	env := &testEnv{objects: platform.NewStore(), services: map[string]*service.Service{}}
+	env.store = httptest.NewServer(env.objects.Handler())
+	DeferCleanup(env.store.Close)
+	return env
 }
 
-func (w *world) service(pool string) {
+func (env *testEnv) addService(pool string) {
 	s := service.New(service.Options{Name: pool + "-1", Crash: func() {}})
-	w.services[pool] = s
-	w.pool(table.Pool{Name: pool, Kind: table.Service, Slots: 8}, s.Handler())
+	env.services[pool] = s
+	env.addPool(table.Pool{Name: pool, Kind: table.Service, Slots: 8}, s.Handler())
 }
 
-func (w *world) engine(pool string) {
+func (env *testEnv) addEngine(pool string) {
 	e := engine.New(engine.Options{Name: pool + "-1", ResponseTokens: 20, InitialModel: "m", Crash: func() {}})
-	w.pool(table.Pool{Name: pool, Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}}, e.Handler())
+	env.addPool(table.Pool{Name: pool, Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}}, e.Handler())
 }
 
-func (w *world) pool(p table.Pool, h http.Handler) {
+func (env *testEnv) addPool(p table.Pool, h http.Handler) {
 	srv := httptest.NewServer(h)
 	DeferCleanup(srv.Close)
 	p.Servers = []table.Server{{Name: p.Name + "-1", Address: srv.Listener.Addr().String(), Domain: "d1", Region: "r1"}}
-	w.tables.Pools = append(w.tables.Pools, p)
+	env.tables.Pools = append(env.tables.Pools, p)
 }
 
-func (w *world) apply(author string) release.Release {
-	rows, err := table.EncodeRows(w.tables)
+func (env *testEnv) publish(author string) release.Release {
+	rows, err := table.EncodeRows(env.tables)
 	Expect(err).NotTo(HaveOccurred())
-	pub := &release.Publisher{Store: w.objects, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
+	pub := &release.Publisher{Store: env.objects, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 	head, _, err := pub.Head(context.Background())
 	Expect(err).NotTo(HaveOccurred())
 	set := release.ChangeSet{Author: author}
@@ -70,20 +71,20 @@
 	return rel
 }
 
-func (w *world) host(name string) *Host {
-	return w.hostWith(func(o *Options) { o.Name = name })
+func (env *testEnv) startHost(name string) *Host {
+	return env.startHostWith(func(o *Options) { o.Name = name })
 }
 
-func (w *world) hostWith(change func(*Options)) *Host {
-	h := w.newHost("", change)
+func (env *testEnv) startHostWith(change func(*Options)) *Host {
+	h := env.newHost("", change)
 	runHost(h)
 	return h
 }
 
-// newHost makes a host that does not run yet.
-func (w *world) newHost(name string, change func(*Options)) *Host {
+// newHost returns a host that does not run yet.
+func (env *testEnv) newHost(name string, change func(*Options)) *Host {
 	opts := DefaultOptions()
-	opts.Name, opts.Domain, opts.Region, opts.PlatformURL = name, "d1", "r1", w.store.URL
+	opts.Name, opts.Domain, opts.Region, opts.PlatformURL = name, "d1", "r1", env.store.URL
 	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress, opts.LogLevel = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0", "error"
 	change(&opts)
 	h, err := New(context.Background(), opts)
@@ -91,8 +92,8 @@
 	return h
 }
 
-// runHost runs h to the end of the spec, or until stop is called; done then
-// gets Run's result.
+// runHost runs h until stop is called or the spec ends. The result of Run is sent
+// on done.
 func runHost(h *Host) (stop context.CancelFunc, done chan error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done = make(chan error, 1)
@@ -111,7 +112,7 @@
 	return cancel, done
 }
 
-func send(h *Host, path, accept, body string) (*http.Response, []byte) {
+func sendToHost(h *Host, path, accept, body string) (*http.Response, []byte) {
 	callers, _ := h.Addresses()
 	req, err := http.NewRequest(http.MethodPost, "http://"+callers+path, bytes.NewBufferString(body))
 	Expect(err).NotTo(HaveOccurred())
@@ -124,7 +125,7 @@
 	return resp, data
 }
 
-func fourStages() table.Route {
+func fourStageRoute() table.Route {
 	stage := func(name, pool string) table.Stage {
 		return table.Stage{Name: name, Pool: pool, Budget: table.Duration(time.Second), Repeatable: true}
 	}
@@ -136,50 +137,50 @@
 	return r
 }
 
-var _ = Describe("the whole path", func() {
+var _ = Describe("the request path", func() {
 	It("answers a four-stage request on every host, whole and streamed, and follows a new release", func() {
-		w := newWorld()
-		w.service("encoders")
-		w.service("retrievers")
-		w.service("rerankers")
-		w.engine("model")
-		w.tables.Routes = []table.Route{fourStages()}
-		w.apply("ada")
-		hosts := []*Host{w.host("e1"), w.host("e2")}
+		env := newTestEnv()
+		env.addService("encoders")
+		env.addService("retrievers")
+		env.addService("rerankers")
+		env.addEngine("model")
+		env.tables.Routes = []table.Route{fourStageRoute()}
+		env.publish("ada")
+		hosts := []*Host{env.startHost("e1"), env.startHost("e2")}
 		for _, h := range hosts {
 			Eventually(h.ready, 5*time.Second).Should(BeTrue())
-			resp, body := send(h, "/v1/drafts", "", `{"x":1}`)
+			resp, body := sendToHost(h, "/v1/drafts", "", `{"x":1}`)
 			Expect(resp.StatusCode).To(Equal(http.StatusOK), string(body))
 			Expect(string(body)).To(ContainSubstring("answer of model-1"))
 			Expect(resp.Header.Get("Content-Type")).To(Equal("text/plain; charset=utf-8"))
 
-			resp, body = send(h, "/v1/drafts", entry.StreamMediaType, `{"x":1}`)
+			resp, body = sendToHost(h, "/v1/drafts", entry.StreamMediaType, `{"x":1}`)
 			Expect(resp.Header.Get("Content-Type")).To(Equal(entry.StreamMediaType))
 			Expect(bytes.TrimSpace(body)).To(HaveSuffix(`"final":true}`))
 		}
-		Expect(w.services["rerankers"].TotalExecutions()).To(BeEquivalentTo(4))
+		Expect(env.services["rerankers"].TotalExecutions()).To(BeEquivalentTo(4))
 
-		second := fourStages()
+		second := fourStageRoute()
 		second.Name, second.Match.Path = "other", "/v2/drafts"
-		w.tables.Routes = append(w.tables.Routes, second)
-		rel := w.apply("bo")
+		env.tables.Routes = append(env.tables.Routes, second)
+		rel := env.publish("bo")
 		for _, h := range hosts {
 			Eventually(func() uint64 { return h.Status().Release }, 5*time.Second).Should(Equal(rel.Number))
-			resp, _ := send(h, "/v2/drafts", "", `{}`)
+			resp, _ := sendToHost(h, "/v2/drafts", "", `{}`)
 			Expect(resp.StatusCode).To(Equal(http.StatusOK))
 		}
 	})
 
-	It("refuses an unknown path with a problem that says it did not run", func() {
-		w := newWorld()
-		w.service("encoders")
-		r := fourStages()
+	It("refuses an unknown path with a problem that reports it as not run", func() {
+		env := newTestEnv()
+		env.addService("encoders")
+		r := fourStageRoute()
 		r.Stages = r.Stages[:1]
-		w.tables.Routes = []table.Route{r}
-		w.apply("ada")
-		h := w.host("e1")
+		env.tables.Routes = []table.Route{r}
+		env.publish("ada")
+		h := env.startHost("e1")
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
-		resp, body := send(h, "/nowhere", "", `{}`)
+		resp, body := sendToHost(h, "/nowhere", "", `{}`)
 		Expect(resp.StatusCode).To(Equal(http.StatusNotFound))
 		var p entry.Problem
 		Expect(json.Unmarshal(body, &p)).To(Succeed())
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -16,15 +16,16 @@
 	"bilberrydale/version/table"
 )
 
-// PolicyOptions are the settings of the decisions under load.
+// PolicyOptions are the settings of admission control and server selection. Loads
+// are in requests in flight per slot.
 type PolicyOptions struct {
-	TargetLoad           float64
-	BackgroundMaxLoad    float64
-	RemoteSpilloverLoad  float64
-	RemoteLoadPerMB      float64
-	RegionSubsetSize     int
-	RemoteSubsetSize     int
-	LoadReportsPerSecond int
+	TargetLoad           float64 // at which admission control holds an overloaded pool
+	BackgroundMaxLoad    float64 // of every pool, from which background requests are refused
+	RemoteSpilloverLoad  float64 // of this region, from which other regions are tried
+	RemoteLoadPerMB      float64 // advantage that another region needs per billed megabyte of input
+	RegionSubsetSize     int     // servers of a pool used in other failure domains of this region
+	RemoteSubsetSize     int     // servers of a pool used in each other region
+	LoadReportsPerSecond int     // reports polled from servers in other failure domains
 }
 
 func defaultPolicyOptions() PolicyOptions {
@@ -35,44 +36,48 @@
 	}
 }
 
-func (o *PolicyOptions) register(set *settings.Set) {
-	set.Float(&o.TargetLoad, "load-target", "requests for a slot at which a full pool is held", .5, 10)
-	set.Float(&o.BackgroundMaxLoad, "background-below", "load of every pool below which background requests start", 0, 10)
-	set.Float(&o.RemoteSpilloverLoad, "remote-at", "load of the own region from which other regions are tried", .5, 100)
-	set.Float(&o.RemoteLoadPerMB, "remote-per-mb", "load by which another region has to be better for each billed megabyte", 0, 1000)
-	set.Int(&o.RegionSubsetSize, "subset-region", "servers of a pool used in other domains of the own region", 1, 1000)
+func (o *PolicyOptions) registerSettings(set *settings.Set) {
+	set.Float(&o.TargetLoad, "load-target", "load, in requests per slot, at which an overloaded pool is held", .5, 10)
+	set.Float(&o.BackgroundMaxLoad, "background-below", "load that every pool must be below for background requests to start", 0, 10)
+	set.Float(&o.RemoteSpilloverLoad, "remote-at", "load of this region from which other regions are tried", .5, 100)
+	set.Float(&o.RemoteLoadPerMB, "remote-per-mb", "load by which another region must be lower per billed megabyte of input", 0, 1000)
+	set.Int(&o.RegionSubsetSize, "subset-region", "servers of a pool used in other failure domains of this region", 1, 1000)
 	set.Int(&o.RemoteSubsetSize, "subset-remote", "servers of a pool used in each other region", 1, 1000)
-	set.Int(&o.LoadReportsPerSecond, "load-reports", "load reports fetched a second from servers in other domains", 1, 1000)
+	set.Int(&o.LoadReportsPerSecond, "load-reports", "load reports polled per second from servers in other failure domains", 1, 1000)
 }
 
-// policyPart decides what to admit and where to run it.
-type policyPart struct {
-	admit   admission.Admitter
-	control *admission.Controller
+// policyComponents decide which requests are admitted. The pickers, which choose
+// servers, are part of the snapshot.
+type policyComponents struct {
+	admitter   admission.Admitter
+	controller *admission.Controller
 }
 
-// tickEvery is how often loads are taken in; a tick reads atomics only.
-const tickEvery = 100 * time.Millisecond
+// admissionInterval is the time between updates of the pools' loads in admission
+// control. It may be short, since an update reads atomics only.
+const admissionInterval = 100 * time.Millisecond
 
-// policyVars shows every entry host of the process by name.
+// policyVars holds the variables of each entry host in the process by its name.
 var policyVars = expvar.NewMap("policy")
 
+// wirePolicy adds admission control and the polling of load reports from other
+// failure domains.
 func (h *Host) wirePolicy() {
 	opts := admission.DefaultOptions()
 	opts.TargetLoad, opts.BackgroundMaxLoad = h.opts.Policy.TargetLoad, h.opts.Policy.BackgroundMaxLoad
-	h.policy.control = admission.NewController(opts, h.rand)
-	h.policy.admit = h.policy.control
-	h.add("admission", h.tick)
-	loads := &outsideLoads{
-		prober: serverprobe.New(serverprobe.Options{}), clock: h.clock, servers: h.outside, perSecond: h.opts.Policy.LoadReportsPerSecond,
+	h.policy.controller = admission.NewController(opts, h.rand)
+	h.policy.admitter = h.policy.controller
+	h.addTask("admission", h.runAdmission)
+	poller := &crossDomainPoller{
+		prober: serverprobe.New(serverprobe.Options{}), clock: h.clock, servers: h.crossDomainServers, requestsPerSecond: h.opts.Policy.LoadReportsPerSecond,
 	}
-	h.add("loads outside", loads.Run)
+	h.addTask("load reports of other failure domains", poller.Run)
 	policyVars.Set(h.opts.Name, expvar.Func(func() any {
-		return map[string]any{"pools": h.policy.control.PoolStates(), "refusals": h.policy.control.Refusals()}
+		return map[string]any{"pools": h.policy.controller.PoolStates(), "refusals": h.policy.controller.Refusals()}
 	}))
 }
 
-// newPicker makes the picker of one pool of a new snapshot.
+// newPicker returns the picker for a pool of a new snapshot.
 func (h *Host) newPicker(_ table.Pool, servers []pick.Server) pick.Picker {
 	o := pick.DefaultOptions(h.opts.Name, h.opts.Domain, h.opts.Region)
 	o.RemoteSpilloverLoad, o.RemoteLoadPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.RemoteLoadPerMB
@@ -80,20 +85,23 @@
 	return pick.NewLocalityPicker(o, servers)
 }
 
-func (h *Host) tick(ctx context.Context) error {
+// runAdmission passes the pools' loads to admission control at each interval
+// until ctx ends.
+func (h *Host) runAdmission(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-h.clock.After(tickEvery):
+		case <-h.clock.After(admissionInterval):
 			now := h.clock.Now()
-			h.policy.control.Tick(now, h.loads(now))
+			h.policy.controller.Tick(now, h.poolLoads(now))
 		}
 	}
 }
 
-// placed returns the pickers in force by pool, in a fixed order.
-func (h *Host) placed(f func(pool string, p *pick.LocalityPicker)) {
+// forEachPicker calls f for each pool in force that has a locality picker, in the
+// order of pool names.
+func (h *Host) forEachPicker(f func(pool string, p *pick.LocalityPicker)) {
 	snap := h.inForce.Load()
 	if snap == nil {
 		return
@@ -105,22 +113,24 @@
 	}
 }
 
-func (h *Host) loads(now time.Time) []admission.PoolLoad {
+// poolLoads returns the load of each pool in force at now.
+func (h *Host) poolLoads(now time.Time) []admission.PoolLoad {
 	var out []admission.PoolLoad
-	h.placed(func(pool string, p *pick.LocalityPicker) {
+	h.forEachPicker(func(pool string, p *pick.LocalityPicker) {
 		l := p.Load(now)
 		out = append(out, admission.PoolLoad{Pool: pool, Slots: l.Slots, InFlight: l.InFlight, OwnInFlight: l.OwnInFlight, ReportedInFlight: l.ReportedInFlight, OwnInFlightAtReport: l.OwnInFlightAtReport, ProbesDue: l.ProbesDue})
 	})
 	return out
 }
 
-// outside returns the servers of other domains that this host may use.
-func (h *Host) outside() []*server.State {
+// crossDomainServers returns the servers in other failure domains that this host
+// may use.
+func (h *Host) crossDomainServers() []*server.State {
 	var out []*server.State
-	h.placed(func(_ string, p *pick.LocalityPicker) { out = append(out, p.EligibleOutsideDomain()...) })
+	h.forEachPicker(func(_ string, p *pick.LocalityPicker) { out = append(out, p.EligibleOutsideDomain()...) })
 	return out
 }
 
-func (h *Host) adminPolicy(mux *http.ServeMux) {
-	mux.Handle("GET /explain", h.authorized(h.explain))
+func (h *Host) registerPolicyRoutes(mux *http.ServeMux) {
+	mux.Handle("GET /explain", h.requireAdminToken(h.serveExplain))
 }
--- a/entryhost/policy_test.go
+++ b/entryhost/policy_test.go
@@ -26,8 +26,8 @@
 	return out
 }
 
-// nobody returns an address on which nothing listens.
-func nobody() string {
+// closedAddress returns a loopback address on which no process listens.
+func closedAddress() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	Expect(err).NotTo(HaveOccurred())
 	defer l.Close()
@@ -35,33 +35,33 @@
 }
 
 var _ = Describe("decisions under load", func() {
-	// The caller sees errors, and the encoders work for nothing: the pool of a
-	// later stage has no server left, yet each request runs the stages before
-	// it. With the safeguard the entry host learns it, and then refuses at
-	// once, as not run, with a time to come back, and nothing is dispatched.
-	It("refuses dependents of a pool without servers before any stage runs, and says why", func() {
-		w := newWorld()
-		w.service("encoders")
-		w.tables.Pools = append(w.tables.Pools, table.Pool{
+	// The pool of a later stage has no server left. Without a safeguard, each
+	// request would still run the earlier stages and then fail, so the encoders
+	// would do useless work. The entry host has to detect this and refuse at once, as
+	// not run and with Retry-After, without dispatching a stage.
+	It("refuses requests that need a pool without servers before any stage runs, and explains it", func() {
+		env := newTestEnv()
+		env.addService("encoders")
+		env.tables.Pools = append(env.tables.Pools, table.Pool{
 			Name: "gone", Kind: table.Service, Slots: 4,
-			Servers: []table.Server{{Name: "gone-1", Address: nobody(), Domain: "d1", Region: "r1"}},
+			Servers: []table.Server{{Name: "gone-1", Address: closedAddress(), Domain: "d1", Region: "r1"}},
 		})
 		budget := table.Duration(time.Second)
-		w.tables.Routes = []table.Route{{
+		env.tables.Routes = []table.Route{{
 			Name: "two", Match: table.Match{Path: "/v1/two"}, Deadline: table.Duration(5 * time.Second), Worth: 1, Class: table.Standard,
 			Stages: []table.Stage{
 				{Name: "encode", Pool: "encoders", Budget: budget, Repeatable: true},
 				{Name: "last", Pool: "gone", Budget: budget, Repeatable: true},
 			},
 		}}
-		w.apply("ada")
-		h := w.host("e1")
+		env.publish("ada")
+		h := env.startHost("e1")
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		var problem entry.Problem
 		var resp *http.Response
 		Eventually(func() kind.Ran {
 			var body []byte
-			resp, body = send(h, "/v1/two", "", `{}`)
+			resp, body = sendToHost(h, "/v1/two", "", `{}`)
 			Expect(json.Unmarshal(body, &problem)).To(Succeed())
 			return problem.Ran
 		}, 10*time.Second).Should(Equal(kind.RanNo))
@@ -70,9 +70,9 @@
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seconds).To(BeNumerically(">=", 2))
 
-		before := w.services["encoders"].TotalExecutions()
-		send(h, "/v1/two", "", `{}`)
-		Expect(w.services["encoders"].TotalExecutions()).To(Equal(before))
+		before := env.services["encoders"].TotalExecutions()
+		sendToHost(h, "/v1/two", "", `{}`)
+		Expect(env.services["encoders"].TotalExecutions()).To(Equal(before))
 
 		e := h.getExplanation("path=/v1/two&account=a")
 		Expect(e.Route).To(Equal("two"))
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -11,12 +11,12 @@
 	"bilberrydale/version/snapshot"
 )
 
-// ReleaseOptions are the settings of following releases.
+// ReleaseOptions are the settings of the distribution and activation of releases.
 type ReleaseOptions struct {
-	ActivationDelay     time.Duration // from a release's acceptance to the switch
-	Watchers            int           // hosts of a failure domain that watch the platform
-	SyncInterval        time.Duration // period of comparing with a peer
-	MinModelLoadedShare float64       // share of a pool's servers that make a model version usable
+	ActivationDelay     time.Duration // from the acceptance of a release to its activation
+	Watchers            int           // entry hosts of a failure domain that watch the platform
+	SyncInterval        time.Duration // between comparisons with a peer
+	MinModelLoadedShare float64       // share of a pool's servers that must have loaded a new model version before it is used
 }
 
 func defaultReleaseOptions() ReleaseOptions {
@@ -25,58 +25,62 @@
 	}
 }
 
-func (o *ReleaseOptions) register(set *settings.Set) {
-	set.Duration(&o.ActivationDelay, "release-hold", "time in which a release spreads before hosts switch to it", 0, 5*time.Second)
+func (o *ReleaseOptions) registerSettings(set *settings.Set) {
+	set.Duration(&o.ActivationDelay, "release-hold", "time from the acceptance of a release to its activation, in which it reaches all hosts", 0, 5*time.Second)
 	set.Int(&o.Watchers, "release-watchers", "entry hosts of a failure domain that watch the platform", 1, 16)
-	set.Duration(&o.SyncInterval, "release-poll", "period in which an entry host compares releases with a peer", 100*time.Millisecond, time.Minute)
-	set.Float(&o.MinModelLoadedShare, "model-loaded", "share of a pool's servers that have to have a new model version loaded before it is used", 0, 1)
+	set.Duration(&o.SyncInterval, "release-poll", "time between comparisons of releases with a peer", 100*time.Millisecond, time.Minute)
+	set.Float(&o.MinModelLoadedShare, "model-loaded", "share of a pool's servers that must have loaded a new model version before it is used", 0, 1)
 }
 
-// releasesPart keeps this entry host on the newest accepted release.
-type releasesPart struct {
-	follower *release.Follower
-	spread   *release.Distributor
-	models   modelGate
+// releaseComponents keep this entry host on the newest accepted release.
+type releaseComponents struct {
+	follower    *release.Follower
+	distributor *release.Distributor
+	modelGate   modelGate
 }
 
-// releasesVars shows every entry host of the process by name.
+// releasesVars holds the variables of each entry host in the process by its name.
 var releasesVars = expvar.NewMap("releases")
 
+// wireReleases adds the distribution of releases among entry hosts and the model
+// gate.
 func (h *Host) wireReleases() {
 	p, opts := &h.releases, h.opts.Releases
-	p.models.share = opts.MinModelLoadedShare
+	p.modelGate.minLoadedShare = opts.MinModelLoadedShare
 	p.follower = release.NewFollower(release.FollowerOptions{
 		Host: h.opts.Name, Store: h.store, Clock: h.clock, Rand: h.rand, Compile: h.compile, ActivationDelay: opts.ActivationDelay,
 	})
-	p.spread = release.NewDistributor(release.DistributorOptions{
-		Follower: p.follower, Link: h.members.link, View: h.members.view, PeersConfigured: h.opts.PeerSeeds != "",
+	p.distributor = release.NewDistributor(release.DistributorOptions{
+		Follower: p.follower, Link: h.membership.link, View: h.membership.view, PeersConfigured: h.opts.PeerSeeds != "",
 		Watchers: opts.Watchers, SyncInterval: opts.SyncInterval,
 	})
-	h.members.monitor.Attach("release", p.spread.HeartbeatPayload, p.spread.OnHeartbeatPayload)
-	h.add("releases", p.spread.Run)
-	h.add("model gate", h.openModels)
-	releasesVars.Set(h.opts.Name, expvar.Func(func() any { return h.releaseVars() }))
+	h.membership.monitor.Attach("release", p.distributor.HeartbeatPayload, p.distributor.OnHeartbeatPayload)
+	h.addTask("releases", p.distributor.Run)
+	h.addTask("model gate", h.runModelGate)
+	releasesVars.Set(h.opts.Name, expvar.Func(func() any { return h.releaseStatus() }))
 }
 
-type releaseVars struct {
+// releaseStatus adds the counts of calls to the platform to the status of the
+// distributor.
+type releaseStatus struct {
 	release.Status
 	Platform *objectapi.Counts `json:"platform_calls,omitempty"`
 }
 
-func (h *Host) releaseVars() releaseVars {
-	vars := releaseVars{Status: h.releases.spread.Status()}
+func (h *Host) releaseStatus() releaseStatus {
+	status := releaseStatus{Status: h.releases.distributor.Status()}
 	if store, ok := h.store.(*objectapi.Client); ok {
 		counts := store.Counts()
-		vars.Platform = &counts
+		status.Platform = &counts
 	}
-	return vars
+	return status
 }
 
-// compile builds the snapshot of a release; the function it returns puts the
-// snapshot in force for new requests.
+// compile builds the snapshot of a release. The function that it returns
+// activates the snapshot for new requests.
 func (h *Host) compile(rel release.Release) (func(), error) {
 	snap, err := snapshot.Build(rel, snapshot.Options{
-		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.holdModels(),
+		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.holdBackModels(),
 	})
 	if err != nil {
 		return nil, err
@@ -87,12 +91,12 @@
 	}, nil
 }
 
-func (h *Host) adminReleases(mux *http.ServeMux) {
-	mux.Handle("GET /tables", h.authorized(func(w http.ResponseWriter, _ *http.Request) {
+func (h *Host) registerReleaseRoutes(mux *http.ServeMux) {
+	mux.Handle("GET /tables", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		rel, _ := h.releases.follower.Current()
 		writeJSON(w, rel)
 	}))
-	mux.Handle("GET /release", h.authorized(func(w http.ResponseWriter, _ *http.Request) {
-		writeJSON(w, h.releases.spread.Status())
+	mux.Handle("GET /release", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
+		writeJSON(w, h.releases.distributor.Status())
 	}))
 }
--- a/entryhost/releases_bench_test.go
+++ b/entryhost/releases_bench_test.go
@@ -19,31 +19,33 @@
 	"bilberrydale/version/table"
 )
 
-// releaseBench is entry hosts of three domains with their real links over
-// loopback, before a platform that can be switched off for them alone.
-type releaseBench struct {
-	objects *standin.Store
-	down    atomic.Bool
-	srv     *httptest.Server
-	hosts   []*Host
-	tables  table.Tables
+// releaseBenchCluster is a set of entry hosts in three failure domains, with real
+// connections over loopback, and a platform that can be made unavailable to the
+// hosts while releases are still published.
+type releaseBenchCluster struct {
+	objects        *standin.Store
+	platformDown   atomic.Bool
+	platformServer *httptest.Server
+	hosts          []*Host
+	tables         table.Tables
 }
 
-// settleTime is how often a watcher measures its way to the platform.
-const settleTime = 5 * time.Second
+// rttProbeInterval is the time between a watcher's measurements of its round trip
+// to the platform.
+const rttProbeInterval = 5 * time.Second
 
-func newReleaseBench(b *testing.B, n int) *releaseBench {
+func newReleaseBenchCluster(b *testing.B, n int) *releaseBenchCluster {
 	RegisterTestingT(b)
-	r := &releaseBench{objects: standin.NewStore()}
+	r := &releaseBenchCluster{objects: standin.NewStore()}
 	handler := r.objects.Handler()
-	r.srv = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		if r.down.Load() {
+	r.platformServer = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		if r.platformDown.Load() {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
 		handler.ServeHTTP(w, req)
 	}))
-	b.Cleanup(r.srv.Close)
+	b.Cleanup(r.platformServer.Close)
 	for p := range 14 {
 		pool := table.Pool{Name: fmt.Sprintf("pool-%02d", p), Kind: table.Service, Slots: 8}
 		for i := range 79 {
@@ -52,31 +54,31 @@
 			})
 		}
 		r.tables.Pools = append(r.tables.Pools, pool)
-		route := fourStages()
+		route := fourStageRoute()
 		route.Name, route.Match.Path = fmt.Sprintf("route-%02d", p), fmt.Sprintf("/v1/%02d", p)
 		route.Stages = route.Stages[:1]
 		route.Stages[0].Pool = pool.Name
 		r.tables.Routes = append(r.tables.Routes, route)
 	}
-	r.change(0)
+	r.publishChange(0)
 	var seeds []string
 	for i := range n {
-		h := r.host(b, i, strings.Join(seeds, ","))
+		h := r.startHost(b, i, strings.Join(seeds, ","))
 		r.hosts = append(r.hosts, h)
-		seeds = append(seeds, h.members.listener.Addr().String())
+		seeds = append(seeds, h.membership.listener.Addr().String())
 	}
 	for _, h := range r.hosts {
 		Eventually(h.ready, 10*time.Second).Should(BeTrue())
-		Eventually(func() int { return len(h.members.view.Peers()) }, 20*time.Second).Should(Equal(n - 1))
+		Eventually(func() int { return len(h.membership.view.Peers()) }, 20*time.Second).Should(Equal(n - 1))
 	}
-	<-time.After(2 * settleTime) // round trips measured while all start are too long
+	<-time.After(2 * rttProbeInterval) // round trips measured while all hosts start are too long
 	return r
 }
 
-func (r *releaseBench) host(b *testing.B, i int, seeds string) *Host {
+func (r *releaseBenchCluster) startHost(b *testing.B, i int, seeds string) *Host {
 	opts := DefaultOptions()
 	opts.Name, opts.Domain, opts.Region = fmt.Sprintf("e%02d", i), fmt.Sprint("d", i%3), fmt.Sprint("r", i%3)
-	opts.PlatformURL, opts.PeerSeeds, opts.LogLevel = r.srv.URL, seeds, "error"
+	opts.PlatformURL, opts.PeerSeeds, opts.LogLevel = r.platformServer.URL, seeds, "error"
 	opts.ListenAddress, opts.AdminAddress, opts.PeerAddress = "127.0.0.1:0", "127.0.0.1:0", "127.0.0.1:0"
 	ctx, cancel := context.WithCancel(context.Background())
 	h, err := New(ctx, opts)
@@ -87,8 +89,9 @@
 	return h
 }
 
-// change accepts another worth of one route.
-func (r *releaseBench) change(serial int) uint64 {
+// publishChange publishes a release that changes the worth of one route, and
+// returns its number.
+func (r *releaseBenchCluster) publishChange(serial int) uint64 {
 	r.tables.Routes[serial%len(r.tables.Routes)].Worth = float64(1 + serial)
 	rows, err := table.EncodeRows(r.tables)
 	Expect(err).NotTo(HaveOccurred())
@@ -105,28 +108,30 @@
 	return rel.Number
 }
 
-// since returns for each host the time from at until number is in force, sorted,
-// to half a millisecond.
-func (r *releaseBench) since(at time.Time, number uint64) []time.Duration {
+// activationDelays returns the times from start until release number is in force
+// on each host, in ascending order, to half a millisecond.
+func (r *releaseBenchCluster) activationDelays(start time.Time, number uint64) []time.Duration {
 	out := make([]time.Duration, 0, len(r.hosts))
-	waiting := append([]*Host(nil), r.hosts...)
-	for len(waiting) > 0 {
-		left := waiting[:0]
-		for _, h := range waiting {
+	pending := append([]*Host(nil), r.hosts...)
+	for len(pending) > 0 {
+		remaining := pending[:0]
+		for _, h := range pending {
 			if snap := h.inForce.Load(); snap != nil && snap.Number >= number {
-				out = append(out, time.Since(at))
+				out = append(out, time.Since(start))
 				continue
 			}
-			left = append(left, h)
+			remaining = append(remaining, h)
 		}
-		waiting = left
+		pending = remaining
 		<-time.After(500 * time.Microsecond)
 	}
 	return out
 }
 
+// reportDelays reports the median and the maximum over all releases of the first,
+// median and last delay and of the spread between hosts.
 func reportDelays(b *testing.B, all [][]time.Duration) {
-	for name, pick := range map[string]func([]time.Duration) time.Duration{
+	for name, statistic := range map[string]func([]time.Duration) time.Duration{
 		"first":  func(d []time.Duration) time.Duration { return d[0] },
 		"median": func(d []time.Duration) time.Duration { return d[len(d)/2] },
 		"last":   func(d []time.Duration) time.Duration { return d[len(d)-1] },
@@ -134,7 +139,7 @@
 	} {
 		var ms []float64
 		for _, d := range all {
-			ms = append(ms, float64(pick(d).Microseconds())/1000)
+			ms = append(ms, float64(statistic(d).Microseconds())/1000)
 		}
 		sort.Float64s(ms)
 		b.ReportMetric(ms[len(ms)/2], name+"-ms")
@@ -143,35 +148,36 @@
 	b.ReportMetric(0, "ns/op")
 }
 
-// BenchmarkReleaseInForce measures from the answer of the accepting update.
+// BenchmarkReleaseInForce measures the times from the response to the accepting
+// update until the release is in force on the hosts.
 func BenchmarkReleaseInForce(b *testing.B) {
 	for _, n := range []int{6, 12, 24, 48} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			r := newReleaseBench(b, n)
+			r := newReleaseBenchCluster(b, n)
 			var all [][]time.Duration
 			for i := range b.N {
-				number := r.change(i + 1)
-				all = append(all, r.since(time.Now(), number))
+				number := r.publishChange(i + 1)
+				all = append(all, r.activationDelays(time.Now(), number))
 			}
 			reportDelays(b, all)
 		})
 	}
 }
 
-// BenchmarkReleaseAfterHeal measures from the end of an outage of three seconds
-// in which a release was accepted that no host could see.
+// BenchmarkReleaseAfterHeal measures the times from the end of a platform outage of
+// three seconds, during which a release was accepted that no host could read.
 func BenchmarkReleaseAfterHeal(b *testing.B) {
 	for _, n := range []int{6, 24} {
 		b.Run(fmt.Sprintf("hosts=%d", n), func(b *testing.B) {
-			r := newReleaseBench(b, n)
+			r := newReleaseBenchCluster(b, n)
 			var all [][]time.Duration
 			for i := range b.N {
-				r.down.Store(true)
-				r.srv.CloseClientConnections()
-				number := r.change(i + 1)
+				r.platformDown.Store(true)
+				r.platformServer.CloseClientConnections()
+				number := r.publishChange(i + 1)
 				<-time.After(3 * time.Second)
-				r.down.Store(false)
-				all = append(all, r.since(time.Now(), number))
+				r.platformDown.Store(false)
+				all = append(all, r.activationDelays(time.Now(), number))
 			}
 			reportDelays(b, all)
 		})
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -20,68 +20,72 @@
 	"bilberrydale/request/pipeline"
 )
 
-// requestsPart serves callers.
-type requestsPart struct {
+// requestComponents serve callers' requests.
+type requestComponents struct {
 	guard    *quarantine.SharedGuard
 	claims   *claim.Manager
 	counters entry.Counters
 	handler  http.Handler
 }
 
+// wireRequests adds the request path: quarantine, claims, the pipeline runner and
+// the entry handler.
 func (h *Host) wireRequests() {
 	p := &h.requests
-	link := livingLink{h.members.link, h.members.view}
+	link := reachableLink{h.membership.link, h.membership.view}
 	p.guard = quarantine.NewSharedGuard(h.clock, h.rand, link, h.opts.Requests.Quarantine)
-	h.add("quarantine", p.guard.Run)
+	h.addTask("quarantine", p.guard.Run)
 	p.claims = claim.New(claim.Config{
 		Host: h.opts.Name, Incarnation: h.incarnation, Store: h.store, Clock: h.clock,
 		Link: link, Options: h.opts.Requests.Claims,
 	})
 	h.afterDrain = append(h.afterDrain, h.flushClaims)
 	runner := &pipeline.Runner{
-		Backend: backend.NewHTTPClient(backend.HTTPOptions{Headers: h.opts.Requests.BackendHeaders, OnLeaving: h.serverLeaves}), Admission: h.policy.admit, Quarantine: p.guard,
+		Backend: backend.NewHTTPClient(backend.HTTPOptions{Headers: h.opts.Requests.BackendHeaders, OnLeaving: h.markServerLeaving}), Admission: h.policy.admitter, Quarantine: p.guard,
 		Clock: h.clock, Rand: h.rand, Tracer: h.tracer, Host: h.opts.Name, Incarnation: h.incarnation,
 		Options: h.opts.Requests.Pipeline, Isolator: p.guard,
 	}
-	requestVars.Set(h.opts.Name, expvar.Func(func() any {
+	requestsVars.Set(h.opts.Name, expvar.Func(func() any {
 		return map[string]any{"attempts": runner.Counters.Map(), "claims": p.claims.Counters.Map(), "quarantine": p.guard.List()}
 	}))
 	p.handler = &entry.Handler{
-		InForce: &h.inForce, Runner: runner, Admission: h.policy.admit, Claims: p.claims, Quarantine: p.guard,
+		InForce: &h.inForce, Runner: runner, Admission: h.policy.admitter, Claims: p.claims, Quarantine: p.guard,
 		Gate: &h.gate, Clock: h.clock, Log: h.log, LogLimit: rate.NewLimiter(rate.Limit(h.opts.RefusalLogsPerSecond), h.opts.RefusalLogsPerSecond), Tracer: h.tracer,
-		Headers: h.opts.Headers, Limits: h.opts.limits(), Counters: &p.counters,
+		Headers: h.opts.Headers, Limits: h.opts.entryLimits(), Counters: &p.counters,
 	}
 }
 
-// livingLink is a link that does not name hosts believed gone. A call to such a
-// host waits for an answer in vain: as the home of a shard it would delay every
-// claim there, and many of them would keep news from the living.
-type livingLink struct {
+// reachableLink is a peer.Link that leaves out peers with the state member.Gone. A
+// call to such a peer waits for a response until it times out: as the owner of a
+// shard, the peer would delay each claim there, and many of them would hold up
+// messages to the peers that are alive.
+type reachableLink struct {
 	peer.Link
 	view member.View
 }
 
 // Peers implements peer.Link.
-func (l livingLink) Peers() []peer.Identity {
+func (l reachableLink) Peers() []peer.Identity {
 	return slices.DeleteFunc(slices.Clone(l.Link.Peers()), func(id peer.Identity) bool {
 		p, ok := l.view.Lookup(id.Host)
 		return ok && p.State == member.Gone
 	})
 }
 
-// requestVars shows every entry host of the process by name.
-var requestVars = expvar.NewMap("requests")
+// requestsVars holds the variables of each entry host in the process by its name.
+var requestsVars = expvar.NewMap("requests")
 
-// serverLeaves spreads the sign that an answer gave.
-func (h *Host) serverLeaves(s *server.State) { h.members.servers.MarkLeaving(s.Address) }
+// markServerLeaving shares with the other entry hosts that a response marked its
+// backend server as leaving.
+func (h *Host) markServerLeaving(s *server.State) { h.membership.reportPoller.MarkLeaving(s.Address) }
 
-// flushTimeout bounds the last write of claims' outcomes.
-const flushTimeout = 2 * time.Second
+// claimFlushTimeout bounds the last write of claim outcomes at shutdown.
+const claimFlushTimeout = 2 * time.Second
 
-// flushClaims writes down which keys ran, so that resends to other hosts learn
-// it.
+// flushClaims stores the outcomes of claims on the platform, so that retries sent
+// to other hosts find which keys have run. A failure is logged only.
 func (h *Host) flushClaims(ctx context.Context) error {
-	flush, cancel := context.WithTimeout(context.WithoutCancel(ctx), flushTimeout)
+	flush, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimFlushTimeout)
 	defer cancel()
 	if err := h.requests.claims.Flush(flush); err != nil {
 		h.log.Warn("outcomes of claims not written", "err", err)
@@ -89,11 +93,11 @@
 	return nil
 }
 
-func (h *Host) adminRequests(mux *http.ServeMux) {
-	mux.Handle("GET /quarantine", h.authorized(func(w http.ResponseWriter, _ *http.Request) {
+func (h *Host) registerRequestRoutes(mux *http.ServeMux) {
+	mux.Handle("GET /quarantine", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, h.requests.guard.List())
 	}))
-	mux.Handle("DELETE /quarantine/{fingerprint}", h.authorized(func(w http.ResponseWriter, r *http.Request) {
+	mux.Handle("DELETE /quarantine/{fingerprint}", h.requireAdminToken(func(w http.ResponseWriter, r *http.Request) {
 		var fp quarantine.Fingerprint
 		if err := fp.UnmarshalText([]byte(r.PathValue("fingerprint"))); err != nil {
 			http.Error(w, err.Error(), http.StatusBadRequest)
@@ -105,15 +109,15 @@
 	}))
 }
 
-// RequestOptions are the settings of the request path.
+// RequestOptions are the settings of the request path behind the callers' port.
 type RequestOptions struct {
 	Claims         claim.Options
 	Quarantine     quarantine.Options
 	Pipeline       pipeline.Options
-	BackendHeaders backend.Headers // of the hop to a backend server
+	BackendHeaders backend.Headers // names of the headers sent to and received from backend servers
 }
 
-// DefaultRequestOptions returns the defaults.
+// DefaultRequestOptions returns the defaults of the request path.
 func DefaultRequestOptions() RequestOptions {
 	return RequestOptions{
 		Claims: claim.DefaultOptions(), Quarantine: quarantine.DefaultOptions(), Pipeline: pipeline.DefaultOptions(),
@@ -121,19 +125,19 @@
 	}
 }
 
-func (o *RequestOptions) register(set *settings.Set) {
-	set.Int(&o.Claims.Shards, "claim-shards", "objects that hold the claims; the same on every entry host", 1, 4096)
-	set.Duration(&o.Claims.Retention, "claim-window", "time for which a key is remembered on the platform", time.Minute, 24*time.Hour)
-	set.Duration(&o.Claims.WriteInterval, "claim-spacing", "time between writes of one such object", 0, time.Minute)
-	set.Float(&o.Claims.WritesPerSecond, "claim-writes", "writes a second of this host on the platform for claims", 0.1, 1000)
-	set.Duration(&o.Claims.TicketTTL, "ticket-life", "time from minting a ticket to its last first use", time.Second, 24*time.Hour)
-	set.Duration(&o.Claims.ResponseTTL, "answer-time", "time for which an answer is kept for resends", time.Second, 24*time.Hour)
-	set.Int(&o.Quarantine.MaxCrashes, "quarantine-deaths", "backend servers lost to a request before it is refused", 1, 100)
-	set.Duration(&o.Quarantine.QuarantineDuration, "quarantine-term", "time for which such a request is refused", time.Second, 24*time.Hour)
-	set.Int(&o.Pipeline.MaxAttempts, "attempts", "attempts of one stage", 1, 10)
-	set.Float(&o.Pipeline.RetryRatio, "retry-share", "retries for each request of a pool", 0, 1)
-	o.BackendHeaders.Each(func(setting string, name *string, meaning string) {
-		set.String(name, "server-header-"+setting, "backend servers' header: "+meaning, backend.CheckHeader)
+func (o *RequestOptions) registerSettings(set *settings.Set) {
+	set.Int(&o.Claims.Shards, "claim-shards", "number of objects that store the claims; must be equal on all entry hosts", 1, 4096)
+	set.Duration(&o.Claims.Retention, "claim-window", "time for which the platform keeps a claim", time.Minute, 24*time.Hour)
+	set.Duration(&o.Claims.WriteInterval, "claim-spacing", "minimum time between writes of one claim object", 0, time.Minute)
+	set.Float(&o.Claims.WritesPerSecond, "claim-writes", "limit of this host's writes of claim objects per second", 0.1, 1000)
+	set.Duration(&o.Claims.TicketTTL, "ticket-life", "time from minting a ticket to its latest first use", time.Second, 24*time.Hour)
+	set.Duration(&o.Claims.ResponseTTL, "answer-time", "time for which a response is kept for retries with the same key", time.Second, 24*time.Hour)
+	set.Int(&o.Quarantine.MaxCrashes, "quarantine-deaths", "crashes of backend servers after which a request is quarantined", 1, 100)
+	set.Duration(&o.Quarantine.QuarantineDuration, "quarantine-term", "duration of a quarantine", time.Second, 24*time.Hour)
+	set.Int(&o.Pipeline.MaxAttempts, "attempts", "maximum attempts of one stage", 1, 10)
+	set.Float(&o.Pipeline.RetryRatio, "retry-share", "retries per first attempt, for each pool", 0, 1)
+	o.BackendHeaders.Each(func(setting string, name *string, description string) {
+		set.String(name, "server-header-"+setting, "backend servers' header: "+description, backend.CheckHeader)
 	})
-	set.Duration(&o.Pipeline.MinStallTimeout, "min-silence", "least wait for progress before a connection is doubted", time.Millisecond, time.Minute)
+	set.Duration(&o.Pipeline.MinStallTimeout, "min-silence", "lower bound of the time without progress after which a connection counts as stalled", time.Millisecond, time.Minute)
 }
--- a/entryhost/slow_caller_test.go
+++ b/entryhost/slow_caller_test.go
@@ -16,8 +16,9 @@
 	"bilberrydale/version/table"
 )
 
-// flood is an engine that streams until its caller goes away.
-func flood(w http.ResponseWriter, r *http.Request) {
+// streamEndlessly handles stage calls by streaming chunks until the connection
+// ends.
+func streamEndlessly(w http.ResponseWriter, r *http.Request) {
 	for _, name := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(name, r.Header.Get(name))
 	}
@@ -31,19 +32,19 @@
 }
 
 var _ = Describe("a caller that stops reading", func() {
-	// The caller asks for a stream and never reads it. The socket fills, and the
-	// write of the next chunk waits for the caller alone; the deadline passes
-	// without ending it. The request must end by itself, or it would hold the
-	// backend server's stream and every later shutdown.
+	// The caller requests a stream and never reads it. Its socket buffer fills up, and
+	// the write of the next chunk blocks, which the end of the deadline does not
+	// interrupt. The request has to end anyway, or it would keep the backend server's
+	// stream open and block a later shutdown.
 	It("does not keep its request in flight past the deadline", func() {
-		w := newWorld()
-		w.pool(table.Pool{Name: "model", Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}}, http.HandlerFunc(flood))
-		r := fourStages()
+		env := newTestEnv()
+		env.addPool(table.Pool{Name: "model", Kind: table.Engine, Slots: 8, Model: table.Model{Name: "m"}}, http.HandlerFunc(streamEndlessly))
+		r := fourStageRoute()
 		r.Stages = r.Stages[3:]
 		r.Stages[0].Budget, r.Deadline = table.Duration(300*time.Millisecond), table.Duration(300*time.Millisecond)
-		w.tables.Routes = []table.Route{r}
-		w.apply("ada")
-		h := w.host("e1")
+		env.tables.Routes = []table.Route{r}
+		env.publish("ada")
+		h := env.startHost("e1")
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		callers, _ := h.Addresses()
 		conn, err := net.Dial("tcp", callers)
--- a/entryhost/suite_test.go
+++ b/entryhost/suite_test.go
@@ -10,6 +10,6 @@
 func TestEntryHost(t *testing.T) {
 	RegisterFailHandler(Fail)
 	suite, report := GinkgoConfiguration()
-	suite.RandomSeed = 1 // the same order in every run
+	suite.RandomSeed = 1 // runs the specs in the same order each time
 	RunSpecs(t, "entry host", suite, report)
 }
--- a/entryhost/tls_test.go
+++ b/entryhost/tls_test.go
@@ -19,8 +19,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// writePair writes a self-signed pair for loopback and returns its pool.
-func writePair(cert, key string, serial int64) *x509.CertPool {
+// writeSelfSignedPair writes a self-signed certificate for 127.0.0.1 and its key
+// to the two files, and returns a pool with the certificate.
+func writeSelfSignedPair(cert, key string, serial int64) *x509.CertPool {
 	k, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	Expect(err).NotTo(HaveOccurred())
 	tmpl := &x509.Certificate{SerialNumber: big.NewInt(serial), IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)}, NotAfter: time.Now().Add(time.Hour)}
@@ -36,7 +37,9 @@
 	return pool
 }
 
-func serialAt(addr string, roots *x509.CertPool) func() int64 {
+// servedSerial returns a function that returns the serial number of the
+// certificate served at addr, or 0 if the request fails.
+func servedSerial(addr string, roots *x509.CertPool) func() int64 {
 	return func() int64 {
 		c := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, TLSClientConfig: &tls.Config{RootCAs: roots}}}
 		resp, err := c.Get("https://" + addr + "/healthz")
@@ -49,24 +52,24 @@
 }
 
 var _ = Describe("TLS of the ports", func() {
-	It("serves both ports with their certificates and takes renewed ones on a signal", func() {
-		w, s := heldWorld()
-		s.letGo()
+	It("serves both ports with their certificates and reloads renewed ones on a signal", func() {
+		env, s := newBlockingEnv()
+		s.unblock()
 		dir := GinkgoT().TempDir()
 		cert, key := filepath.Join(dir, "c.pem"), filepath.Join(dir, "k.pem")
-		roots := writePair(cert, key, 1)
+		roots := writeSelfSignedPair(cert, key, 1)
 		reload := make(chan os.Signal, 1)
-		h := w.newHost("e1", func(o *Options) {
+		h := env.newHost("e1", func(o *Options) {
 			o.CertFile, o.KeyFile, o.AdminCertFile, o.AdminKeyFile = cert, key, cert, key
 			o.Reload = reload
 		})
 		runHost(h)
 		callers, admin := h.Addresses()
-		Eventually(serialAt(callers, roots), 5*time.Second).Should(BeEquivalentTo(1))
-		Expect(serialAt(admin, roots)()).To(BeEquivalentTo(1))
-		roots = writePair(cert, key, 2)
+		Eventually(servedSerial(callers, roots), 5*time.Second).Should(BeEquivalentTo(1))
+		Expect(servedSerial(admin, roots)()).To(BeEquivalentTo(1))
+		roots = writeSelfSignedPair(cert, key, 2)
 		reload <- syscall.SIGHUP
-		Eventually(serialAt(callers, roots), 5*time.Second).Should(BeEquivalentTo(2))
-		Eventually(serialAt(admin, roots), 5*time.Second).Should(BeEquivalentTo(2))
+		Eventually(servedSerial(callers, roots), 5*time.Second).Should(BeEquivalentTo(2))
+		Eventually(servedSerial(admin, roots), 5*time.Second).Should(BeEquivalentTo(2))
 	})
 })
--- a/entryhost/uri_test.go
+++ b/entryhost/uri_test.go
@@ -11,7 +11,7 @@
 	"bilberrydale/version/table"
 )
 
-var _ = Describe("what a caller asks for by method, path and query", func() {
+var _ = Describe("the method, path and query of a request", func() {
 	get := func(h *Host, method, uri, key string) (int, string) {
 		callers, _ := h.Addresses()
 		req, err := http.NewRequest(method, "http://"+callers+uri, http.NoBody)
@@ -28,37 +28,38 @@
 		return resp.StatusCode, string(body)
 	}
 	start := func(repeatable bool) *Host {
-		w := newWorld()
-		w.service("portal")
-		r := fourStages()
+		env := newTestEnv()
+		env.addService("portal")
+		r := fourStageRoute()
 		r.Match.Path = "/v1/orders"
 		r.Stages = r.Stages[:1]
 		r.Stages[0].Pool, r.Stages[0].Repeatable = "portal", repeatable
-		w.tables.Routes = []table.Route{r}
-		w.apply("ada")
-		h := w.host("e1")
+		env.tables.Routes = []table.Route{r}
+		env.publish("ada")
+		h := env.startHost("e1")
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		return h
 	}
 
-	// A clerk reads the status of one order by its path. The body is empty, so
-	// a server that saw the body alone would answer for no order or any.
-	It("reaches every backend server", func() {
+	// A caller reads the status of one order by its path. The body is empty, so a
+	// backend server that got only the body could not tell which order is meant.
+	It("reach the backend server", func() {
 		h := start(true)
 		status, body := get(h, http.MethodGet, "/v1/orders/17?lines=all", "")
 		Expect(status).To(Equal(http.StatusOK), body)
 		Expect(body).To(ContainSubstring(`"asked":"GET /v1/orders/17?lines=all"`))
 	})
 
-	// Two bookings differ in the query alone and share a key by mistake. Taken
-	// for one, the second would be given the first's answer.
-	It("belongs to what an idempotency key stands for", func() {
+	// Two bookings differ only in the query and use the same idempotency key by
+	// mistake. If the query were not compared, the second booking would get the
+	// response to the first.
+	It("are compared when an idempotency key is used again", func() {
 		h := start(false)
 		status, body := get(h, http.MethodPost, "/v1/orders?bars=12", "k")
 		Expect(status).To(Equal(http.StatusOK), body)
 		status, again := get(h, http.MethodPost, "/v1/orders?bars=12", "k")
 		Expect(status).To(Equal(http.StatusOK))
-		Expect(again).To(Equal(body), "the kept answer")
+		Expect(again).To(Equal(body), "the stored response")
 		status, body = get(h, http.MethodPost, "/v1/orders?bars=24", "k")
 		Expect(status).To(Equal(http.StatusUnprocessableEntity), body)
 		Expect(body).To(ContainSubstring("idempotency_key_reused"))
--- a/entryhost/vars.go
+++ b/entryhost/vars.go
@@ -6,8 +6,9 @@
 	"net/http"
 )
 
-// publishVars fills the host's own map. The process-wide registry of expvar
-// takes each name once, and a process may hold several hosts (tests do).
+// publishVars fills the host's own map of variables. They are not in the registry
+// of expvar, which is shared by the process and accepts each name only once: tests
+// run several hosts in one process.
 func (h *Host) publishVars() {
 	c := &h.requests.counters
 	h.vars.Set("ready", expvar.Func(func() any { return h.ready() }))
@@ -23,7 +24,8 @@
 	}))
 }
 
-// serveVars writes the process's variables and the host's under "bilberry".
+// serveVars writes the variables of the process, and those of the host under
+// "bilberry".
 func (h *Host) serveVars(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
 	fmt.Fprint(w, "{\n")
