--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -17,8 +17,8 @@
 	"bilberrydale/process/telemetry"
 )
 
-// Options are the settings of an entry host. Start from DefaultOptions: New does
-// not replace zero values by defaults. Name, Domain and Region have no default.
+// Options are the settings of an entry host. Start from DefaultOptions, which sets
+// all defaults; Name, Domain and Region have none and are required.
 type Options struct {
 	Name   string // of this entry host; unique among all entry hosts
 	Domain string // failure domain
@@ -37,13 +37,13 @@
 	// DrainDelay is the time between readiness turning false and the first
 	// refusal, in which the balancer takes this host out of service.
 	DrainDelay           time.Duration
-	DrainTimeout         time.Duration
-	LogLevel             string // debug, info, warn or error
+	DrainTimeout         time.Duration // longest wait for requests in flight at shutdown
+	LogLevel             string        // debug, info, warn or error
 	LogJSON              bool
-	RefusalLogsPerSecond int    // limit of log lines per second about error responses
-	SpanExporterName     string // one of the Export constants of package telemetry
-	OTLPEndpoint         string // of the collector, host:port
-	SpanSampleRatio      float64
+	RefusalLogsPerSecond int     // limit of log lines per second about error responses
+	SpanExporterName     string  // one of the Export constants of package telemetry
+	OTLPEndpoint         string  // of the collector, host:port
+	SpanSampleRatio      float64 // share of requests that are traced, 0 to 1
 	// SpanExporter, if set, is used instead of the exporter with SpanExporterName.
 	SpanExporter sdktrace.SpanExporter
 
