--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -23,6 +23,7 @@
 	changeSet release.ChangeSet
 }
 
+// publisher returns a publisher of releases on the platform.
 func (e *Env) publisher() *release.Publisher {
 	return &release.Publisher{Store: e.Store, Validate: table.ValidateRows, Clock: clock.System{}, Rand: clock.SystemRand{}}
 }
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -96,6 +96,7 @@
 	c.from.register(set)
 }
 
+// run applies the edits of dir and updates its base.
 func (c *applyCommand) run(ctx context.Context, env *Env, dir string) error {
 	e, err := env.readEdit(ctx, dir, c.from)
 	if errors.Is(err, errNoBase) {
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -77,6 +77,7 @@
 	close(w.granted)
 }
 
+// counts returns the numbers of running and waiting sequences.
 func (b *batch) counts() (running, queued int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -86,8 +87,10 @@
 // waiterHeap implements heap.Interface; the first element is the next to run.
 type waiterHeap []*waiter
 
+// Len implements heap.Interface.
 func (q waiterHeap) Len() int { return len(q) }
 
+// Less implements heap.Interface.
 func (q waiterHeap) Less(i, j int) bool {
 	if q[i].priority != q[j].priority {
 		return q[i].priority < q[j].priority
@@ -95,6 +98,7 @@
 	return q[i].arrival < q[j].arrival
 }
 
+// Swap implements heap.Interface.
 func (q waiterHeap) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 	q[i].index, q[j].index = i, j
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -27,6 +27,8 @@
 	appliedFences []uint64
 }
 
+// handleOrder applies an order, unless its fencing token is stale when it is received
+// or after its preparation.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
 	if err := json.NewDecoder(r.Body).Decode(&o); err != nil {
--- a/internal/standin/hop/hop.go
+++ b/internal/standin/hop/hop.go
@@ -97,8 +97,8 @@
 	return true
 }
 
-// EchoHeaders returns the ids of the call in the headers of the response and sets
-// the header for leaving servers.
+// EchoHeaders returns the ids of the call in the headers of the response, or the id of
+// another request if MisdeliverNext is set, and sets the header for leaving servers.
 func (s *Server) EchoHeaders(w http.ResponseWriter, r *http.Request) {
 	for _, h := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(h, r.Header.Get(h))
