--- a/internal/replay/bound.go
+++ b/internal/replay/bound.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// Bound returns worth that no policy can exceed on the trace, also one that
-// knows every arrival and service time. It is the Lagrangian dual of the
-// fluid problem: buckets of one second, divisible requests, cached prefixes
-// and free links. A price for each pool and bucket bounds the worth from above
-// whatever the prices are; a subgradient search only makes the bound tighter.
+// UpperBound returns an upper bound of the worth that any policy can complete on
+// the trace, also one with advance knowledge of every arrival and service time.
+// The bound is the Lagrangian dual of a fluid relaxation with buckets of one second,
+// divisible requests, cached prefixes and links without delay. Any prices of the
+// pools in the buckets give an upper bound; the subgradient search only tightens
+// it.
 func UpperBound(d *Deployment, s Scenario, records []Record) float64 {
-	b := newBounder(d, s, records)
-	best := b.flat()
+	b := newDualBound(d, s, records)
+	best := b.searchConstantPrices()
 	mean := make([][]float64, len(b.price))
 	for p := range mean {
 		mean[p] = slices.Clone(b.price[p])
 	}
-	for k := range boundRounds {
-		best = min(best, b.value())
-		b.adjust(boundStep / math.Sqrt(float64(k+1)))
+	for k := range subgradientSteps {
+		best = min(best, b.dualValue())
+		b.stepPrices(initialStepSize / math.Sqrt(float64(k+1)))
 		for p := range mean {
 			for t := range mean[p] {
 				mean[p][t] += (b.price[p][t] - mean[p][t]) * 2 / float64(k+2)
@@ -28,63 +29,65 @@
 		}
 	}
 	b.price = mean
-	return min(best, b.value())
+	return min(best, b.dualValue())
 }
 
 const (
-	boundRounds = 40
-	boundStep   = .2
-	flatSteps   = 25
-	flatTop     = 40.0 // worth of a slot second; above every route's
+	subgradientSteps   = 40
+	initialStepSize    = .2 // divided by the square root of the step number
+	ternarySearchSteps = 25
+	maxPrice           = 40.0 // worth of a slot second; above that of every route
 )
 
-// flat sets the best price that stays the same within each segment between
-// faults and bursts, pool by pool, and returns its bound.
-func (b *bounder) flat() float64 {
-	best := b.value()
+// searchConstantPrices sets, pool by pool, the best price that is constant within
+// each segment between changes by faults and bursts, and returns the best bound.
+func (b *dualBound) searchConstantPrices() float64 {
+	best := b.dualValue()
 	for p := range b.price {
-		for i := range len(b.edges) - 1 {
-			if b.short(p, b.edges[i], b.edges[i+1]) {
-				best = min(best, b.search(b.price[p][b.edges[i]:b.edges[i+1]]))
+		for i := range len(b.segmentEdges) - 1 {
+			if b.overfilled(p, b.segmentEdges[i], b.segmentEdges[i+1]) {
+				best = min(best, b.searchPrice(b.price[p][b.segmentEdges[i]:b.segmentEdges[i+1]]))
 			}
 		}
 	}
 	return best
 }
 
-// short reports whether free work would overfill the pool between two buckets.
-func (b *bounder) short(p, from, until int) bool {
+// overfilled reports whether the demand at zero prices exceeds the capacity of
+// pool p in the buckets from from to before until.
+func (b *dualBound) overfilled(p, from, until int) bool {
 	var used, capacity float64
 	for t := from; t < until; t++ {
-		used += b.free[p][t]
+		used += b.usedAtZeroPrice[p][t]
 		capacity += b.capacity[p][t]
 	}
 	return used > capacity
 }
 
-// search finds the best common price of some buckets; the value is convex in
-// it.
-func (b *bounder) search(prices []float64) float64 {
-	at := func(price float64) float64 {
+// searchPrice sets the best common price of some buckets and returns the bound.
+// The bound is convex in the price, so that a ternary search finds it.
+func (b *dualBound) searchPrice(prices []float64) float64 {
+	valueAt := func(price float64) float64 {
 		for t := range prices {
 			prices[t] = price
 		}
-		return b.value()
+		return b.dualValue()
 	}
-	low, high := 0.0, flatTop
-	for range flatSteps {
+	low, high := 0.0, maxPrice
+	for range ternarySearchSteps {
 		third := (high - low) / 3
-		if at(low+third) < at(high-third) {
+		if valueAt(low+third) < valueAt(high-third) {
 			high -= third
 		} else {
 			low += third
 		}
 	}
-	return at(low)
+	return valueAt(low)
 }
 
-// edges returns the buckets in which the demand or the capacity changes.
-func edges(s Scenario, buckets int) []int {
+// segmentEdges returns the first and the end bucket and those in which the demand
+// or the capacity changes, in ascending order.
+func segmentEdges(s Scenario, buckets int) []int {
 	out := []int{0, buckets}
 	add := func(t time.Duration) {
 		if t > 0 {
@@ -103,9 +106,9 @@
 	return slices.Compact(out)
 }
 
-// ByRoute returns the records with every service time replaced by its route's
-// mean. Their bound is the fluid bound of a policy that knows the demand but
-// not how long a single request takes.
+// WithMeanServiceTimes returns the records with the mean service times of their
+// routes. UpperBound of them is the fluid bound, for a policy with knowledge of the
+// demand but not of the service time of a single request.
 func WithMeanServiceTimes(d *Deployment, records []Record) []Record {
 	out := slices.Clone(records)
 	for i := range out {
@@ -113,7 +116,7 @@
 			if m.Route == out[i].Route {
 				out[i].Work = nil
 				for _, w := range m.MeanServiceTimes {
-					out[i].Work = append(out[i].Work, micros(w))
+					out[i].Work = append(out[i].Work, toMicros(w))
 				}
 			}
 		}
@@ -121,72 +124,77 @@
 	return out
 }
 
-type bounder struct {
-	requests []demand
-	capacity [][]float64 // slot seconds by pool and bucket
-	price    [][]float64 // worth of a slot second
-	used     [][]float64
-	free     [][]float64 // asked for when nothing has a price
-	edges    []int
+// dualBound evaluates the dual problem. The outer index of its slices is the pool,
+// the inner one the bucket.
+type dualBound struct {
+	requests        []requestDemand
+	capacity        [][]float64 // slot seconds
+	price           [][]float64 // worth of a slot second
+	used            [][]float64 // slot seconds, set by dualValue
+	usedAtZeroPrice [][]float64 // used when all prices are zero
+	segmentEdges    []int
 }
 
-type demand struct {
-	worth       float64
-	first, last int // buckets
-	pools       []int
-	seconds     []float64
+// requestDemand is the worth of a request and the slot seconds it needs of each
+// pool, in any of the buckets from its arrival to its deadline.
+type requestDemand struct {
+	worth                   float64
+	firstBucket, lastBucket int
+	pools                   []int     // by stage
+	slotSeconds             []float64 // by stage, as pools
 }
 
-func newBounder(d *Deployment, s Scenario, records []Record) *bounder {
-	b := &bounder{}
-	index := map[string]int{}
+func newDualBound(d *Deployment, s Scenario, records []Record) *dualBound {
+	b := &dualBound{}
+	poolIndex := map[string]int{}
 	var longest time.Duration
 	for _, r := range d.Tables.Routes {
 		longest = max(longest, r.Deadline.Std())
 	}
-	buckets := int((length(s)+longest)/time.Second) + 1
+	buckets := int((scenarioDuration(s)+longest)/time.Second) + 1
 	for i, p := range d.Tables.Pools {
-		index[p.Name] = i
-		b.capacity = append(b.capacity, capacity(d, s, p.Name, buckets))
+		poolIndex[p.Name] = i
+		b.capacity = append(b.capacity, poolCapacity(d, s, p.Name, buckets))
 		b.price = append(b.price, make([]float64, buckets))
 		b.used = append(b.used, make([]float64, buckets))
 	}
 	for i := range records {
 		rec := &records[i]
-		rt := d.route(rec.Route)
+		rt := d.findRoute(rec.Route)
 		if rec.Poison {
 			continue
 		}
-		x := demand{worth: rt.Worth, first: int(rec.At / 1e6)}
-		x.last = min(buckets-1, int((fromMicros(rec.At)+rt.Deadline.Std())/time.Second))
+		x := requestDemand{worth: rt.Worth, firstBucket: int(rec.At / 1e6)}
+		x.lastBucket = min(buckets-1, int((fromMicros(rec.At)+rt.Deadline.Std())/time.Second))
 		for k, st := range rt.Stages {
-			x.pools = append(x.pools, index[st.Pool])
-			x.seconds = append(x.seconds, fromMicros(rec.Work[k]).Seconds())
+			x.pools = append(x.pools, poolIndex[st.Pool])
+			x.slotSeconds = append(x.slotSeconds, fromMicros(rec.Work[k]).Seconds())
 		}
 		b.requests = append(b.requests, x)
 	}
-	b.edges = edges(s, buckets)
-	b.value()
+	b.segmentEdges = segmentEdges(s, buckets)
+	b.dualValue()
 	for p := range b.used {
-		b.free = append(b.free, slices.Clone(b.used[p]))
+		b.usedAtZeroPrice = append(b.usedAtZeroPrice, slices.Clone(b.used[p]))
 	}
 	return b
 }
 
-// capacity returns the slot seconds of a pool by bucket, less dead servers and
-// at the pace of slow ones.
-func capacity(d *Deployment, s Scenario, pool string, buckets int) []float64 {
-	p := d.pool(pool)
+// poolCapacity returns the slot seconds of a pool in each bucket. Servers that are
+// down count nothing, slow ones in proportion to their speed.
+func poolCapacity(d *Deployment, s Scenario, pool string, buckets int) []float64 {
+	p := d.findPool(pool)
 	out := make([]float64, buckets)
 	for t := range out {
 		for i := range p.Servers {
-			out[t] += float64(p.Slots) * pace(s, pool, i, time.Duration(t)*time.Second)
+			out[t] += float64(p.Slots) * serverSpeed(s, pool, i, time.Duration(t)*time.Second)
 		}
 	}
 	return out
 }
 
-func pace(s Scenario, pool string, i int, at time.Duration) float64 {
+// serverSpeed returns the speed of server i of a pool: 1 without faults, 0 if down.
+func serverSpeed(s Scenario, pool string, i int, at time.Duration) float64 {
 	for _, f := range s.Faults {
 		if f.Pool != pool || at < f.From || at >= f.Until || i%max(1, f.EveryNth) != 0 {
 			continue
@@ -201,9 +209,9 @@
 	return 1
 }
 
-// value returns the bound under the present prices and notes the slot seconds
-// that the worthwhile requests would use.
-func (b *bounder) value() float64 {
+// dualValue returns the bound at the current prices and sets used to the slot
+// seconds of the requests with a positive surplus.
+func (b *dualBound) dualValue() float64 {
 	var sum float64
 	for p := range b.price {
 		for t, price := range b.price[p] {
@@ -212,38 +220,43 @@
 		}
 	}
 	for i := range b.requests {
-		sum += b.gain(&b.requests[i])
+		sum += b.surplus(&b.requests[i])
 	}
 	return sum
 }
 
-func (b *bounder) gain(x *demand) float64 {
+// surplus returns the worth of a request less the price of its slot seconds in the
+// cheapest buckets, or 0, and adds these to used if it is positive.
+func (b *dualBound) surplus(x *requestDemand) float64 {
 	left := x.worth
-	var at [16]int
+	var bucket [16]int
 	for k, p := range x.pools {
-		at[k] = cheapest(b.price[p], x.first, x.last)
-		left -= b.price[p][at[k]] * x.seconds[k]
+		bucket[k] = cheapestBucket(b.price[p], x.firstBucket, x.lastBucket)
+		left -= b.price[p][bucket[k]] * x.slotSeconds[k]
 	}
 	if left <= 0 {
 		return 0
 	}
 	for k, p := range x.pools {
-		b.used[p][at[k]] += x.seconds[k]
+		b.used[p][bucket[k]] += x.slotSeconds[k]
 	}
 	return left
 }
 
-func cheapest(price []float64, first, last int) int {
-	at := first
+// cheapestBucket returns the first of the cheapest buckets from first to last.
+func cheapestBucket(price []float64, first, last int) int {
+	best := first
 	for t := first + 1; t <= last; t++ {
-		if price[t] < price[at] {
-			at = t
+		if price[t] < price[best] {
+			best = t
 		}
 	}
-	return at
+	return best
 }
 
-func (b *bounder) adjust(step float64) {
+// stepPrices moves each price along its subgradient, the relative excess of used
+// over capacity.
+func (b *dualBound) stepPrices(step float64) {
 	for p := range b.price {
 		for t := range b.price[p] {
 			c := max(1, b.capacity[p][t])
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -8,39 +8,40 @@
 	"bilberrydale/version/table"
 )
 
-// Deployment is one users' system: its tables, places, callers and the shape
-// of its work.
+// Deployment describes the system of one organization: its tables, regions,
+// client accounts and the mix of its requests.
 type Deployment struct {
 	Name           string
 	Tables         table.Tables
 	Regions        []string // one failure domain each
-	HostsPerRegion int      // entry hosts a region
-	// Accounts are the client accounts with their part of the demand.
-	Accounts     []Account
-	Mix          []RouteMix
-	EnginePool   string // the pool that generates
-	RerankerPool string // the pool of the slow-reranker trace
+	HostsPerRegion int      // entry hosts in each region
+	Accounts       []Account
+	Mix            []RouteMix
+	EnginePool     string // pool of the engines that generate output
+	RerankerPool   string // pool that is slow in the slow-reranker scenario
 }
 
-// Account is a client account.
+// Account is a client account and its part of the demand.
 type Account struct {
 	Name           string
-	DemandFraction float64 // part of all requests
-	Weight         float64 // of its fair share; contracted in proportion to the ordinary demand
+	DemandFraction float64 // fraction of all requests
+	Weight         float64 // relative weight of its fair share; contracted in proportion to the ordinary demand
 }
 
-// Mix is how often a route is asked for and what it takes.
+// RouteMix is the frequency of the requests of a route, their service times and
+// sizes.
 type RouteMix struct {
 	Route            string
 	Fraction         float64
-	MeanServiceTimes []time.Duration // service time by stage
-	Bytes            []int           // body, then the output of each stage
+	MeanServiceTimes []time.Duration // mean service time of each stage
+	Bytes            []int           // size of the request body, then of the output of each stage
 }
 
-// Domain returns the only failure domain of a region.
+// FailureDomain returns the only failure domain of a region.
 func FailureDomain(region string) string { return region + "-1" }
 
-func pool(name string, kind table.PoolKind, slots, n int, regions []string) table.Pool {
+// newPool returns a pool of n servers spread evenly over the regions.
+func newPool(name string, kind table.PoolKind, slots, n int, regions []string) table.Pool {
 	p := table.Pool{Name: name, Kind: kind, Slots: slots}
 	if kind == table.Engine {
 		p.Model = table.Model{Name: name}
@@ -58,16 +59,17 @@
 	}
 }
 
-func stage(pool string, budget time.Duration, cost float64) table.Stage {
+func newStage(pool string, budget time.Duration, cost float64) table.Stage {
 	return table.Stage{Name: pool, Pool: pool, Budget: table.Duration(budget), Repeatable: true, Cost: cost}
 }
 
-func once(s table.Stage) table.Stage {
+// nonRepeatable returns s as a stage that isn't retried once it may have started.
+func nonRepeatable(s table.Stage) table.Stage {
 	s.Repeatable = false
 	return s
 }
 
-func route(name string, class table.Class, deadline time.Duration, worth float64, stages ...table.Stage) table.Route {
+func newRoute(name string, class table.Class, deadline time.Duration, worth float64, stages ...table.Stage) table.Route {
 	return table.Route{
 		Name: name, Match: table.Match{Path: "/v1/" + name}, Class: class,
 		Deadline: table.Duration(deadline), Worth: worth, Stages: stages,
@@ -76,27 +78,27 @@
 
 const ms = time.Millisecond
 
-// Kalahari returns Kalahari Lather Works at today's sizes.
+// Kalahari returns the deployment of Kalahari Lather Works at its present size.
 func Kalahari() *Deployment {
 	r := []string{"khomas", "erongo", "oshana"}
-	encode, retrieve := stage("encoders", 200*ms, 1), stage("retrievers", 300*ms, 1)
-	rerank := stage("rerankers", 300*ms, 2)
+	encode, retrieve := newStage("encoders", 200*ms, 1), newStage("retrievers", 300*ms, 1)
+	rerank := newStage("rerankers", 300*ms, 2)
 	d := &Deployment{
 		Name: "kalahari", Regions: r, HostsPerRegion: 2, EnginePool: "recipe-model", RerankerPool: "rerankers",
 		Accounts: []Account{{"boilers", .35, .35}, {"blenders", .3, .3}, {"depots", .2, .2}, {"buyers", .1, .1}, {"office", .05, .05}},
 	}
 	d.Tables.Pools = []table.Pool{
-		pool("encoders", table.Encoder, 32, 3, r), pool("retrievers", table.Encoder, 32, 3, r),
-		pool("rerankers", table.Encoder, 16, 3, r), pool("recipe-model", table.Engine, 8, 12, r),
-		pool("depot-ledger", table.Service, 32, 3, r), pool("kettle-floor", table.Service, 32, 5, r),
-		pool("buyer-portal", table.Service, 32, 5, r), pool("legacy-bridge", table.Service, 16, 5, r),
+		newPool("encoders", table.Encoder, 32, 3, r), newPool("retrievers", table.Encoder, 32, 3, r),
+		newPool("rerankers", table.Encoder, 16, 3, r), newPool("recipe-model", table.Engine, 8, 12, r),
+		newPool("depot-ledger", table.Service, 32, 3, r), newPool("kettle-floor", table.Service, 32, 5, r),
+		newPool("buyer-portal", table.Service, 32, 5, r), newPool("legacy-bridge", table.Service, 16, 5, r),
 	}
 	d.Tables.Routes = []table.Route{
-		route("draft", table.Standard, 5*time.Second, 8, encode, retrieve, rerank, stage("recipe-model", 3*time.Second, 10)),
-		route("substitution", table.Interactive, 3*time.Second, 4, encode, retrieve, stage("recipe-model", 2*time.Second, 10)),
-		route("note-tags", table.Background, 5*time.Second, 1, encode, stage("recipe-model", 3*time.Second, 5), stage("legacy-bridge", 500*ms, 1)),
-		route("transfer", table.Interactive, 3*time.Second, 10, stage("kettle-floor", 500*ms, 1), once(stage("depot-ledger", time.Second, 2))),
-		route("order-status", table.Interactive, 2*time.Second, 1, stage("buyer-portal", 500*ms, 1)),
+		newRoute("draft", table.Standard, 5*time.Second, 8, encode, retrieve, rerank, newStage("recipe-model", 3*time.Second, 10)),
+		newRoute("substitution", table.Interactive, 3*time.Second, 4, encode, retrieve, newStage("recipe-model", 2*time.Second, 10)),
+		newRoute("note-tags", table.Background, 5*time.Second, 1, encode, newStage("recipe-model", 3*time.Second, 5), newStage("legacy-bridge", 500*ms, 1)),
+		newRoute("transfer", table.Interactive, 3*time.Second, 10, newStage("kettle-floor", 500*ms, 1), nonRepeatable(newStage("depot-ledger", time.Second, 2))),
+		newRoute("order-status", table.Interactive, 2*time.Second, 1, newStage("buyer-portal", 500*ms, 1)),
 	}
 	d.Mix = []RouteMix{
 		{"draft", .25, []time.Duration{40 * ms, 60 * ms, 80 * ms, 1200 * ms}, []int{24 << 10, 8 << 10, 48 << 10, 20 << 10, 12 << 10}},
@@ -108,26 +110,26 @@
 	return d
 }
 
-// Zagara returns Zagara Lead Lab at today's sizes.
+// Zagara returns the deployment of Zagara Lead Lab at its present size.
 func Zagara() *Deployment {
 	r := []string{"palermo", "catania", "siracusa"}
-	encode, retrieve := stage("encoders", 200*ms, 1), stage("retrievers", 300*ms, 1)
+	encode, retrieve := newStage("encoders", 200*ms, 1), newStage("retrievers", 300*ms, 1)
 	d := &Deployment{
 		Name: "zagara", Regions: r, HostsPerRegion: 2, EnginePool: "bilberry-pool", RerankerPool: "rerankers",
 		Accounts: []Account{{"ville", .4, .4}, {"borghi", .25, .25}, {"lidi", .2, .2}, {"ricevimenti", .1, .1}, {"sposi", .05, .05}},
 	}
 	d.Tables.Pools = []table.Pool{
-		pool("encoders", table.Encoder, 32, 3, r), pool("retrievers", table.Encoder, 32, 3, r),
-		pool("rerankers", table.Encoder, 16, 3, r), pool("bilberry-pool", table.Engine, 8, 10, r),
-		pool("lead-desk", table.Service, 32, 3, r), pool("planner-portal", table.Service, 32, 5, r),
-		pool("form-intake", table.Service, 32, 5, r), pool("notify-hub", table.Service, 32, 5, r),
+		newPool("encoders", table.Encoder, 32, 3, r), newPool("retrievers", table.Encoder, 32, 3, r),
+		newPool("rerankers", table.Encoder, 16, 3, r), newPool("bilberry-pool", table.Engine, 8, 10, r),
+		newPool("lead-desk", table.Service, 32, 3, r), newPool("planner-portal", table.Service, 32, 5, r),
+		newPool("form-intake", table.Service, 32, 5, r), newPool("notify-hub", table.Service, 32, 5, r),
 	}
 	d.Tables.Routes = []table.Route{
-		route("chat", table.Interactive, 2500*ms, 6, encode, retrieve, stage("bilberry-pool", 1500*ms, 10)),
-		route("proposal", table.Standard, 6*time.Second, 5, encode, retrieve, stage("rerankers", 300*ms, 2), stage("bilberry-pool", 4*time.Second, 10)),
-		route("visit", table.Interactive, 3*time.Second, 5, stage("form-intake", 500*ms, 1), once(stage("lead-desk", time.Second, 1))),
-		route("raise", table.Standard, 3*time.Second, 2, stage("planner-portal", 500*ms, 1), stage("notify-hub", 500*ms, 1)),
-		route("score", table.Background, 6*time.Second, .5, encode, stage("bilberry-pool", 3*time.Second, 5)),
+		newRoute("chat", table.Interactive, 2500*ms, 6, encode, retrieve, newStage("bilberry-pool", 1500*ms, 10)),
+		newRoute("proposal", table.Standard, 6*time.Second, 5, encode, retrieve, newStage("rerankers", 300*ms, 2), newStage("bilberry-pool", 4*time.Second, 10)),
+		newRoute("visit", table.Interactive, 3*time.Second, 5, newStage("form-intake", 500*ms, 1), nonRepeatable(newStage("lead-desk", time.Second, 1))),
+		newRoute("raise", table.Standard, 3*time.Second, 2, newStage("planner-portal", 500*ms, 1), newStage("notify-hub", 500*ms, 1)),
+		newRoute("score", table.Background, 6*time.Second, .5, encode, newStage("bilberry-pool", 3*time.Second, 5)),
 	}
 	d.Mix = []RouteMix{
 		{"chat", .40, []time.Duration{20 * ms, 40 * ms, 500 * ms}, []int{3 << 10, 4 << 10, 16 << 10, 1 << 10}},
@@ -139,10 +141,11 @@
 	return d
 }
 
-// Deployments returns both.
+// Deployments returns every deployment.
 func Deployments() []*Deployment { return []*Deployment{Kalahari(), Zagara()} }
 
-func (d *Deployment) pool(name string) *table.Pool {
+// findPool returns the pool of that name, or nil.
+func (d *Deployment) findPool(name string) *table.Pool {
 	for i := range d.Tables.Pools {
 		if d.Tables.Pools[i].Name == name {
 			return &d.Tables.Pools[i]
@@ -151,7 +154,8 @@
 	return nil
 }
 
-func (d *Deployment) route(name string) *table.Route {
+// findRoute returns the route of that name, or nil.
+func (d *Deployment) findRoute(name string) *table.Route {
 	for i := range d.Tables.Routes {
 		if d.Tables.Routes[i].Name == name {
 			return &d.Tables.Routes[i]
@@ -160,12 +164,13 @@
 	return nil
 }
 
-// Rate returns the requests a second at which the engines are just full.
+// SaturationRate returns the rate, in requests a second, at which the engines are
+// fully utilized at mean service times.
 func (d *Deployment) SaturationRate() float64 {
-	p := d.pool(d.EnginePool)
+	p := d.findPool(d.EnginePool)
 	var seconds float64
 	for _, m := range d.Mix {
-		for i, st := range d.route(m.Route).Stages {
+		for i, st := range d.findRoute(m.Route).Stages {
 			if st.Pool == d.EnginePool {
 				seconds += m.Fraction * m.MeanServiceTimes[i].Seconds()
 			}
@@ -174,7 +179,7 @@
 	return float64(p.Slots*len(p.Servers)) / seconds
 }
 
-// equalShares returns the deployment with accounts that all weigh the same.
+// equalShares returns a copy of the deployment with equal account weights.
 func (d *Deployment) equalShares() *Deployment {
 	out := *d
 	out.Accounts = slices.Clone(d.Accounts)
@@ -184,7 +189,8 @@
 	return &out
 }
 
-func (d *Deployment) shares() map[string]float64 {
+// accountWeights returns the weight of each account by name.
+func (d *Deployment) accountWeights() map[string]float64 {
 	out := map[string]float64{}
 	for _, a := range d.Accounts {
 		out[a.Name] = a.Weight
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -11,9 +11,10 @@
 	"bilberrydale/version/table"
 )
 
-// host is a fake entry host around real decision code.
-type host struct {
-	*run
+// fakeHost simulates an entry host: the decision code is the real one, the
+// connections to backend servers are simulated.
+type fakeHost struct {
+	*simulation
 	Location
 	*HostPolicy
 	rand     clock.Rand
@@ -22,20 +23,20 @@
 	profiles map[string]*admission.Profile
 }
 
-func (r *run) newHost(at Location, seed uint64) *host {
-	h := &host{run: r, Location: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
-	h.HostPolicy = r.policy.New(at, h.rand)
-	h.install()
+func (sim *simulation) newFakeHost(at Location, seed uint64) *fakeHost {
+	h := &fakeHost{simulation: sim, Location: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
+	h.HostPolicy = sim.policy.New(at, h.rand)
+	h.installSnapshot()
 	return h
 }
 
-var classes = map[table.Class]admission.Class{
+var admissionClasses = map[table.Class]admission.Class{
 	table.Interactive: admission.Interactive, table.Standard: admission.Standard, table.Background: admission.Background,
 }
 
-// install makes the pickers and profiles of the present tables, as a new
-// snapshot does.
-func (h *host) install() {
+// installSnapshot builds the pickers and admission profiles of the current
+// tables, as an entry host does when it installs a snapshot.
+func (h *fakeHost) installSnapshot() {
 	h.pickers = map[string]pick.Picker{}
 	slots := map[string]int{}
 	for _, p := range h.tables.Pools {
@@ -47,7 +48,7 @@
 		slots[p.Name] = p.Slots * len(servers)
 	}
 	for _, rt := range h.tables.Routes {
-		p := &admission.Profile{Route: rt.Name, Class: classes[rt.Class], Worth: rt.Worth, AccountWeights: h.deployment.shares()}
+		p := &admission.Profile{Route: rt.Name, Class: admissionClasses[rt.Class], Worth: rt.Worth, AccountWeights: h.deployment.accountWeights()}
 		for _, st := range rt.Stages {
 			p.Stages = append(p.Stages, admission.Stage{Pool: st.Pool, Budget: st.Budget.Std(), Cost: st.Cost, Slots: slots[st.Pool]})
 		}
@@ -55,209 +56,230 @@
 	}
 }
 
-// flow is one request on its way through the stages.
-type flow struct {
-	*host
-	rec      *Record
-	out      *outcome
-	route    *table.Route
-	req      admission.Request
-	stage    int
-	attempts int
-	tried    []*server.State
-	current  *attempt
-	began    time.Duration // of the stage
-	over     bool
+// request is the state of one admitted request while it runs through the stages
+// of its route.
+type request struct {
+	*fakeHost
+	record           *Record
+	outcome          *outcome
+	route            *table.Route
+	admissionRequest admission.Request
+	stageIndex       int
+	attempts         int
+	tried            []*server.State
+	current          *attempt
+	stageStartedAt   time.Duration // start of the current stage
+	ended            bool
 }
 
+// attempt is one call of a backend server for a stage.
 type attempt struct {
-	job *job
-	on  *fakeServer
-	srv *pick.Server
-	at  time.Duration
+	task   *task
+	fake   *fakeServer
+	server *pick.Server
+	sentAt time.Duration
 }
 
-const maxAttempts = 3 // as request/pipeline
+// maxAttempts bounds the attempts of a stage; it is the limit of request/pipeline.
+const maxAttempts = 3
 
-func (h *host) arrive(rec *Record, out *outcome) {
-	rt := h.deployment.route(rec.Route)
-	f := &flow{host: h, rec: rec, out: out, route: rt}
-	f.req = admission.Request{Profile: h.profiles[rec.Route], Account: rec.Account, ArrivedAt: h.time(), Deadline: h.time().Add(rt.Deadline.Std()), Fingerprint: rec.identity()}
-	if err := h.Admitter.Admit(h.time(), &f.req); err != nil {
-		out.refused, out.why, out.retryAfter = true, string(err.Kind), err.RetryDelay()
+// handleRequest passes an arriving request to admission and starts its first
+// stage if it is admitted.
+func (h *fakeHost) handleRequest(rec *Record, out *outcome) {
+	rt := h.deployment.findRoute(rec.Route)
+	req := &request{fakeHost: h, record: rec, outcome: out, route: rt}
+	req.admissionRequest = admission.Request{Profile: h.profiles[rec.Route], Account: rec.Account, ArrivedAt: h.time(), Deadline: h.time().Add(rt.Deadline.Std()), Fingerprint: rec.fingerprint()}
+	if err := h.Admitter.Admit(h.time(), &req.admissionRequest); err != nil {
+		out.refused, out.refusalKind, out.retryAfter = true, string(err.Kind), err.RetryDelay()
 		return
 	}
 	out.admitted = true
-	h.after(rt.Deadline.Std(), f.expire)
-	f.start()
+	h.scheduleAfter(rt.Deadline.Std(), req.expire)
+	req.startStage()
 }
 
-func (f *flow) start() {
-	f.began, f.attempts, f.tried = f.now, 0, nil
-	f.Admitter.StageStart(f.time(), &f.req, f.stage)
-	f.try()
+func (req *request) startStage() {
+	req.stageStartedAt, req.attempts, req.tried = req.now, 0, nil
+	req.Admitter.StageStart(req.time(), &req.admissionRequest, req.stageIndex)
+	req.tryServer()
 }
 
-func (f *flow) try() {
-	st := &f.route.Stages[f.stage]
+// tryServer picks a server for the current stage and sends an attempt to it. The
+// request fails if no server can be picked.
+func (req *request) tryServer() {
+	st := &req.route.Stages[req.stageIndex]
 	info := pick.Attempt{
-		Now: f.time(), Rand: f.rand, PrefixHash: f.affinity(), Class: f.route.Class,
-		InputBytes: f.rec.Bytes[f.stage], Exclude: f.tried,
+		Now: req.time(), Rand: req.rand, PrefixHash: req.prefixHash(), Class: req.route.Class,
+		InputBytes: req.record.Bytes[req.stageIndex], Exclude: req.tried,
 	}
-	srv, err := f.pickers[st.Pool].Pick(&info)
+	srv, err := req.pickers[st.Pool].Pick(&info)
 	if err != nil {
-		f.end(admission.Failed)
+		req.endRequest(admission.Failed)
 		return
 	}
-	if f.attempts == 0 && f.RecordFirstAttempt != nil {
-		f.RecordFirstAttempt(st.Pool)
+	if req.attempts == 0 && req.RecordFirstAttempt != nil {
+		req.RecordFirstAttempt(st.Pool)
 	}
-	f.attempts++
-	f.tried = append(f.tried, srv.State)
-	f.send(st, srv)
+	req.attempts++
+	req.tried = append(req.tried, srv.State)
+	req.send(st, srv)
 }
 
-func (f *flow) affinity() uint64 {
-	if f.route.Stages[f.stage].Pool != f.deployment.EnginePool {
+// prefixHash returns the prompt prefix of an engine stage and 0 for other stages.
+func (req *request) prefixHash() uint64 {
+	if req.route.Stages[req.stageIndex].Pool != req.deployment.EnginePool {
 		return 0
 	}
-	return f.rec.Prefix
+	return req.record.Prefix
 }
 
-func (f *flow) send(st *table.Stage, srv *pick.Server) {
-	f.req.MayHaveQueued = !srv.HasFreeSlot(f.time())
+// send submits an attempt to srv after the link delay. If the link is
+// partitioned or the server no longer exists, the attempt fails after dialTimeout.
+func (req *request) send(st *table.Stage, srv *pick.Server) {
+	req.admissionRequest.MayHaveQueued = !srv.HasFreeSlot(req.time())
 	srv.State.BeginRequest()
-	a := &attempt{on: f.servers[srv.Address], srv: srv, at: f.now}
-	f.current = a
-	f.bytes(srv, f.rec.Bytes[f.stage])
-	if !f.connected(f.Region, srv.Region) || a.on == nil {
-		f.after(dialTimeout, func() { f.reply(a, unreached) })
+	a := &attempt{fake: req.servers[srv.Address], server: srv, sentAt: req.now}
+	req.current = a
+	req.countCrossRegionBytes(srv, req.record.Bytes[req.stageIndex])
+	if !req.connected(req.Region, srv.Region) || a.fake == nil {
+		req.scheduleAfter(dialTimeout, func() { req.handleResult(a, taskUnreachable) })
 		return
 	}
-	delay := f.delay(srv.Region)
-	j := &job{
-		seq: f.nextSeq(), work: fromMicros(f.rec.Work[f.stage]), prefill: fromMicros(f.rec.Prefill), prefix: f.rec.Prefix,
-		poison: f.rec.Poison && f.stage == len(f.route.Stages)-1,
+	delay := req.linkDelay(srv.Region)
+	t := &task{
+		seq: req.nextTaskSeq(), serviceTime: fromMicros(req.record.Work[req.stageIndex]), prefillTime: fromMicros(req.record.Prefill), prefix: req.record.Prefix,
+		poison: req.record.Poison && req.stageIndex == len(req.route.Stages)-1,
 	}
-	if !f.Naive {
-		j.priority = int(f.req.Profile.Class)
+	if !req.Naive {
+		t.priority = int(req.admissionRequest.Profile.Class)
 	}
-	a.job = j
-	j.done = func(r result) {
-		f.spend(st.Name, a)
-		f.after(delay, func() { f.reply(a, r) })
+	a.task = t
+	t.done = func(result taskResult) {
+		req.recordSlotTime(st.Name, a)
+		req.scheduleAfter(delay, func() { req.handleResult(a, result) })
 	}
-	f.after(delay, func() {
-		if f.over {
+	req.scheduleAfter(delay, func() {
+		if req.ended {
 			return
 		}
-		a.on.submit(j)
+		a.fake.submit(t)
 	})
 }
 
+// dialTimeout is how long an attempt takes to fail when there is no connection.
 const dialTimeout = 500 * time.Millisecond
 
-func (f *flow) spend(stage string, a *attempt) {
-	if a.job.started > 0 {
-		f.out.spend(stage, f.now-a.job.started, f.route.Stages[f.stage].Cost)
+// recordSlotTime adds the slot time of an attempt that started to the outcome.
+func (req *request) recordSlotTime(stage string, a *attempt) {
+	if a.task.startedAt > 0 {
+		req.outcome.addSlotTime(stage, req.now-a.task.startedAt, req.route.Stages[req.stageIndex].Cost)
 	}
 }
 
-// reply handles the end of an attempt, as request/pipeline does.
-func (f *flow) reply(a *attempt, r result) {
-	if f.over || f.current != a {
+// handleResult handles the end of an attempt with the retry rules of
+// request/pipeline: an attempt that did not start, or whose stage is repeatable,
+// is retried within maxAttempts and the retry budget.
+func (req *request) handleResult(a *attempt, result taskResult) {
+	if req.ended || req.current != a {
 		return
 	}
-	f.current = nil
-	a.srv.State.EndRequest()
-	if f.RecordOutcome != nil {
-		f.RecordOutcome(f.time(), a.srv.State, recorded(r), f.now-a.at)
+	req.current = nil
+	a.server.State.EndRequest()
+	if req.RecordOutcome != nil {
+		req.RecordOutcome(req.time(), a.server.State, serverOutcome(result), req.now-a.sentAt)
 	}
-	if r == succeeded {
-		f.req.StreamDuration = 0
-		if a.on.engine {
-			f.req.StreamDuration = a.job.end - a.job.started // engines stream
+	if result == taskSucceeded {
+		req.admissionRequest.StreamDuration = 0
+		if a.fake.engine {
+			req.admissionRequest.StreamDuration = a.task.endAt - a.task.startedAt // engines stream their output while they run
 		}
-		f.bytes(a.srv, f.rec.Bytes[f.stage+1])
-		f.next()
+		req.countCrossRegionBytes(a.server, req.record.Bytes[req.stageIndex+1])
+		req.finishStage()
 		return
 	}
-	st := &f.route.Stages[f.stage]
-	repeat := r == refused || r == unreached || st.Repeatable
+	st := &req.route.Stages[req.stageIndex]
+	retryable := result == taskRefused || result == taskUnreachable || st.Repeatable
 	limit := maxAttempts
-	if f.Naive {
-		limit++ // three retries
+	if req.Naive {
+		limit++ // the baseline makes three retries
 	}
-	if repeat && f.attempts < limit && (f.AllowRetry == nil || f.AllowRetry(st.Pool)) {
-		f.try()
+	if retryable && req.attempts < limit && (req.AllowRetry == nil || req.AllowRetry(st.Pool)) {
+		req.tryServer()
 		return
 	}
-	f.end(admission.Failed)
+	req.endRequest(admission.Failed)
 }
 
-func recorded(r result) server.Outcome {
-	switch r {
-	case succeeded:
+// serverOutcome returns the outcome that the decision code records for result.
+func serverOutcome(result taskResult) server.Outcome {
+	switch result {
+	case taskSucceeded:
 		return server.Succeeded
-	case refused:
+	case taskRefused:
 		return server.Overloaded
-	case unreached:
+	case taskUnreachable:
 		return server.Unreachable
 	default:
 		return server.Failed
 	}
 }
 
-func (f *flow) next() {
-	f.Admitter.StageDone(f.time(), &f.req, f.stage, f.now-f.began, true)
-	f.stage++
-	if f.stage < len(f.route.Stages) {
-		f.start()
+// finishStage starts the next stage, or completes the request after the last.
+func (req *request) finishStage() {
+	req.Admitter.StageDone(req.time(), &req.admissionRequest, req.stageIndex, req.now-req.stageStartedAt, true)
+	req.stageIndex++
+	if req.stageIndex < len(req.route.Stages) {
+		req.startStage()
 		return
 	}
-	f.stage--
-	f.over = true
-	f.out.completed = true
-	f.out.took = f.now - f.out.arrived
-	f.Admitter.Done(f.time(), &f.req, admission.Completed)
+	req.stageIndex--
+	req.ended = true
+	req.outcome.completed = true
+	req.outcome.latency = req.now - req.outcome.arrivedAt
+	req.Admitter.Done(req.time(), &req.admissionRequest, admission.Completed)
 }
 
-// expire ends the request at its deadline and cancels what still runs for it.
-func (f *flow) expire() {
-	if !f.over {
-		f.end(admission.Late)
+// expire ends the request at its deadline and cancels its running attempt.
+func (req *request) expire() {
+	if !req.ended {
+		req.endRequest(admission.Late)
 	}
 }
 
-func (f *flow) end(o admission.Outcome) {
-	f.over = true
-	if a := f.current; a != nil {
-		a.srv.State.EndRequest()
-		if a.job != nil {
-			a.on.cancel(a.job)
+// endRequest ends a request that did not complete.
+func (req *request) endRequest(o admission.Outcome) {
+	req.ended = true
+	if a := req.current; a != nil {
+		a.server.State.EndRequest()
+		if a.task != nil {
+			a.fake.cancel(a.task)
 		}
 	}
-	f.Admitter.StageDone(f.time(), &f.req, f.stage, f.now-f.began, false)
-	f.Admitter.Done(f.time(), &f.req, o)
+	req.Admitter.StageDone(req.time(), &req.admissionRequest, req.stageIndex, req.now-req.stageStartedAt, false)
+	req.Admitter.Done(req.time(), &req.admissionRequest, o)
 }
 
-// bytes counts a body that crosses regions.
-func (f *flow) bytes(srv *pick.Server, n int) {
-	if srv.Region != f.Region {
-		f.out.crossed += int64(n)
+// countCrossRegionBytes adds n bytes exchanged with srv to the outcome if the
+// server is in another region.
+func (req *request) countCrossRegionBytes(srv *pick.Server, n int) {
+	if srv.Region != req.Region {
+		req.outcome.crossRegionBytes += int64(n)
 	}
 }
 
-func (f *flow) delay(region string) time.Duration {
-	if region == f.Region {
-		return sameRegion
+// linkDelay returns the one-way delay between the host and a region.
+func (req *request) linkDelay(region string) time.Duration {
+	if region == req.Region {
+		return sameRegionDelay
 	}
-	return otherRegion
+	return crossRegionDelay
 }
 
+// One-way network delays.
 const (
-	sameRegion  = 500 * time.Microsecond
-	otherRegion = 20 * time.Millisecond
+	sameRegionDelay  = 500 * time.Microsecond
+	crossRegionDelay = 20 * time.Millisecond
 )
 
+// hostName returns the name of entry host i, from 0, of a region.
 func hostName(region string, i int) string { return fmt.Sprintf("%s-entry-%d", region, i+1) }
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -7,7 +7,7 @@
 	"bilberrydale/version/table"
 )
 
-// Result holds the measures of one replay.
+// Result holds the metrics of one replay.
 type Result struct {
 	Deployment      string  `json:"deployment"`
 	Scenario        string  `json:"scenario"`
@@ -16,68 +16,75 @@
 	Offered         int     `json:"offered"`
 	Completed       int     `json:"completed"`
 	Refused         int     `json:"refused"`
-	Worth           float64 `json:"worth"`    // of requests completed in time
-	BoundRatio      float64 `json:"of_bound"` // worth as a part of the bound
-	FluidBoundRatio float64 `json:"of_fluid"` // the same of the bound that knows routes' means only
-	// Attainment is the part completed in time, by class.
+	Worth           float64 `json:"worth"`    // sum over the requests completed in time
+	BoundRatio      float64 `json:"of_bound"` // Worth divided by UpperBound
+	FluidBoundRatio float64 `json:"of_fluid"` // Worth divided by the bound for mean service times
+	// Interactive, Standard and Background are the fractions of the requests of
+	// each class that completed in time, without poison requests.
 	Interactive      float64     `json:"interactive"`
 	Standard         float64     `json:"standard"`
 	Background       float64     `json:"background"`
-	Cost             float64     `json:"cost"` // of slot seconds, by the stages' price
+	Cost             float64     `json:"cost"` // slot seconds, weighted by the costs of the stages
 	Stages           []StageCost `json:"stages"`
-	WastedFraction   float64     `json:"wasted"` // worst stage's part spent on requests that missed
-	WastedStage      string      `json:"wasted_in"`
+	WastedFraction   float64     `json:"wasted"`    // highest fraction of a stage's slot time spent on requests that did not complete
+	WastedStage      string      `json:"wasted_in"` // stage of WastedFraction
 	CrossRegionBytes int64       `json:"cross_bytes"`
-	WorstShareRatio  float64     `json:"worst_share"` // worst account's part of its fair due
-	// WorstServed is the same when the due is a share of what was served, so
-	// that it shows how evenly and not how much.
+	WorstShareRatio  float64     `json:"worst_share"` // lowest ratio of an account's engine time to its fair share of the capacity
+	// WorstServedRatio is the lowest ratio to the fair share of the engine time
+	// that all accounts received. It measures fairness independently of how much
+	// was completed.
 	WorstServedRatio float64 `json:"worst_served"`
-	// Returned came back when told to, and Served of them completed then;
-	// background requests, which are refused as long as others wait, apart.
+	// ClientRetries is the number of requests that clients repeated after the
+	// retry delay of a refusal, and ClientRetrySuccess the fraction of them that
+	// completed. Background requests, which are refused as long as others wait,
+	// count in BackgroundRetrySuccess instead.
 	ClientRetries          int     `json:"returned"`
 	ClientRetrySuccess     float64 `json:"served"`
 	BackgroundRetrySuccess float64 `json:"served_background"`
 }
 
-// Spend is what one stage's slot time went into.
+// StageCost is the slot time of one stage.
 type StageCost struct {
 	Stage          string  `json:"stage"`
-	Cost           float64 `json:"cost"`
-	WastedFraction float64 `json:"wasted"`
+	Cost           float64 `json:"cost"`   // slot seconds, weighted by the cost of the stage
+	WastedFraction float64 `json:"wasted"` // of the slot time, spent on requests that did not complete
 }
 
-func (r *run) measure() *Result {
-	m := &Result{Deployment: r.deployment.Name, Scenario: r.scenario.Name, Policy: r.policy.Name, Offered: len(r.outcomes)}
-	for _, o := range r.outcomes {
-		m.count(o, r.deployment.route(o.rec.Route).Worth)
+// measure computes the result of a finished replay.
+func (sim *simulation) measure() *Result {
+	m := &Result{Deployment: sim.deployment.Name, Scenario: sim.scenario.Name, Policy: sim.policy.Name, Offered: len(sim.outcomes)}
+	for _, o := range sim.outcomes {
+		m.countOutcome(o, sim.deployment.findRoute(o.record.Route).Worth)
 	}
-	m.Interactive, m.Standard, m.Background = r.attained("interactive"), r.attained("standard"), r.attained("background")
-	m.spending(slices.Concat(r.outcomes, r.returned), r.deployment)
-	m.WorstShareRatio, m.WorstServedRatio = r.worstShares()
-	r.comeBacks(m)
+	m.Interactive, m.Standard, m.Background = sim.attainment("interactive"), sim.attainment("standard"), sim.attainment("background")
+	m.countSlotTime(slices.Concat(sim.outcomes, sim.clientRetries), sim.deployment)
+	m.WorstShareRatio, m.WorstServedRatio = sim.worstShareRatios()
+	sim.countClientRetries(m)
 	return m
 }
 
-func (r *run) comeBacks(m *Result) {
-	var back, served [2]int
-	for _, o := range r.returned {
-		m.CrossRegionBytes += o.crossed
+// countClientRetries adds the client retries to m. The arrays hold the requests of
+// background routes at index 1 and all others at 0.
+func (sim *simulation) countClientRetries(m *Result) {
+	var retries, succeeded [2]int
+	for _, o := range sim.clientRetries {
+		m.CrossRegionBytes += o.crossRegionBytes
 		i := 0
-		if r.deployment.route(o.rec.Route).Class == table.Background {
+		if sim.deployment.findRoute(o.record.Route).Class == table.Background {
 			i = 1
 		}
-		back[i]++
+		retries[i]++
 		if o.completed {
-			served[i]++
+			succeeded[i]++
 		}
 	}
-	m.ClientRetries = back[0] + back[1]
-	m.ClientRetrySuccess = float64(served[0]) / float64(max(1, back[0]))
-	m.BackgroundRetrySuccess = float64(served[1]) / float64(max(1, back[1]))
+	m.ClientRetries = retries[0] + retries[1]
+	m.ClientRetrySuccess = float64(succeeded[0]) / float64(max(1, retries[0]))
+	m.BackgroundRetrySuccess = float64(succeeded[1]) / float64(max(1, retries[1]))
 }
 
-func (m *Result) count(o *outcome, worth float64) {
-	m.CrossRegionBytes += o.crossed
+func (m *Result) countOutcome(o *outcome, worth float64) {
+	m.CrossRegionBytes += o.crossRegionBytes
 	switch {
 	case o.completed:
 		m.Completed++
@@ -87,10 +94,12 @@
 	}
 }
 
-func (r *run) attained(class string) float64 {
+// attainment returns the fraction of a class that completed in time; 1 if the
+// trace has no request of the class.
+func (sim *simulation) attainment(class string) float64 {
 	all, done := 0, 0
-	for _, o := range r.outcomes {
-		if string(r.deployment.route(o.rec.Route).Class) != class || o.rec.Poison {
+	for _, o := range sim.outcomes {
+		if string(sim.deployment.findRoute(o.record.Route).Class) != class || o.record.Poison {
 			continue
 		}
 		all++
@@ -104,100 +113,111 @@
 	return float64(done) / float64(all)
 }
 
-// leastSpend is the slot time below which a stage's wasted part says nothing.
-const leastSpend = 5 * time.Second
+// minSlotTime is the slot time below which a stage is too little used for its
+// wasted fraction to be meaningful.
+const minSlotTime = 5 * time.Second
 
-func (m *Result) spending(outcomes []*outcome, d *Deployment) {
-	slots := map[string]time.Duration{}
+// countSlotTime adds the slot time of each stage that ran, in the order of the
+// pools, which fixes the order of the floating-point sums.
+func (m *Result) countSlotTime(outcomes []*outcome, d *Deployment) {
+	total := map[string]time.Duration{}
 	wasted := map[string]time.Duration{}
 	cost := map[string]float64{}
 	for _, o := range outcomes {
-		for _, s := range o.spent {
-			slots[s.stage] += s.slot
-			cost[s.stage] += s.cost * s.slot.Seconds()
+		for _, s := range o.slotTimes {
+			total[s.stage] += s.duration
+			cost[s.stage] += s.cost * s.duration.Seconds()
 			if !o.completed {
-				wasted[s.stage] += s.slot
+				wasted[s.stage] += s.duration
 			}
 		}
 	}
 	for _, p := range d.Tables.Pools {
-		if slots[p.Name] == 0 {
+		if total[p.Name] == 0 {
 			continue
 		}
-		part := float64(wasted[p.Name]) / float64(slots[p.Name])
+		part := float64(wasted[p.Name]) / float64(total[p.Name])
 		m.Stages = append(m.Stages, StageCost{p.Name, cost[p.Name], part})
 		m.Cost += cost[p.Name]
-		if part > m.WastedFraction && slots[p.Name] >= leastSpend {
+		if part > m.WastedFraction && total[p.Name] >= minSlotTime {
 			m.WastedFraction, m.WastedStage = part, p.Name
 		}
 	}
 }
 
-// sharePhase is the length of the phases in which shares are compared.
-const sharePhase = 30 * time.Second
+// shareWindow is the length of the windows in which shares are compared.
+const shareWindow = 30 * time.Second
 
-// worstShares compares, in each phase, the engine time that each account got for
-// requests completed in time with its weighted max-min share of what the
-// engines can do, and of what all accounts got. Background work has no due.
-func (r *run) worstShares() (ofCapacity, ofServed float64) {
+// worstShareRatios compares, in each window, the engine time of an account's
+// requests that completed in time with its weighted max-min share of the engine
+// capacity, and of the engine time that all accounts received. It returns the
+// lowest ratio of each. Background requests have no share and don't count.
+func (sim *simulation) worstShareRatios() (ofCapacity, ofServed float64) {
 	ofCapacity, ofServed = 1, 1
-	for from := time.Duration(0); from < length(r.scenario); from += sharePhase {
-		asked, got := r.accountSeconds(from)
+	for from := time.Duration(0); from < scenarioDuration(sim.scenario); from += shareWindow {
+		demanded, completed := sim.accountEngineSeconds(from)
 		var served float64
-		for _, s := range got {
+		for _, s := range completed {
 			served += s
 		}
-		ofCapacity = min(ofCapacity, worst(got, fairDue(asked, r.deployment.Accounts, r.engineCapacity(from))))
-		ofServed = min(ofServed, worst(got, fairDue(asked, r.deployment.Accounts, served)))
+		ofCapacity = min(ofCapacity, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, sim.engineCapacity(from))))
+		ofServed = min(ofServed, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, served)))
 	}
 	return ofCapacity, ofServed
 }
 
-func (r *run) accountSeconds(from time.Duration) (asked, got []float64) {
-	asked = make([]float64, len(r.deployment.Accounts))
-	got = make([]float64, len(asked))
-	for _, o := range r.outcomes {
-		if o.arrived < from || o.arrived >= from+sharePhase || o.rec.Poison {
+// accountEngineSeconds returns the engine time of each account's requests that
+// arrived in the window from the given time: of all, and of the completed ones.
+func (sim *simulation) accountEngineSeconds(from time.Duration) (demanded, completed []float64) {
+	demanded = make([]float64, len(sim.deployment.Accounts))
+	completed = make([]float64, len(demanded))
+	for _, o := range sim.outcomes {
+		if o.arrivedAt < from || o.arrivedAt >= from+shareWindow || o.record.Poison {
 			continue
 		}
-		i := slices.IndexFunc(r.deployment.Accounts, func(a Account) bool { return a.Name == o.rec.Account })
-		s := r.engineSeconds(o.rec)
-		asked[i] += s
+		i := slices.IndexFunc(sim.deployment.Accounts, func(a Account) bool { return a.Name == o.record.Account })
+		s := sim.engineSeconds(o.record)
+		demanded[i] += s
 		if o.completed {
-			got[i] += s
+			completed[i] += s
 		}
 	}
-	return asked, got
+	return demanded, completed
 }
 
-// leastDue is the due in seconds below which a share says nothing.
-const leastDue = 1
+// minFairShare is the fair share, in engine seconds, below which a ratio is not
+// meaningful.
+const minFairShare = 1
 
-func worst(got, due []float64) float64 {
+// worstRatio returns the lowest ratio of engine time to fair share, at most 1.
+func worstRatio(completed, shares []float64) float64 {
 	out := 1.0
-	for i := range due {
-		if due[i] > leastDue {
-			out = min(out, got[i]/due[i])
+	for i := range shares {
+		if shares[i] > minFairShare {
+			out = min(out, completed[i]/shares[i])
 		}
 	}
 	return out
 }
 
-func (r *run) engineSeconds(rec *Record) float64 {
-	rt := r.deployment.route(rec.Route)
+// engineSeconds returns the service time of the engine stage of a request; 0 for
+// background routes and routes without one.
+func (sim *simulation) engineSeconds(rec *Record) float64 {
+	rt := sim.deployment.findRoute(rec.Route)
 	if rt.Class == table.Background {
 		return 0
 	}
 	for i, st := range rt.Stages {
-		if st.Pool == r.deployment.EnginePool {
+		if st.Pool == sim.deployment.EnginePool {
 			return fromMicros(rec.Work[i]).Seconds()
 		}
 	}
 	return 0
 }
 
-func (r *run) engineCapacity(from time.Duration) float64 {
-	c := capacity(r.deployment, r.scenario, r.deployment.EnginePool, int((from+sharePhase)/time.Second))
+// engineCapacity returns the slot seconds of the engine pool in a window.
+func (sim *simulation) engineCapacity(from time.Duration) float64 {
+	c := poolCapacity(sim.deployment, sim.scenario, sim.deployment.EnginePool, int((from+shareWindow)/time.Second))
 	var sum float64
 	for _, v := range c[int(from/time.Second):] {
 		sum += v
@@ -205,35 +225,36 @@
 	return sum
 }
 
-// fairDue is the weighted max-min allocation of capacity to what was asked.
-func fairDue(asked []float64, accounts []Account, capacity float64) []float64 {
-	due := make([]float64, len(asked))
-	open := len(asked)
-	full := make([]bool, len(asked))
-	for open > 0 {
+// fairShares returns the weighted max-min fair allocation of capacity to the
+// demands of the accounts.
+func fairShares(demanded []float64, accounts []Account, capacity float64) []float64 {
+	shares := make([]float64, len(demanded))
+	remaining := len(demanded)
+	satisfied := make([]bool, len(demanded))
+	for remaining > 0 {
 		var weights float64
-		for i := range asked {
-			if !full[i] {
+		for i := range demanded {
+			if !satisfied[i] {
 				weights += accounts[i].Weight
 			}
 		}
-		level, filled := capacity/weights, false
-		for i := range asked {
-			if !full[i] && asked[i] <= level*accounts[i].Weight {
-				due[i], full[i], filled = asked[i], true, true
-				capacity -= asked[i]
-				open--
+		perWeight, anySatisfied := capacity/weights, false
+		for i := range demanded {
+			if !satisfied[i] && demanded[i] <= perWeight*accounts[i].Weight {
+				shares[i], satisfied[i], anySatisfied = demanded[i], true, true
+				capacity -= demanded[i]
+				remaining--
 			}
 		}
-		if filled {
+		if anySatisfied {
 			continue
 		}
-		for i := range asked {
-			if !full[i] {
-				due[i] = level * accounts[i].Weight
+		for i := range demanded {
+			if !satisfied[i] {
+				shares[i] = perWeight * accounts[i].Weight
 			}
 		}
-		return due
+		return shares
 	}
-	return due
+	return shares
 }
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -15,33 +15,34 @@
 	"bilberrydale/version/table"
 )
 
-// Place is where an entry host stands.
+// Location is the name, failure domain and region of an entry host.
 type Location struct{ Name, Domain, Region string }
 
-// Decider is the decision code of one entry host.
+// HostPolicy is the decision code of one entry host under a policy.
 type HostPolicy struct {
 	Admitter  admission.Admitter
 	NewPicker func(table.Pool, []pick.Server) pick.Picker
-	// Tick runs the periodic part of the decisions; nil: none.
+	// Tick runs the periodic updates of the decision code; nil: none.
 	Tick func(now time.Time, pools map[string]pick.Picker)
-	// Record tells the decisions how an attempt ended; nil: not told.
+	// RecordOutcome records the outcome and duration of an attempt; nil: not
+	// recorded.
 	RecordOutcome func(now time.Time, s *server.State, o server.Outcome, took time.Duration)
-	// Retry reports whether the budget allows another attempt at a pool;
-	// First counts a first attempt.
+	// AllowRetry reports whether the retry budget of a pool allows another
+	// attempt, and RecordFirstAttempt counts a first one; nil: no budget.
 	AllowRetry         func(pool string) bool
 	RecordFirstAttempt func(pool string)
-	// Blind deciders send no priority and repeat whatever failed.
+	// Naive hosts send no priority to the servers and make one retry more.
 	Naive bool
 }
 
-// Policy makes the deciders of a run.
+// Policy creates the decision code of each entry host of a replay.
 type Policy struct {
 	Name string
 	New  func(at Location, r clock.Rand) *HostPolicy
 }
 
-// Naive is the baseline: a random server, first come first served, three blind
-// retries, no admission.
+// Naive is the baseline: random servers, first come first served, up to three
+// retries without a budget, no admission control.
 func Naive() Policy {
 	return Policy{"naive", func(Location, clock.Rand) *HostPolicy {
 		return &HostPolicy{
@@ -52,8 +53,8 @@
 	}}
 }
 
-// Placement is the naive policy with servers chosen by place and load, priority
-// at the engines and a retry budget, but no admission.
+// Placement picks servers by locality and load, sends priorities to the servers
+// and has a retry budget, but no admission control.
 func Placement() Policy {
 	return Policy{"placement", func(at Location, _ clock.Rand) *HostPolicy {
 		d := &HostPolicy{
@@ -65,23 +66,24 @@
 				s.RecordOutcome(now, o, took)
 			},
 		}
-		d.budgets()
+		d.useRetryBudgets()
 		return d
 	}}
 }
 
-// Current is the policy of the entry host.
+// Current is the policy of a real entry host.
 func Current() Policy {
 	return Policy{"current", func(at Location, r clock.Rand) *HostPolicy {
 		d := Placement().New(at, r)
 		c := admission.NewController(admission.DefaultOptions(), r)
 		d.Admitter = c
-		d.Tick = func(now time.Time, pools map[string]pick.Picker) { c.Tick(now, loads(now, pools)) }
+		d.Tick = func(now time.Time, pools map[string]pick.Picker) { c.Tick(now, poolLoads(now, pools)) }
 		return d
 	}}
 }
 
-func loads(now time.Time, pools map[string]pick.Picker) []admission.PoolLoad {
+// poolLoads returns the load of each pool for admission control, by name.
+func poolLoads(now time.Time, pools map[string]pick.Picker) []admission.PoolLoad {
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(pools)) {
 		l := pools[name].(*pick.LocalityPicker).Load(now)
@@ -90,23 +92,23 @@
 	return out
 }
 
-// budgets gives the decider a retry budget for each pool.
-func (d *HostPolicy) budgets() {
-	pools := map[string]*limit.RetryBudget{}
-	of := func(pool string) *limit.RetryBudget {
-		if pools[pool] == nil {
-			pools[pool] = limit.NewRetryBudget(limit.DefaultRetryBudget())
+// useRetryBudgets gives the host a retry budget for each pool.
+func (d *HostPolicy) useRetryBudgets() {
+	budgets := map[string]*limit.RetryBudget{}
+	budgetOf := func(pool string) *limit.RetryBudget {
+		if budgets[pool] == nil {
+			budgets[pool] = limit.NewRetryBudget(limit.DefaultRetryBudget())
 		}
-		return pools[pool]
+		return budgets[pool]
 	}
-	d.RecordFirstAttempt = func(pool string) { of(pool).RecordFirstAttempt() }
-	d.AllowRetry = func(pool string) bool { return of(pool).Allow() }
+	d.RecordFirstAttempt = func(pool string) { budgetOf(pool).RecordFirstAttempt() }
+	d.AllowRetry = func(pool string) bool { return budgetOf(pool).Allow() }
 }
 
 // Policies returns every policy, the baseline first.
 func Policies() []Policy { return []Policy{Naive(), Placement(), Current()} }
 
-// PolicyNames returns their names.
+// PolicyNames returns the names of Policies, in the same order.
 func PolicyNames() []string {
 	var out []string
 	for _, p := range Policies() {
@@ -115,12 +117,12 @@
 	return out
 }
 
-// PolicyByName returns the policy of that name.
+// PolicyByName returns the policy of that name, or an error that lists the names.
 func PolicyByName(name string) (Policy, error) {
 	for _, p := range Policies() {
 		if p.Name == name {
 			return p, nil
 		}
 	}
-	return Policy{}, fmt.Errorf("there is no policy %q; there are %s", name, strings.Join(PolicyNames(), ", "))
+	return Policy{}, fmt.Errorf("unknown policy %q; the policies are %s", name, strings.Join(PolicyNames(), ", "))
 }
--- a/internal/replay/queue.go
+++ b/internal/replay/queue.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// events is the virtual clock: actions in order of time, then of scheduling.
-type events struct {
-	now  time.Duration
-	seq  int
-	list eventHeap
+// eventLoop is a discrete-event loop in virtual time. Events run in the order of
+// their time, and at the same time in the order in which they were scheduled.
+type eventLoop struct {
+	now     time.Duration // since the start of the replay
+	seq     int
+	pending eventQueue
 }
 
 type event struct {
@@ -18,40 +19,42 @@
 	run func()
 }
 
-func (e *events) at(t time.Duration, run func()) {
+// schedule runs a function at time t, or now if t has passed.
+func (e *eventLoop) schedule(t time.Duration, run func()) {
 	e.seq++
-	heap.Push(&e.list, event{max(t, e.now), e.seq, run})
+	heap.Push(&e.pending, event{max(t, e.now), e.seq, run})
 }
 
-func (e *events) after(d time.Duration, run func()) { e.at(e.now+d, run) }
+// scheduleAfter runs a function d after now.
+func (e *eventLoop) scheduleAfter(d time.Duration, run func()) { e.schedule(e.now+d, run) }
 
-// run executes every event in turn.
-func (e *events) run() {
-	for len(e.list) > 0 {
-		next := heap.Pop(&e.list).(event)
+// run executes events, also those scheduled meanwhile, until none is left.
+func (e *eventLoop) run() {
+	for len(e.pending) > 0 {
+		next := heap.Pop(&e.pending).(event)
 		e.now = next.at
 		next.run()
 	}
 }
 
-type eventHeap []event
+type eventQueue []event
 
-func (h eventHeap) Len() int { return len(h) }
+func (h eventQueue) Len() int { return len(h) }
 
-func (h eventHeap) Less(i, j int) bool {
+func (h eventQueue) Less(i, j int) bool {
 	if h[i].at != h[j].at {
 		return h[i].at < h[j].at
 	}
 	return h[i].seq < h[j].seq
 }
 
-func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h eventQueue) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
 // Push implements heap.Interface.
-func (h *eventHeap) Push(x any) { *h = append(*h, x.(event)) }
+func (h *eventQueue) Push(x any) { *h = append(*h, x.(event)) }
 
 // Pop implements heap.Interface.
-func (h *eventHeap) Pop() any {
+func (h *eventQueue) Pop() any {
 	old := *h
 	x := old[len(old)-1]
 	*h = old[:len(old)-1]
--- a/internal/replay/replay_test.go
+++ b/internal/replay/replay_test.go
@@ -8,19 +8,20 @@
 	. "github.com/onsi/gomega"
 )
 
-func short(name string, load float64) Scenario {
+// shortScenario returns a scenario of ten seconds without faults.
+func shortScenario(name string, load float64) Scenario {
 	return Scenario{Name: name, LoadFactor: load, Duration: 10 * time.Second}
 }
 
-// A figure is only worth something if the run that gave it can be repeated.
-func TestSameSeedGivesSameBytes(t *testing.T) {
+// Results can only be compared if equal seeds reproduce them exactly.
+func TestSameSeedGivesIdenticalResults(t *testing.T) {
 	for _, p := range Policies() {
 		t.Run(p.Name, func(t *testing.T) {
 			g := NewWithT(t)
 			var first []byte
 			for range 2 {
 				d := Kalahari()
-				s := short("x", 1.5)
+				s := shortScenario("x", 1.5)
 				var b bytes.Buffer
 				g.Expect(WriteJSON(&b, []*Result{Replay(d, s, GenerateTrace(d, s, 7), p, 7)})).To(Succeed())
 				if first == nil {
@@ -32,10 +33,10 @@
 	}
 }
 
-func TestTraceSurvivesWritingAndReading(t *testing.T) {
+func TestTraceRoundTrip(t *testing.T) {
 	g := NewWithT(t)
 	d := Zagara()
-	want := GenerateTrace(d, short("x", .5), 3)
+	want := GenerateTrace(d, shortScenario("x", .5), 3)
 	var b bytes.Buffer
 	g.Expect(WriteTrace(&b, want)).To(Succeed())
 	got, err := ReadTrace(&b)
@@ -43,40 +44,42 @@
 	g.Expect(got).To(Equal(want))
 }
 
-// Without overload the bound is all that was offered; with it, it is no more
-// than the engines' time at the best worth a second plus all other work.
-func TestBoundIsTightAtBothEnds(t *testing.T) {
+// At low load the bound is the whole offered worth, and far above the capacity of
+// the engines it is clearly below it.
+func TestUpperBoundAtLowAndHighLoad(t *testing.T) {
 	g := NewWithT(t)
 	d := Kalahari()
-	low := short("x", .3)
+	low := shortScenario("x", .3)
 	records := GenerateTrace(d, low, 1)
 	var offered float64
 	for i := range records {
-		offered += d.route(records[i].Route).Worth
+		offered += d.findRoute(records[i].Route).Worth
 	}
 	g.Expect(UpperBound(d, low, records)).To(BeNumerically("~", offered, offered/100))
-	high := short("x", 4)
+	high := shortScenario("x", 4)
 	records = GenerateTrace(d, high, 1)
 	offered = 0
 	for i := range records {
-		offered += d.route(records[i].Route).Worth
+		offered += d.findRoute(records[i].Route).Worth
 	}
 	g.Expect(UpperBound(d, high, records)).To(BeNumerically("<", .8*offered))
 }
 
-func TestFairDueLendsWhatOthersLeave(t *testing.T) {
+// Capacity that an account does not use goes to the others by weight.
+func TestFairSharesRedistributeUnusedCapacity(t *testing.T) {
 	g := NewWithT(t)
 	a := []Account{{Weight: 1}, {Weight: 1}, {Weight: 2}}
-	g.Expect(fairDue([]float64{10, 100, 100}, a, 100)).To(Equal([]float64{10, 30, 60}))
-	g.Expect(fairDue([]float64{1, 2, 3}, a, 100)).To(Equal([]float64{1, 2, 3}))
+	g.Expect(fairShares([]float64{10, 100, 100}, a, 100)).To(Equal([]float64{10, 30, 60}))
+	g.Expect(fairShares([]float64{1, 2, 3}, a, 100)).To(Equal([]float64{1, 2, 3}))
 }
 
-// A trace recorded elsewhere may name what the deployment has not; that is a
-// fault of one line, not a panic in the middle of a replay.
-func TestRecordedTraceHasToFit(t *testing.T) {
+// A recorded trace can name routes or regions that the deployment doesn't have.
+// Run returns an error with the number of the record; otherwise the replay would
+// panic.
+func TestRecordedTraceMustMatchDeployment(t *testing.T) {
 	g := NewWithT(t)
 	d := Kalahari()
-	records := GenerateTrace(d, short("x", .1), 1)
+	records := GenerateTrace(d, shortScenario("x", .1), 1)
 	job := Job{Deployments: []*Deployment{d}, Scenario: "ordinary", Policies: []Policy{Naive()}, Records: records}
 	_, err := Run(job)
 	g.Expect(err).NotTo(HaveOccurred())
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -10,61 +10,62 @@
 	"golang.org/x/sync/errgroup"
 )
 
-// Job names the replays of one table.
+// Job selects the replays of one table of results.
 type Job struct {
 	Seed        uint64
 	Deployments []*Deployment
-	Scenario    string // one scenario; empty: all
+	Scenario    string // name of the only scenario; empty: all
 	Policies    []Policy
-	Concurrency int
-	// Records, if set, are replayed in place of generated ones: a recorded
-	// trace of the one deployment and scenario that the job names.
+	Concurrency int // replays at once; below 1: one
+	// Records, if set, are a recorded trace that is replayed instead of a generated
+	// one. The job then has to select one deployment and one scenario, whose faults
+	// apply.
 	Records []Record
 }
 
-// Run replays every scenario under every policy and returns the results in a
-// fixed order.
+// Run replays every scenario under every policy and returns the results in the
+// order of deployments, scenarios and policies.
 func Run(j Job) ([]*Result, error) {
-	type unit struct {
+	type traceReplay struct {
 		d       *Deployment
 		s       Scenario
 		records []Record
 	}
-	var units []unit
+	var replays []traceReplay
 	for _, d := range j.Deployments {
 		for _, s := range Scenarios(d) {
 			if j.Scenario == "" || j.Scenario == s.Name {
-				u := unit{d: d, s: s}
+				r := traceReplay{d: d, s: s}
 				if s.EqualShares {
-					u.d = d.equalShares()
+					r.d = d.equalShares()
 				}
-				units = append(units, u)
+				replays = append(replays, r)
 			}
 		}
 	}
-	if len(units) == 0 {
-		return nil, fmt.Errorf("there is no scenario %q", j.Scenario)
+	if len(replays) == 0 {
+		return nil, fmt.Errorf("no deployment has a scenario %q", j.Scenario)
 	}
-	if j.Records != nil && len(units) != 1 {
-		return nil, fmt.Errorf("a recorded trace needs one deployment and one scenario, not %d", len(units))
+	if j.Records != nil && len(replays) != 1 {
+		return nil, fmt.Errorf("a recorded trace needs one deployment and one scenario, but the job selects %d combinations", len(replays))
 	}
 	n := len(j.Policies)
-	out := make([]*Result, len(units)*n)
+	out := make([]*Result, len(replays)*n)
 	g := errgroup.Group{}
 	g.SetLimit(max(1, j.Concurrency))
-	for i, u := range units {
+	for i, r := range replays {
 		g.Go(func() error {
-			u.records = j.Records
-			if u.records == nil {
-				u.records = GenerateTrace(u.d, u.s, j.Seed)
+			r.records = j.Records
+			if r.records == nil {
+				r.records = GenerateTrace(r.d, r.s, j.Seed)
 			}
-			if err := check(u.d, u.records); err != nil {
+			if err := validateRecords(r.d, r.records); err != nil {
 				return err
 			}
-			bound := UpperBound(u.d, u.s, u.records)
-			fluid := UpperBound(u.d, u.s, WithMeanServiceTimes(u.d, u.records))
+			bound := UpperBound(r.d, r.s, r.records)
+			fluid := UpperBound(r.d, r.s, WithMeanServiceTimes(r.d, r.records))
 			for k, p := range j.Policies {
-				res := Replay(u.d, u.s, u.records, p, j.Seed)
+				res := Replay(r.d, r.s, r.records, p, j.Seed)
 				res.Seed, res.BoundRatio, res.FluidBoundRatio = j.Seed, res.Worth/bound, res.Worth/fluid
 				out[i*n+k] = res
 			}
@@ -74,24 +75,25 @@
 	return out, g.Wait()
 }
 
-// check reports a record that does not fit the deployment.
-func check(d *Deployment, records []Record) error {
+// validateRecords returns an error for the first record that doesn't match the
+// deployment.
+func validateRecords(d *Deployment, records []Record) error {
 	for i := range records {
 		r := &records[i]
-		rt := d.route(r.Route)
+		rt := d.findRoute(r.Route)
 		switch {
 		case rt == nil:
-			return fmt.Errorf("record %d: %s has no route %q", i+1, d.Name, r.Route)
+			return fmt.Errorf("record %d: deployment %s has no route %q", i+1, d.Name, r.Route)
 		case !slices.Contains(d.Regions, r.Region):
-			return fmt.Errorf("record %d: %s has no region %q", i+1, d.Name, r.Region)
+			return fmt.Errorf("record %d: deployment %s has no region %q", i+1, d.Name, r.Region)
 		case len(r.Work) != len(rt.Stages) || len(r.Bytes) != len(rt.Stages)+1:
-			return fmt.Errorf("record %d: route %s has %d stages", i+1, r.Route, len(rt.Stages))
+			return fmt.Errorf("record %d: route %s has %d stages, but the lengths of work and bytes don't match", i+1, r.Route, len(rt.Stages))
 		}
 	}
 	return nil
 }
 
-// WriteTable prints results for people.
+// WriteTable writes results as a table of aligned text.
 func WriteTable(w io.Writer, results []*Result) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(t, "deployment\ttrace\tpolicy\toffered\trefused\tworth\tof bound\tof fluid\tinteractive\tstandard\tbackground\tcost\twasted\tin\tcross MB\tworst share\tof served\tback\tserved\t")
@@ -110,8 +112,8 @@
 	return enc.Encode(results)
 }
 
-// ReadPrevious reads results that an earlier commit wrote as JSON and names
-// their newest policy "previous"; the baselines in them are left out.
+// ReadPrevious reads results that an earlier commit wrote as JSON. It returns those
+// of the current policy, renamed to "previous", and omits the other policies.
 func ReadPrevious(r io.Reader) ([]*Result, error) {
 	var all, out []*Result
 	if err := json.NewDecoder(r).Decode(&all); err != nil {
@@ -126,7 +128,8 @@
 	return out, nil
 }
 
-// Interleave puts each earlier result before the present one of its trace.
+// InterleavePrevious returns results with each previous result inserted before
+// that of the current policy for the same deployment, scenario and seed.
 func InterleavePrevious(results, previous []*Result) []*Result {
 	var out []*Result
 	for _, r := range results {
--- a/internal/replay/run.go
+++ b/internal/replay/run.go
@@ -10,232 +10,238 @@
 	"bilberrydale/version/table"
 )
 
-// run is one replay of one trace under one policy.
-type run struct {
-	*events
-	deployment *Deployment
-	scenario   Scenario
-	policy     Policy
-	tables     table.Tables // as of now; a release changes them
-	servers    map[string]*fakeServer
-	order      []*fakeServer // for a fixed order of reports
-	hosts      []*host
-	rand       *clock.Seeded
-	cut        map[string]bool // region: no link to any other
-	cutAll     bool
-	seq        int
-	outcomes   []*outcome
-	returned   []*outcome
+// simulation is one replay of a trace under a policy.
+type simulation struct {
+	*eventLoop
+	deployment         *Deployment
+	scenario           Scenario
+	policy             Policy
+	tables             table.Tables // current tables; a release changes them
+	servers            map[string]*fakeServer
+	serverOrder        []*fakeServer // servers in a fixed order, for reproducible reports
+	hosts              []*fakeHost
+	rand               *clock.Seeded
+	partitionedRegions map[string]bool // regions without a link to any other
+	fullPartition      bool            // no region has a link to another
+	taskSeq            int
+	outcomes           []*outcome
+	clientRetries      []*outcome // not in outcomes
 }
 
-// outcome is what became of one request.
+// outcome is the result of one request.
 type outcome struct {
-	rec        *Record
-	arrived    time.Duration
-	admitted   bool
-	refused    bool
-	why        string
-	retryAfter time.Duration
-	completed  bool
-	took       time.Duration
-	crossed    int64
-	spent      []spent
+	record           *Record
+	arrivedAt        time.Duration
+	admitted         bool
+	refused          bool
+	refusalKind      string        // kind of error
+	retryAfter       time.Duration // of a refusal
+	completed        bool
+	latency          time.Duration // of a completed request
+	crossRegionBytes int64
+	slotTimes        []slotTime
 }
 
-// spent is slot time of one attempt.
-type spent struct {
-	stage string
-	slot  time.Duration
-	cost  float64
+// slotTime is the time that one attempt held a slot, and the cost of its stage.
+type slotTime struct {
+	stage    string
+	duration time.Duration
+	cost     float64
 }
 
-func (o *outcome) spend(stage string, slot time.Duration, cost float64) {
-	o.spent = append(o.spent, spent{stage, slot, cost})
+func (o *outcome) addSlotTime(stage string, slot time.Duration, cost float64) {
+	o.slotTimes = append(o.slotTimes, slotTime{stage, slot, cost})
 }
 
 const (
-	reportLag = 300 * time.Millisecond
-	tickEvery = 100 * time.Millisecond
-	comeBack  = 10 // one refused client of so many comes back when told
-	spread    = .1 // it adds up to this part to the time told
+	reportDelay       = 300 * time.Millisecond // from taking a load report to its receipt
+	tickInterval      = 100 * time.Millisecond // of the decision code
+	clientRetryRatio  = 10                     // one of this many refused clients retries after the delay of the refusal
+	clientRetryJitter = .1                     // upper bound of the random fraction that it adds to the delay
 )
 
+// epoch is the wall time at the start of a replay.
 var epoch = time.Unix(1_000_000_000, 0)
 
-func (r *run) time() time.Time { return epoch.Add(r.now) }
+func (sim *simulation) time() time.Time { return epoch.Add(sim.now) }
 
-func (r *run) nextSeq() int {
-	r.seq++
-	return r.seq
+func (sim *simulation) nextTaskSeq() int {
+	sim.taskSeq++
+	return sim.taskSeq
 }
 
-// Replay runs records under policy and returns the measures.
+// Replay replays records under a policy and returns the metrics, without Seed and
+// the ratios to the bounds, which Run sets.
 func Replay(d *Deployment, s Scenario, records []Record, p Policy, seed uint64) *Result {
-	r := &run{
-		events: &events{}, deployment: d, scenario: s, policy: p, tables: d.Tables,
-		servers: map[string]*fakeServer{}, rand: clock.NewSeeded(seed + 1), cut: map[string]bool{},
+	sim := &simulation{
+		eventLoop: &eventLoop{}, deployment: d, scenario: s, policy: p, tables: d.Tables,
+		servers: map[string]*fakeServer{}, rand: clock.NewSeeded(seed + 1), partitionedRegions: map[string]bool{},
 	}
 	for _, pl := range d.Tables.Pools {
-		r.addServers(pl)
+		sim.addServers(pl)
 	}
 	for _, region := range d.Regions {
-		for i := range r.perRegion() {
+		for i := range sim.hostsPerRegion() {
 			at := Location{hostName(region, i), FailureDomain(region), region}
-			r.hosts = append(r.hosts, r.newHost(at, seed+uint64(len(r.hosts))+2))
+			sim.hosts = append(sim.hosts, sim.newFakeHost(at, seed+uint64(len(sim.hosts))+2))
 		}
 	}
-	r.schedule(records)
-	r.events.run()
-	return r.measure()
+	sim.scheduleEvents(records)
+	sim.eventLoop.run()
+	return sim.measure()
 }
 
-func (r *run) addServers(p table.Pool) {
+// addServers adds the servers of a pool that don't exist yet.
+func (sim *simulation) addServers(p table.Pool) {
 	for _, s := range p.Servers {
-		if r.servers[s.Address] == nil {
-			fake := &fakeServer{events: r.events, Server: s, slots: p.Slots, engine: p.Kind == table.Engine, factor: 1}
-			r.servers[s.Address] = fake
-			r.order = append(r.order, fake)
+		if sim.servers[s.Address] == nil {
+			fake := &fakeServer{eventLoop: sim.eventLoop, Server: s, slots: p.Slots, engine: p.Kind == table.Engine, slowdown: 1}
+			sim.servers[s.Address] = fake
+			sim.serverOrder = append(sim.serverOrder, fake)
 		}
 	}
 }
 
-func (r *run) schedule(records []Record) {
-	end := length(r.scenario)
+// scheduleEvents schedules all arrivals, faults, ticks and load reports.
+func (sim *simulation) scheduleEvents(records []Record) {
+	end := scenarioDuration(sim.scenario)
 	for i := range records {
 		rec := &records[i]
-		o := &outcome{rec: rec, arrived: fromMicros(rec.At)}
-		r.outcomes = append(r.outcomes, o)
-		r.at(o.arrived, func() { r.enter(o) })
-		end = max(end, o.arrived)
+		o := &outcome{record: rec, arrivedAt: fromMicros(rec.At)}
+		sim.outcomes = append(sim.outcomes, o)
+		sim.schedule(o.arrivedAt, func() { sim.dispatch(o) })
+		end = max(end, o.arrivedAt)
 	}
-	for _, f := range r.scenario.Faults {
-		r.at(f.From, func() { r.fault(f, true) })
+	for _, f := range sim.scenario.Faults {
+		sim.schedule(f.From, func() { sim.applyFault(f, true) })
 		if f.Until > 0 {
-			r.at(f.Until, func() { r.fault(f, false) })
+			sim.schedule(f.Until, func() { sim.applyFault(f, false) })
 		}
 	}
-	for t := tickEvery; t < end; t += tickEvery {
-		r.at(t, r.tick)
+	for t := tickInterval; t < end; t += tickInterval {
+		sim.schedule(t, sim.tick)
 	}
-	for i, s := range r.order {
-		r.reports(s, time.Duration(i)*r.reportEvery()/time.Duration(len(r.order)), end)
+	for i, s := range sim.serverOrder {
+		sim.scheduleReports(s, time.Duration(i)*sim.reportInterval()/time.Duration(len(sim.serverOrder)), end)
 	}
 }
 
-// enter gives the request to a host of its region, as the platform's balancer
-// does, and lets some of the refused come back when they were told to.
-func (r *run) enter(o *outcome) {
-	h := r.hostIn(o.rec.Region)
-	h.arrive(o.rec, o)
-	if !o.refused || o.retryAfter <= 0 || r.rand.IntN(comeBack) > 0 {
+// dispatch sends a request to a random host of its region, as the platform's load
+// balancer does. Some of the refused clients retry after the delay of the refusal.
+func (sim *simulation) dispatch(o *outcome) {
+	h := sim.randomHost(o.record.Region)
+	h.handleRequest(o.record, o)
+	if !o.refused || o.retryAfter <= 0 || sim.rand.IntN(clientRetryRatio) > 0 {
 		return
 	}
-	told := math.Ceil(o.retryAfter.Seconds()) // the header has whole seconds
-	wait := time.Duration(told * (1 + spread*r.rand.Float64()) * float64(time.Second))
-	if r.now+wait >= length(r.scenario) {
+	delaySeconds := math.Ceil(o.retryAfter.Seconds()) // the Retry-After header has whole seconds
+	wait := time.Duration(delaySeconds * (1 + clientRetryJitter*sim.rand.Float64()) * float64(time.Second))
+	if sim.now+wait >= scenarioDuration(sim.scenario) {
 		return
 	}
-	again := &outcome{rec: o.rec, arrived: r.now + wait}
-	r.returned = append(r.returned, again)
-	r.after(wait, func() { r.hostIn(o.rec.Region).arrive(again.rec, again) })
+	retry := &outcome{record: o.record, arrivedAt: sim.now + wait}
+	sim.clientRetries = append(sim.clientRetries, retry)
+	sim.scheduleAfter(wait, func() { sim.randomHost(o.record.Region).handleRequest(retry.record, retry) })
 }
 
-func (r *run) hostIn(region string) *host {
-	i := slices.Index(r.deployment.Regions, region)
-	return r.hosts[i*r.perRegion()+r.rand.IntN(r.perRegion())]
+func (sim *simulation) randomHost(region string) *fakeHost {
+	i := slices.Index(sim.deployment.Regions, region)
+	return sim.hosts[i*sim.hostsPerRegion()+sim.rand.IntN(sim.hostsPerRegion())]
 }
 
-func (r *run) perRegion() int {
-	if r.scenario.HostsPerRegion > 0 {
-		return r.scenario.HostsPerRegion
+func (sim *simulation) hostsPerRegion() int {
+	if sim.scenario.HostsPerRegion > 0 {
+		return sim.scenario.HostsPerRegion
 	}
-	return r.deployment.HostsPerRegion
+	return sim.deployment.HostsPerRegion
 }
 
-func (r *run) reportEvery() time.Duration {
-	if r.scenario.ReportInterval > 0 {
-		return r.scenario.ReportInterval
+func (sim *simulation) reportInterval() time.Duration {
+	if sim.scenario.ReportInterval > 0 {
+		return sim.scenario.ReportInterval
 	}
 	return time.Second
 }
 
-func (r *run) tick() {
-	for _, h := range r.hosts {
+func (sim *simulation) tick() {
+	for _, h := range sim.hosts {
 		if h.Tick != nil {
-			h.Tick(r.time(), h.pickers)
+			h.Tick(sim.time(), h.pickers)
 		}
 	}
 }
 
-// reports schedules the load reports of a server: taken, and seen later by the
-// hosts that can reach it.
-func (r *run) reports(s *fakeServer, first, end time.Duration) {
-	for t := first; t < end; t += r.reportEvery() {
-		r.at(t, func() {
-			if s.dead {
+// scheduleReports schedules the load reports of a server. The hosts that can reach
+// the server receive a report reportDelay after it was taken.
+func (sim *simulation) scheduleReports(s *fakeServer, first, end time.Duration) {
+	for t := first; t < end; t += sim.reportInterval() {
+		sim.schedule(t, func() {
+			if s.down {
 				return
 			}
-			load := report{len(s.running), len(s.queue)}
-			r.after(reportLag, func() { r.deliver(s, load) })
+			load := loadReport{len(s.running), len(s.queue)}
+			sim.scheduleAfter(reportDelay, func() { sim.deliverReport(s, load) })
 		})
 	}
 }
 
-type report struct{ running, queued int }
+type loadReport struct{ running, queued int }
 
-func (r *run) deliver(s *fakeServer, l report) {
-	for _, h := range r.hosts {
-		if r.connected(h.Region, s.Region) {
-			h.registry.Get(s.Name, s.Address, r.time()).SetLoad(&server.Load{Running: l.running, Queued: l.queued, Slots: s.slots, Received: r.time()})
+func (sim *simulation) deliverReport(s *fakeServer, l loadReport) {
+	for _, h := range sim.hosts {
+		if sim.connected(h.Region, s.Region) {
+			h.registry.Get(s.Name, s.Address, sim.time()).SetLoad(&server.Load{Running: l.running, Queued: l.queued, Slots: s.slots, Received: sim.time()})
 		}
 	}
 }
 
-func (r *run) connected(a, b string) bool {
-	return a == b || !(r.cutAll || r.cut[a] || r.cut[b])
+// connected reports whether regions a and b have a link.
+func (sim *simulation) connected(a, b string) bool {
+	return a == b || !(sim.fullPartition || sim.partitionedRegions[a] || sim.partitionedRegions[b])
 }
 
-// fault starts or ends a fault.
-func (r *run) fault(f Fault, on bool) {
+// applyFault starts a fault if on is true and ends it otherwise.
+func (sim *simulation) applyFault(f Fault, on bool) {
 	switch f.Kind {
 	case RegionPartition:
-		r.cut[f.Region] = on
+		sim.partitionedRegions[f.Region] = on
 	case FullPartition:
-		r.cutAll = on
+		sim.fullPartition = on
 	case ServerReplacement:
-		r.replace(f)
+		sim.replaceServers(f)
 	case SlowServers:
-		for _, s := range r.hit(f) {
-			s.factor = 1
+		for _, s := range sim.affectedServers(f) {
+			s.slowdown = 1
 			if on {
-				s.factor = f.SlowdownFactor
+				s.slowdown = f.SlowdownFactor
 			}
 		}
 	case ServersDown:
-		for _, s := range r.hit(f) {
+		for _, s := range sim.affectedServers(f) {
 			if on {
-				s.kill()
+				s.crash()
 			} else {
-				s.revive()
+				s.restart()
 			}
 		}
 	}
 }
 
-func (r *run) hit(f Fault) []*fakeServer {
+// affectedServers returns the servers that a fault affects.
+func (sim *simulation) affectedServers(f Fault) []*fakeServer {
 	var out []*fakeServer
-	for i, s := range r.deployment.pool(f.Pool).Servers {
+	for i, s := range sim.deployment.findPool(f.Pool).Servers {
 		if i%f.EveryNth == 0 {
-			out = append(out, r.servers[s.Address])
+			out = append(out, sim.servers[s.Address])
 		}
 	}
 	return out
 }
 
-// replace is a release: some servers of a pool leave, fresh ones take their
-// place, and every host makes new pickers.
-func (r *run) replace(f Fault) {
-	pools := slices.Clone(r.tables.Pools)
+// replaceServers simulates a release that replaces every EveryNth server of a pool
+// by a new one, after which every host builds new pickers.
+func (sim *simulation) replaceServers(f Fault) {
+	pools := slices.Clone(sim.tables.Pools)
 	for i := range pools {
 		if pools[i].Name != f.Pool {
 			continue
@@ -246,14 +252,14 @@
 			servers[k].Address = "b" + servers[k].Address
 		}
 		pools[i].Servers = servers
-		known := len(r.order)
-		r.addServers(pools[i])
-		for _, s := range r.order[known:] {
-			r.reports(s, r.now, length(r.scenario))
+		existing := len(sim.serverOrder)
+		sim.addServers(pools[i])
+		for _, s := range sim.serverOrder[existing:] {
+			sim.scheduleReports(s, sim.now, scenarioDuration(sim.scenario))
 		}
 	}
-	r.tables.Pools = pools
-	for _, h := range r.hosts {
-		h.install()
+	sim.tables.Pools = pools
+	for _, h := range sim.hosts {
+		h.installSnapshot()
 	}
 }
--- a/internal/replay/server.go
+++ b/internal/replay/server.go
@@ -7,150 +7,161 @@
 	"bilberrydale/version/table"
 )
 
-// fakeServer is a fake backend server: slots, a bounded queue by priority, a cache
-// of prompt prefixes and service times that the trace recorded.
+// fakeServer simulates a backend server with a number of slots, a bounded
+// priority queue and an LRU cache of prompt prefixes. The service times are
+// those of the trace.
 type fakeServer struct {
-	*events
+	*eventLoop
 	table.Server
-	slots   int
-	engine  bool
-	dead    bool
-	factor  float64 // slowness; 1: as recorded
-	running []*job
-	queue   []*job
-	cached  []uint64 // prefixes, least recently used first
+	slots          int
+	engine         bool
+	down           bool
+	slowdown       float64 // multiplies service times; 1: as recorded
+	running        []*task
+	queue          []*task
+	cachedPrefixes []uint64 // least recently used first
 }
 
-// queueFactor bounds the queue, in multiples of the slots.
-const queueFactor = 4
-
-// cachedPrefixes is how many an engine holds; the trace has more.
-const cachedPrefixes = 60
-
-// job is one attempt on a server.
-type job struct {
-	priority int
-	seq      int
-	work     time.Duration
-	prefill  time.Duration
-	prefix   uint64
-	poison   bool
-	started  time.Duration
-	end      time.Duration
-	hit      bool
-	state    jobState
-	done     func(result)
+// maxQueuedPerSlot bounds the queue, in tasks for each slot.
+const maxQueuedPerSlot = 4
+
+// prefixCacheSize is the number of prefixes in the cache of an engine. A
+// trace has more (prefixCount).
+const prefixCacheSize = 60
+
+// task is the work of one attempt on a server. Tasks with a lower priority value
+// run first, and those of equal priority in the order of seq.
+type task struct {
+	priority     int
+	seq          int
+	serviceTime  time.Duration
+	prefillTime  time.Duration
+	prefix       uint64
+	poison       bool // crashes the server
+	startedAt    time.Duration
+	endAt        time.Duration
+	prefixCached bool // the prefix was in the cache at the start
+	state        taskState
+	done         func(taskResult) // called once, when the task ends
 }
 
-type jobState int
+type taskState int
 
 const (
-	queued jobState = iota
-	running
-	ended
+	taskQueued taskState = iota
+	taskRunning
+	taskEnded
 )
 
-// result is how a job ended on the server.
-type result int
+// taskResult is how a task ended on the server.
+type taskResult int
 
 const (
-	succeeded result = iota
-	refused          // the queue was full: not started
-	unreached        // connection refused or never made
-	crashed          // the connection ended during the work
-	cancelled
+	taskSucceeded   taskResult = iota
+	taskRefused                // the queue was full; the task did not start
+	taskUnreachable            // no connection, or the task was still queued at a crash
+	taskCrashed                // the server crashed while the task ran
+	taskCancelled
 )
 
-func (s *fakeServer) submit(j *job) {
+// submit starts a task in a free slot, queues it or rejects it.
+func (s *fakeServer) submit(t *task) {
 	switch {
-	case s.dead:
-		j.done(unreached)
+	case s.down:
+		t.done(taskUnreachable)
 	case len(s.running) < s.slots:
-		s.start(j)
-	case len(s.queue) >= queueFactor*s.slots:
-		j.done(refused)
+		s.start(t)
+	case len(s.queue) >= maxQueuedPerSlot*s.slots:
+		t.done(taskRefused)
 	default:
-		i, _ := slices.BinarySearchFunc(s.queue, j, func(a, b *job) int {
+		i, _ := slices.BinarySearchFunc(s.queue, t, func(a, b *task) int {
 			if a.priority != b.priority {
 				return a.priority - b.priority
 			}
 			return a.seq - b.seq
 		})
-		s.queue = slices.Insert(s.queue, i, j)
+		s.queue = slices.Insert(s.queue, i, t)
 	}
 }
 
-func (s *fakeServer) start(j *job) {
-	j.state, j.started = running, s.now
-	took := float64(j.work)
+// start runs a task in a slot. A poison task crashes the server after a quarter
+// of its service time, and the server restarts after restartDelay.
+func (s *fakeServer) start(t *task) {
+	t.state, t.startedAt = taskRunning, s.now
+	took := float64(t.serviceTime)
 	if s.engine {
-		if j.hit = s.use(j.prefix); !j.hit {
-			took += float64(j.prefill)
+		if t.prefixCached = s.usePrefix(t.prefix); !t.prefixCached {
+			took += float64(t.prefillTime)
 		}
 	}
-	j.end = s.now + time.Duration(took*s.factor)
-	s.running = append(s.running, j)
-	if j.poison {
-		s.after(time.Duration(took/4), func() { s.kill(); s.after(restartTime, s.revive) })
+	t.endAt = s.now + time.Duration(took*s.slowdown)
+	s.running = append(s.running, t)
+	if t.poison {
+		s.scheduleAfter(time.Duration(took/4), func() { s.crash(); s.scheduleAfter(restartDelay, s.restart) })
 	}
-	s.at(j.end, func() {
-		if j.state == running {
-			s.finish(j, succeeded)
+	s.schedule(t.endAt, func() {
+		if t.state == taskRunning {
+			s.finish(t, taskSucceeded)
 		}
 	})
 }
 
-const restartTime = 8 * time.Second
+// restartDelay is the time from a crash to the restart of the server.
+const restartDelay = 8 * time.Second
 
-// use reports whether the prefix is cached and makes it the latest used.
-func (s *fakeServer) use(prefix uint64) bool {
-	i := slices.Index(s.cached, prefix)
+// usePrefix reports whether the prefix is cached and makes it the most recently
+// used one.
+func (s *fakeServer) usePrefix(prefix uint64) bool {
+	i := slices.Index(s.cachedPrefixes, prefix)
 	if i >= 0 {
-		s.cached = slices.Delete(s.cached, i, i+1)
+		s.cachedPrefixes = slices.Delete(s.cachedPrefixes, i, i+1)
 	}
-	s.cached = append(s.cached, prefix)
-	if len(s.cached) > cachedPrefixes {
-		s.cached = slices.Delete(s.cached, 0, 1)
+	s.cachedPrefixes = append(s.cachedPrefixes, prefix)
+	if len(s.cachedPrefixes) > prefixCacheSize {
+		s.cachedPrefixes = slices.Delete(s.cachedPrefixes, 0, 1)
 	}
 	return i >= 0
 }
 
-func (s *fakeServer) finish(j *job, r result) {
-	j.state = ended
-	s.running = slices.DeleteFunc(s.running, func(x *job) bool { return x == j })
-	for len(s.queue) > 0 && len(s.running) < s.slots && !s.dead {
+// finish ends a running task and starts queued ones in the free slots.
+func (s *fakeServer) finish(t *task, result taskResult) {
+	t.state = taskEnded
+	s.running = slices.DeleteFunc(s.running, func(x *task) bool { return x == t })
+	for len(s.queue) > 0 && len(s.running) < s.slots && !s.down {
 		next := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		s.start(next)
 	}
-	j.done(r)
+	t.done(result)
 }
 
-// cancel stops a job that nobody waits for and returns the time it held a slot.
-func (s *fakeServer) cancel(j *job) {
-	switch j.state {
-	case queued:
-		s.queue = slices.DeleteFunc(s.queue, func(x *job) bool { return x == j })
-		j.state = ended
-	case running:
-		s.finish(j, cancelled)
+// cancel removes a queued task without calling its done function, or ends a
+// running one.
+func (s *fakeServer) cancel(t *task) {
+	switch t.state {
+	case taskQueued:
+		s.queue = slices.DeleteFunc(s.queue, func(x *task) bool { return x == t })
+		t.state = taskEnded
+	case taskRunning:
+		s.finish(t, taskCancelled)
 	}
 }
 
-// kill ends the process: all its work is lost.
-func (s *fakeServer) kill() {
-	s.dead = true
+// crash takes the server down. Running and queued tasks are lost and the prefix
+// cache is emptied.
+func (s *fakeServer) crash() {
+	s.down = true
 	lost := append(slices.Clone(s.running), s.queue...)
-	s.running, s.queue, s.cached = nil, nil, nil
-	for _, j := range lost {
-		was := j.state
-		j.state = ended
-		if was == running {
-			j.done(crashed)
+	s.running, s.queue, s.cachedPrefixes = nil, nil, nil
+	for _, t := range lost {
+		previous := t.state
+		t.state = taskEnded
+		if previous == taskRunning {
+			t.done(taskCrashed)
 		} else {
-			j.done(unreached)
+			t.done(taskUnreachable)
 		}
 	}
 }
 
-func (s *fakeServer) revive() { s.dead = false }
+func (s *fakeServer) restart() { s.down = false }
--- a/internal/replay/trace.go
+++ b/internal/replay/trace.go
@@ -1,8 +1,8 @@
-// Package replay runs recorded traces in virtual time through the real
-// decision code (admission, pickers, budgets) against small fakes. A fake
-// backend server is a queue with slots, recorded service times and a load
-// report that lags. Entry hosts share no state. The same trace, seed and policy
-// give the same figures, byte for byte.
+// Package replay replays traces of requests in virtual time. The decision code
+// (admission, pickers, retry budgets) is the real one; entry hosts and backend
+// servers are simulated. A simulated backend server is a queue with slots,
+// service times from the trace and delayed load reports. Entry hosts share no
+// state. The same trace, seed and policy give the same results, byte for byte.
 package replay
 
 import (
@@ -17,17 +17,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Record is one request of a trace: one JSON line. Times are microseconds.
+// Record is one request of a trace, encoded as one line of JSON. Times are in
+// microseconds.
 type Record struct {
 	At      int64   `json:"at"` // since the start of the trace
 	Region  string  `json:"region"`
 	Account string  `json:"account"`
 	Route   string  `json:"route"`
-	Prefix  uint64  `json:"prefix,omitempty"`  // identity of the prompt prefix
-	Bytes   []int   `json:"bytes"`             // body, then the output of each stage
-	Work    []int64 `json:"work"`              // service time by stage
-	Prefill int64   `json:"prefill,omitempty"` // added in the engine when the prefix is not cached
-	Poison  bool    `json:"poison,omitempty"`  // crashes the server of its last stage
+	Prefix  uint64  `json:"prefix,omitempty"`  // id of the prompt prefix
+	Bytes   []int   `json:"bytes"`             // size of the request body, then of the output of each stage
+	Work    []int64 `json:"work"`              // service time of each stage
+	Prefill int64   `json:"prefill,omitempty"` // added to the service time of an engine that has not cached the prefix
+	Poison  bool    `json:"poison,omitempty"`  // crashes the server that runs its last stage
 }
 
 // WriteTrace writes records as JSON lines.
@@ -42,7 +43,8 @@
 	return b.Flush()
 }
 
-// ReadTrace reads records written by WriteTrace or recorded elsewhere.
+// ReadTrace reads records in the format of WriteTrace. A field that Record does
+// not have is an error.
 func ReadTrace(r io.Reader) ([]Record, error) {
 	dec := json.NewDecoder(bufio.NewReader(r))
 	dec.DisallowUnknownFields()
@@ -60,12 +62,12 @@
 	}
 }
 
-func micros(d time.Duration) int64 { return d.Microseconds() }
+func toMicros(d time.Duration) int64 { return d.Microseconds() }
 
 func fromMicros(us int64) time.Duration { return time.Duration(us) * time.Microsecond }
 
-// identity is the same when the request is sent again.
-func (r *Record) identity() uint64 {
+// fingerprint identifies the request; it is the same for each retry of it.
+func (r *Record) fingerprint() uint64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:], uint64(r.At))
 	binary.LittleEndian.PutUint64(b[8:], r.Prefix)
