--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,7 +1,7 @@
-// Package load sends open-loop traffic to entry hosts on this machine: requests
-// arrive by a seeded Poisson process whether or not earlier ones were answered,
-// and latency counts from the planned arrival, so that a slow system cannot
-// hide its queue by slowing the generator down.
+// Package load generates open-loop traffic for entry hosts on this machine.
+// Requests arrive by a seeded Poisson process, whether or not earlier ones have
+// completed, and latency counts from the scheduled arrival. A slow system therefore
+// can't hide queueing delay by slowing down the generator (coordinated omission).
 package load
 
 import (
@@ -24,34 +24,35 @@
 	"bilberrydale/request/entry"
 )
 
-// Request is one kind of request in the mix.
+// RequestKind is one kind of request in the mix.
 type RequestKind struct {
 	Path    string
-	Weight  float64 // share of the arrivals, against the other weights
-	Stream  bool
-	Account string
-	Body    string
+	Weight  float64 // arrivals in proportion to the sum of all weights
+	Stream  bool    // request a streamed response
+	Account string  // client account
+	Body    string  // JSON
 }
 
-// Options describe one run.
+// Options configure one run.
 type Options struct {
-	Targets     []string // callers' addresses of entry hosts on loopback
-	Rate        float64  // requests a second for all targets together
-	Duration    time.Duration
-	Seed        uint64
+	Targets     []string      // callers' addresses of entry hosts on loopback
+	Rate        float64       // requests a second for all targets together
+	Duration    time.Duration // of the arrivals; Run waits for requests in flight after it
+	Seed        uint64        // determines the arrivals and their kinds
 	Mix         []RequestKind
 	Timeout     time.Duration // of one request
-	MaxInFlight int           // requests at once; arrivals above are not sent
+	MaxInFlight int           // concurrent requests; arrivals above this limit are not sent
 }
 
-// Line is the result of one kind of request. Latencies are in milliseconds
-// from the planned arrival to the whole answer.
+// Result holds the counts and latencies of one kind of request. Latencies are in
+// milliseconds, from the scheduled arrival to the complete response or to its
+// first byte. Only complete responses count in them.
 type Result struct {
 	Path         string         `json:"path"`
 	Sent         int            `json:"sent"`
-	Completed    int            `json:"whole"`   // whole answers
-	Unsent       int            `json:"unsent"`  // arrivals over Options.InFlight
-	Failures     map[string]int `json:"refused"` // other answers by error kind
+	Completed    int            `json:"whole"`   // complete responses
+	Unsent       int            `json:"unsent"`  // arrivals above Options.MaxInFlight
+	Failures     map[string]int `json:"refused"` // requests without a complete response, by kind of error
 	P50          float64        `json:"p50_ms"`
 	P99          float64        `json:"p99_ms"`
 	Max          float64        `json:"max_ms"`
@@ -59,49 +60,52 @@
 	FirstByteP99 float64        `json:"first_byte_p99_ms"`
 }
 
-// ErrNotLoopback: a target is not on this machine.
-var ErrNotLoopback = errors.New("load: only loopback addresses may be loaded")
+// ErrNotLoopback is returned for a target that is not on this machine.
+var ErrNotLoopback = errors.New("load: target is not a loopback address")
 
 const (
-	maxLatency = int64(10 * time.Minute / time.Microsecond)
-	digits     = 3
-	maxAnswer  = 64 << 20
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3 // of the histograms
+	maxResponseBytes  = 64 << 20
 )
 
+// recorder collects the result of one kind of request.
 type recorder struct {
-	mu           sync.Mutex
-	line         Result
-	whole, first *hdrhistogram.Histogram // microseconds
+	mu                 sync.Mutex
+	result             Result
+	latency, firstByte *hdrhistogram.Histogram // microseconds
 }
 
-// Run sends the traffic and returns one line for each kind of request.
+// Run sends the traffic and returns one result for each kind of request, in the
+// order of the mix. It returns an error only if the options are invalid; failed
+// requests are counted in the results. Canceling ctx ends the run early.
 func Run(ctx context.Context, o Options) ([]Result, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	recs := make([]*recorder, len(o.Mix))
+	recorders := make([]*recorder, len(o.Mix))
 	for i, m := range o.Mix {
-		recs[i] = &recorder{
-			line:  Result{Path: m.Path, Failures: map[string]int{}},
-			whole: hdrhistogram.New(1, maxLatency, digits), first: hdrhistogram.New(1, maxLatency, digits),
+		recorders[i] = &recorder{
+			result:  Result{Path: m.Path, Failures: map[string]int{}},
+			latency: hdrhistogram.New(1, maxLatencyMicros, significantDigits), firstByte: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		}
 	}
-	o.generate(ctx, recs)
-	lines := make([]Result, len(recs))
-	for i, r := range recs {
-		lines[i] = r.finish()
+	o.generate(ctx, recorders)
+	results := make([]Result, len(recorders))
+	for i, r := range recorders {
+		results[i] = r.summarize()
 	}
-	return lines, nil
+	return results, nil
 }
 
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	if len(o.Targets) == 0 || len(o.Mix) == 0 || o.Rate <= 0 {
-		return errors.New("load: targets, requests and a positive rate are needed")
+		return errors.New("load: targets, a mix of requests and a positive rate are required")
 	}
 	for _, t := range o.Targets {
 		host, _, err := net.SplitHostPort(t)
 		if err != nil {
-			return fmt.Errorf("load: %w", err)
+			return fmt.Errorf("load: target %q: %w", t, err)
 		}
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 			return fmt.Errorf("%w: %s", ErrNotLoopback, t)
@@ -110,9 +114,10 @@
 	return nil
 }
 
-// generate plans each arrival from the seed and sends it when it is due.
-func (o *Options) generate(ctx context.Context, recs []*recorder) {
-	rnd := rand.New(rand.NewPCG(o.Seed, 1))
+// generate draws each arrival from the seed and sends a request when it is due. It
+// returns when all requests have ended.
+func (o *Options) generate(ctx context.Context, recorders []*recorder) {
+	rng := rand.New(rand.NewPCG(o.Seed, 1))
 	client := &http.Client{Transport: &http.Transport{Proxy: nil, MaxIdleConnsPerHost: o.MaxInFlight}}
 	defer client.CloseIdleConnections()
 	slots := make(chan struct{}, o.MaxInFlight)
@@ -121,8 +126,8 @@
 	start := time.Now()
 	offset := time.Duration(0)
 	for n := 0; ; n++ {
-		offset += time.Duration(rnd.ExpFloat64() / o.Rate * float64(time.Second))
-		kind := o.choose(rnd.Float64())
+		offset += time.Duration(rng.ExpFloat64() / o.Rate * float64(time.Second))
+		kind := o.pickKind(rng.Float64())
 		due := start.Add(offset)
 		if offset > o.Duration || !waitUntil(ctx, due) {
 			return
@@ -130,18 +135,19 @@
 		select {
 		case slots <- struct{}{}:
 		default:
-			recs[kind].unsent()
+			recorders[kind].recordUnsent()
 			continue
 		}
 		wg.Add(1)
 		go func() {
 			defer wg.Done()
 			defer func() { <-slots }()
-			o.send(ctx, client, o.Targets[n%len(o.Targets)], o.Mix[kind], due, recs[kind])
+			o.send(ctx, client, o.Targets[n%len(o.Targets)], o.Mix[kind], due, recorders[kind])
 		}()
 	}
 }
 
+// waitUntil waits until due and reports false if ctx ended before.
 func waitUntil(ctx context.Context, due time.Time) bool {
 	select {
 	case <-time.After(time.Until(due)):
@@ -151,8 +157,8 @@
 	}
 }
 
-// choose maps a number in [0,1) to an index of the mix by weight.
-func (o *Options) choose(x float64) int {
+// pickKind maps a number in [0,1) to an index of the mix by weight.
+func (o *Options) pickKind(x float64) int {
 	total := 0.0
 	for _, m := range o.Mix {
 		total += m.Weight
@@ -166,12 +172,13 @@
 	return len(o.Mix) - 1
 }
 
+// send sends one request and records how it ended.
 func (o *Options) send(ctx context.Context, client *http.Client, target string, m RequestKind, due time.Time, rec *recorder) {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+target+m.Path, strings.NewReader(m.Body))
 	if err != nil {
-		rec.done("bad_path", due, time.Time{})
+		rec.recordResponse("bad_path", due, time.Time{})
 		return
 	}
 	req.Header.Set("Content-Type", "application/json")
@@ -181,21 +188,22 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		rec.done("no_answer", due, time.Time{})
+		rec.recordResponse("no_answer", due, time.Time{})
 		return
 	}
 	defer resp.Body.Close()
 	first := time.Now()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		rec.done("cut", due, first)
+		rec.recordResponse("cut", due, first)
 		return
 	}
-	rec.done(verdict(resp, body), due, first)
+	rec.recordResponse(errorKind(resp, body), due, first)
 }
 
-// verdict is empty for a whole answer, else the error kind.
-func verdict(resp *http.Response, body []byte) string {
+// errorKind returns the kind of error of a response, or an empty string if the
+// response is complete. A stream without its final chunk is cut.
+func errorKind(resp *http.Response, body []byte) string {
 	if resp.StatusCode != http.StatusOK {
 		var p entry.Problem
 		if json.Unmarshal(body, &p) != nil || p.Kind == "" {
@@ -214,36 +222,40 @@
 	return ""
 }
 
-func (r *recorder) unsent() {
+// recordUnsent counts an arrival above Options.MaxInFlight.
+func (r *recorder) recordUnsent() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.line.Unsent++
+	r.result.Unsent++
 }
 
-func (r *recorder) done(kind string, due, first time.Time) {
+// recordResponse counts a request that was sent. Kind is empty for a complete
+// response, whose latencies from due are recorded.
+func (r *recorder) recordResponse(kind string, due, first time.Time) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.line.Sent++
+	r.result.Sent++
 	if kind != "" {
-		r.line.Failures[kind]++
+		r.result.Failures[kind]++
 		return
 	}
-	r.line.Completed++
-	_ = r.whole.RecordValue(now.Sub(due).Microseconds())
-	_ = r.first.RecordValue(first.Sub(due).Microseconds())
+	r.result.Completed++
+	_ = r.latency.RecordValue(now.Sub(due).Microseconds())
+	_ = r.firstByte.RecordValue(first.Sub(due).Microseconds())
 }
 
 const microsPerMilli = 1000
 
-func (r *recorder) finish() Result {
+// summarize returns the result with its latencies.
+func (r *recorder) summarize() Result {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 {
 		return float64(h.ValueAtQuantile(q)) / microsPerMilli
 	}
-	l := r.line
-	l.P50, l.P99, l.Max = ms(r.whole, 50), ms(r.whole, 99), float64(r.whole.Max())/microsPerMilli
-	l.FirstByteP50, l.FirstByteP99 = ms(r.first, 50), ms(r.first, 99)
-	return l
+	res := r.result
+	res.P50, res.P99, res.Max = ms(r.latency, 50), ms(r.latency, 99), float64(r.latency.Max())/microsPerMilli
+	res.FirstByteP50, res.FirstByteP99 = ms(r.firstByte, 50), ms(r.firstByte, 99)
+	return res
 }
--- a/internal/load/load_test.go
+++ b/internal/load/load_test.go
@@ -12,14 +12,15 @@
 	"bilberrydale/request/entry"
 )
 
-func options(target string) Options {
+func testOptions(target string) Options {
 	return Options{
 		Targets: []string{target}, Rate: 400, Duration: 250 * time.Millisecond, Seed: 7, Timeout: time.Second, MaxInFlight: 64,
 		Mix: []RequestKind{{Path: "/a", Weight: 3}, {Path: "/s", Weight: 1, Stream: true}},
 	}
 }
 
-func TestTheSeedFixesWhatIsSent(t *testing.T) {
+// Two runs with the same seed send the same number of requests of each kind.
+func TestSameSeedSendsSameRequests(t *testing.T) {
 	g := NewWithT(t)
 	var mu sync.Mutex
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -31,9 +32,9 @@
 		}
 	}))
 	t.Cleanup(srv.Close)
-	first, err := Run(t.Context(), options(srv.Listener.Addr().String()))
+	first, err := Run(t.Context(), testOptions(srv.Listener.Addr().String()))
 	g.Expect(err).NotTo(HaveOccurred())
-	second, err := Run(t.Context(), options(srv.Listener.Addr().String()))
+	second, err := Run(t.Context(), testOptions(srv.Listener.Addr().String()))
 	g.Expect(err).NotTo(HaveOccurred())
 	for i, l := range first {
 		g.Expect(l.Sent + l.Unsent).To(Equal(second[i].Sent + second[i].Unsent))
@@ -42,8 +43,8 @@
 	g.Expect(first[0].Sent).To(BeNumerically(">", first[1].Sent))
 }
 
-// Each answer is cut, refused or held past the limit of requests in flight;
-// none may count as whole.
+// Streams without a final chunk and error responses count as failures by kind, never
+// as completed requests.
 func TestFailuresAreCountedByKind(t *testing.T) {
 	g := NewWithT(t)
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -56,13 +57,13 @@
 		_, _ = w.Write([]byte(`{"kind":"overloaded"}`))
 	}))
 	t.Cleanup(srv.Close)
-	lines, err := Run(t.Context(), options(srv.Listener.Addr().String()))
+	results, err := Run(t.Context(), testOptions(srv.Listener.Addr().String()))
 	g.Expect(err).NotTo(HaveOccurred())
-	g.Expect(lines[0].Failures).To(HaveKeyWithValue("overloaded", lines[0].Sent))
-	g.Expect(lines[1].Failures).To(HaveKeyWithValue("cut", lines[1].Sent))
+	g.Expect(results[0].Failures).To(HaveKeyWithValue("overloaded", results[0].Sent))
+	g.Expect(results[1].Failures).To(HaveKeyWithValue("cut", results[1].Sent))
 }
 
-func TestOnlyLoopbackIsLoaded(t *testing.T) {
-	_, err := Run(t.Context(), options("10.0.0.1:80"))
+func TestTargetsMustBeLoopback(t *testing.T) {
+	_, err := Run(t.Context(), testOptions("10.0.0.1:80"))
 	NewWithT(t).Expect(err).To(MatchError(ErrNotLoopback))
 }
--- a/internal/loadctl/loadctl_test.go
+++ b/internal/loadctl/loadctl_test.go
@@ -13,22 +13,22 @@
 	"bilberrydale/internal/load"
 )
 
-func TestMixOfRequests(t *testing.T) {
+func TestParseRequestKinds(t *testing.T) {
 	g := NewWithT(t)
-	mix, err := parseMix("/a,/b:2.5,/c:1:stream", "acc", "{}")
+	mix, err := parseRequestKinds("/a,/b:2.5,/c:1:stream", "acc", "{}")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(mix).To(Equal([]load.RequestKind{
 		{Path: "/a", Weight: 1, Account: "acc", Body: "{}"},
 		{Path: "/b", Weight: 2.5, Account: "acc", Body: "{}"},
 		{Path: "/c", Weight: 1, Account: "acc", Body: "{}", Stream: true},
 	}))
-	_, err = parseMix("/a:many", "", "")
+	_, err = parseRequestKinds("/a:many", "", "")
 	g.Expect(err).To(MatchError(ContainSubstring("positive number")))
 }
 
-// The command fails when more requests than allowed got no whole answer, so
-// that a script can rest on it.
-func TestTrafficFailsOverTheAllowedShare(t *testing.T) {
+// The command fails when more requests than allowed have no complete response, so
+// that scripts can use its exit status.
+func TestTrafficFailsAboveMaxFailed(t *testing.T) {
 	g := NewWithT(t)
 	srv := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(srv.Close)
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -1,6 +1,7 @@
-// Package overhead measures what an entry host adds to a call of a backend
-// server: the same client calls the server directly and through an entry host,
-// in turns and in one process, so that both see the same machine.
+// Package overhead measures the latency and allocations that an entry host adds to
+// a call of a backend server. One process alternates between direct calls of the
+// server and calls through an entry host, so that both run under the same
+// conditions.
 package overhead
 
 import (
@@ -24,15 +25,16 @@
 	"bilberrydale/version/table"
 )
 
-// Options describe one measurement.
+// Options configure one measurement.
 type Options struct {
-	Requests int // on each side
-	Clients  int // at once
-	Stages   int // of the route; the direct side makes as many calls
-	Body     int // bytes
+	Requests int // on each path
+	Clients  int // concurrent
+	Stages   int // of the route; a direct request makes as many calls
+	Body     int // bytes of each request
 }
 
-// Report holds microseconds and allocations for one request.
+// Report holds latencies in microseconds, and the allocations that an entry host
+// adds to each request.
 type Report struct {
 	Options
 	DirectP50    float64 `json:"direct_p50_us"`
@@ -46,25 +48,27 @@
 }
 
 const (
-	rounds  = 20 // turns of direct and entry calls
-	warmup  = 200
-	maxTime = int64(time.Minute / time.Nanosecond)
-	path    = "/v1/echo"
+	interleavedRounds = 20 // direct and entry host calls alternate this often
+	warmupRequests    = 200
+	maxLatencyNanos   = int64(time.Minute / time.Nanosecond)
+	routePath         = "/v1/echo"
 )
 
-// side is one way to make the same request.
-type side struct {
-	hist          *hdrhistogram.Histogram // nanoseconds
+// measurement collects the latencies and allocations of one path, direct or through
+// the entry host.
+type measurement struct {
+	latencies     *hdrhistogram.Histogram // nanoseconds
 	mu            sync.Mutex
 	allocs, bytes uint64
 	call          func() error
 }
 
-// Measure runs the measurement.
+// Measure starts an entry host and a backend server in this process and runs the
+// measurement. It fails if any call fails.
 func Measure(ctx context.Context, o Options) (Report, error) {
-	server := httptest.NewServer(http.HandlerFunc(echo))
+	server := httptest.NewServer(http.HandlerFunc(serveEcho))
 	defer server.Close()
-	host, stop, err := startHost(ctx, server.Listener.Addr().String(), o.Stages)
+	host, stop, err := startEntryHost(ctx, server.Listener.Addr().String(), o.Stages)
 	if err != nil {
 		return Report{}, err
 	}
@@ -73,56 +77,58 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.Clients}}
 	defer client.CloseIdleConnections()
 	body := bytes.Repeat([]byte("a"), o.Body)
-	direct := newSide(func() error {
+	direct := newMeasurement(func() error {
 		for range o.Stages {
-			if err := post(client, server.URL+path, body); err != nil {
+			if err := post(client, server.URL+routePath, body); err != nil {
 				return err
 			}
 		}
 		return nil
 	})
-	entry := newSide(func() error { return post(client, "http://"+callers+path, body) })
-	for _, s := range []*side{direct, entry} {
-		if err := s.run(warmup, o.Clients, false); err != nil {
+	viaHost := newMeasurement(func() error { return post(client, "http://"+callers+routePath, body) })
+	for _, m := range []*measurement{direct, viaHost} {
+		if err := m.run(warmupRequests, o.Clients, false); err != nil {
 			return Report{}, err
 		}
 	}
-	for range rounds {
-		for _, s := range []*side{direct, entry} {
-			if err := s.run(o.Requests/rounds, o.Clients, true); err != nil {
+	for range interleavedRounds {
+		for _, m := range []*measurement{direct, viaHost} {
+			if err := m.run(o.Requests/interleavedRounds, o.Clients, true); err != nil {
 				return Report{}, err
 			}
 		}
 	}
-	return report(o, direct, entry), nil
+	return newReport(o, direct, viaHost), nil
 }
 
-func report(o Options, direct, entry *side) Report {
+func newReport(o Options, direct, viaHost *measurement) Report {
 	r := Report{
-		Options: o, DirectP50: direct.micros(50), DirectP99: direct.micros(99),
-		EntryHostP50: entry.micros(50), EntryHostP99: entry.micros(99),
+		Options: o, DirectP50: direct.quantileMicros(50), DirectP99: direct.quantileMicros(99),
+		EntryHostP50: viaHost.quantileMicros(50), EntryHostP99: viaHost.quantileMicros(99),
 	}
 	r.AddedP50, r.AddedP99 = r.EntryHostP50-r.DirectP50, r.EntryHostP99-r.DirectP99
-	n := float64(entry.hist.TotalCount())
-	r.AddedAllocs = (float64(entry.allocs) - float64(direct.allocs)) / n
-	r.AddedBytes = (float64(entry.bytes) - float64(direct.bytes)) / n
+	n := float64(viaHost.latencies.TotalCount())
+	r.AddedAllocs = (float64(viaHost.allocs) - float64(direct.allocs)) / n
+	r.AddedBytes = (float64(viaHost.bytes) - float64(direct.bytes)) / n
 	return r
 }
 
-func newSide(call func() error) *side {
-	return &side{hist: hdrhistogram.New(1, maxTime, 3), call: call}
+func newMeasurement(call func() error) *measurement {
+	return &measurement{latencies: hdrhistogram.New(1, maxLatencyNanos, 3), call: call}
 }
 
-func (s *side) micros(q float64) float64 { return float64(s.hist.ValueAtQuantile(q)) / 1000 }
+func (m *measurement) quantileMicros(q float64) float64 {
+	return float64(m.latencies.ValueAtQuantile(q)) / 1000
+}
 
-// run makes n calls from several clients and counts the allocations of the
-// whole process meanwhile.
-func (s *side) run(n, clients int, record bool) error {
+// run makes n calls, divided over several clients, and counts the allocations of
+// the whole process meanwhile. A warm-up does not record.
+func (m *measurement) run(n, clients int, record bool) error {
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	errs := make(chan error, clients)
 	for range clients {
-		go func() { errs <- s.client(n/clients, record) }()
+		go func() { errs <- m.runClient(n/clients, record) }()
 	}
 	var failed error
 	for range clients {
@@ -132,23 +138,23 @@
 	}
 	runtime.ReadMemStats(&after)
 	if record {
-		s.allocs += after.Mallocs - before.Mallocs
-		s.bytes += after.TotalAlloc - before.TotalAlloc
+		m.allocs += after.Mallocs - before.Mallocs
+		m.bytes += after.TotalAlloc - before.TotalAlloc
 	}
 	return failed
 }
 
-func (s *side) client(n int, record bool) error {
+func (m *measurement) runClient(n int, record bool) error {
 	for range n {
 		start := time.Now()
-		if err := s.call(); err != nil {
+		if err := m.call(); err != nil {
 			return err
 		}
 		took := time.Since(start)
 		if record {
-			s.mu.Lock()
-			_ = s.hist.RecordValue(took.Nanoseconds())
-			s.mu.Unlock()
+			m.mu.Lock()
+			_ = m.latencies.RecordValue(took.Nanoseconds())
+			m.mu.Unlock()
 		}
 	}
 	return nil
@@ -164,23 +170,25 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("overhead: status %d", resp.StatusCode)
+		return fmt.Errorf("overhead: %s responded with status %d", url, resp.StatusCode)
 	}
 	return nil
 }
 
-// echo answers with the body and the ids of the hop, and does nothing else.
-func echo(w http.ResponseWriter, r *http.Request) {
+// serveEcho responds with the request body and the identifying headers that entry
+// hosts check, and does nothing else that would cost time.
+func serveEcho(w http.ResponseWriter, r *http.Request) {
 	for _, h := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(h, r.Header.Get(h))
 	}
 	_, _ = io.Copy(w, r.Body)
 }
 
-// startHost runs an entry host in front of one backend server.
-func startHost(ctx context.Context, addr string, stages int) (*entryhost.Host, func(), error) {
+// startEntryHost runs an entry host in front of one backend server and waits for
+// its first release. The returned function stops it.
+func startEntryHost(ctx context.Context, addr string, stages int) (*entryhost.Host, func(), error) {
 	objects := platform.NewStore()
-	if err := publish(ctx, objects, addr, stages); err != nil {
+	if err := publishTables(ctx, objects, addr, stages); err != nil {
 		return nil, nil, err
 	}
 	store := httptest.NewServer(objects.Handler())
@@ -211,13 +219,14 @@
 	return host, stop, nil
 }
 
-func publish(ctx context.Context, objects *platform.Store, addr string, stages int) error {
+// publishTables publishes a release with one route and one backend server.
+func publishTables(ctx context.Context, objects *platform.Store, addr string, stages int) error {
 	route := table.Route{
-		Name: "echo", Match: table.Match{Path: path}, Deadline: table.Duration(10 * time.Second), Worth: 1, Class: table.Interactive,
+		Name: "echo", Match: table.Match{Path: routePath}, Deadline: table.Duration(10 * time.Second), Worth: 1, Class: table.Interactive,
 	}
 	for i := range stages {
 		route.Stages = append(route.Stages, table.Stage{
-			Name: fmt.Sprint("s", i), Pool: "echo", Path: path, Budget: table.Duration(time.Second), Repeatable: true,
+			Name: fmt.Sprint("s", i), Pool: "echo", Path: routePath, Budget: table.Duration(time.Second), Repeatable: true,
 		})
 	}
 	rows, err := table.EncodeRows(table.Tables{Routes: []table.Route{route}, Pools: []table.Pool{{
--- a/internal/overhead/overhead_test.go
+++ b/internal/overhead/overhead_test.go
@@ -6,7 +6,7 @@
 	. "github.com/onsi/gomega"
 )
 
-func TestMeasureCountsEveryRequestOnBothSides(t *testing.T) {
+func TestMeasureReportsBothPaths(t *testing.T) {
 	g := NewWithT(t)
 	r, err := Measure(t.Context(), Options{Requests: 200, Clients: 2, Stages: 2, Body: 64})
 	g.Expect(err).NotTo(HaveOccurred())
