--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,5 +1,6 @@
-// Package capacity holds the system's size of two years from now and makes
-// tables of any part of it. Its benchmarks give their slopes.
+// Package capacity describes the size that the system is designed for and generates
+// tables of that size or a fraction of it. Its benchmarks show how the costs of an
+// entry host grow with the size.
 package capacity
 
 import (
@@ -9,24 +10,24 @@
 	"bilberrydale/version/table"
 )
 
-// Size is how large a system is.
+// Size holds the numbers of the parts of a system.
 type Size struct {
 	EntryHosts     int
-	Replicas       int
-	Models         int
-	Pipelines      int
-	Accounts       int
+	Replicas       int // backend servers, divided evenly over the models
+	Models         int // each has a pool
+	Pipelines      int // each has a route
+	Accounts       int // client accounts
 	FailureDomains int
 	Regions        int
 }
 
-// TwoYears returns the size to design for.
+// PlannedSize returns the size to design for, which is expected in two years.
 func PlannedSize() Size {
 	return Size{EntryHosts: 380, Replicas: 1100, Models: 14, Pipelines: 11, Accounts: 12_000, FailureDomains: 10, Regions: 3}
 }
 
-// Part returns the size with as many places and tables and a part of the
-// daemons, replicas and accounts.
+// Scaled returns the size with num/den of the entry hosts, replicas and accounts,
+// and the same models, pipelines, failure domains and regions.
 func (s Size) Scaled(num, den int) Size {
 	s.EntryHosts = s.EntryHosts * num / den
 	s.Replicas = s.Replicas * num / den
@@ -34,20 +35,21 @@
 	return s
 }
 
-// Slots is how many requests a replica runs at once.
+// SlotsPerReplica is the number of requests that a replica runs concurrently.
 const SlotsPerReplica = 16
 
-// Domain returns the name of failure domain i and its region.
+// FailureDomain returns the names of failure domain i, modulo their number, and of
+// its region.
 func (s Size) FailureDomain(i int) (domain, region string) {
 	d := i % s.FailureDomains
 	return fmt.Sprintf("domain-%d", d), fmt.Sprintf("region-%d", d%s.Regions)
 }
 
-// Account returns the name of client account i.
+// Account returns the name of client account i, modulo their number.
 func (s Size) Account(i int) string { return fmt.Sprintf("account-%05d", i%s.Accounts) }
 
-// Tables returns both tables: a pool for each model, and pipelines of three to
-// six stages over them.
+// Tables returns a pool for each model, and a route of three to six stages for each
+// pipeline.
 func (s Size) Tables() table.Tables {
 	var t table.Tables
 	n := 0
@@ -69,12 +71,13 @@
 		t.Pools = append(t.Pools, p)
 	}
 	for r := range s.Pipelines {
-		t.Routes = append(t.Routes, s.route(r))
+		t.Routes = append(t.Routes, s.pipelineRoute(r))
 	}
 	return t
 }
 
-func (s Size) route(r int) table.Route {
+// pipelineRoute returns the route of pipeline r.
+func (s Size) pipelineRoute(r int) table.Route {
 	out := table.Route{
 		Name: fmt.Sprintf("pipeline-%02d", r), Match: table.Match{Path: fmt.Sprintf("/v1/pipeline-%02d", r)},
 		Deadline: table.Duration(5 * time.Second), Worth: float64(1 + r%5), Class: table.Interactive,
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -26,9 +26,10 @@
 	"bilberrydale/version/table"
 )
 
-var start = time.Unix(1_000_000, 0)
+var startTime = time.Unix(1_000_000, 0)
 
-func rows(t table.Tables) release.Release {
+// newRelease returns a release of the tables, with its rows in order of their keys.
+func newRelease(t table.Tables) release.Release {
 	encoded, err := table.EncodeRows(t)
 	if err != nil {
 		panic(err)
@@ -41,25 +42,25 @@
 	return rel
 }
 
-func options(reg *server.Registry) snapshot.Options {
+func snapshotOptions(reg *server.Registry) snapshot.Options {
 	return snapshot.Options{
-		Registry: reg, Now: start.Add(-time.Hour),
+		Registry: reg, Now: startTime.Add(-time.Hour),
 		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 			return pick.NewLocalityPicker(pick.DefaultOptions("host-1", "domain-0", "region-0"), s)
 		},
 	}
 }
 
-func build(tb testing.TB, s Size, reg *server.Registry) *snapshot.Snapshot {
+func buildSnapshot(tb testing.TB, s Size, reg *server.Registry) *snapshot.Snapshot {
 	tb.Helper()
-	snap, err := snapshot.Build(rows(s.Tables()), options(reg))
+	snap, err := snapshot.Build(newRelease(s.Tables()), snapshotOptions(reg))
 	if err != nil {
 		tb.Fatal(err)
 	}
 	return snap
 }
 
-func loads(now time.Time, snap *snapshot.Snapshot) []admission.PoolLoad {
+func poolLoads(now time.Time, snap *snapshot.Snapshot) []admission.PoolLoad {
 	var out []admission.PoolLoad
 	for _, name := range slices.Sorted(maps.Keys(snap.Pools)) {
 		l := snap.Pools[name].Picker.(*pick.LocalityPicker).Load(now)
@@ -68,153 +69,159 @@
 	return out
 }
 
-// sizes are the three sizes that give each slope.
-func sizes() []Size {
+// benchmarkSizes returns three sizes, from which the growth of a cost can be read.
+func benchmarkSizes() []Size {
 	full := PlannedSize()
 	return []Size{full.Scaled(1, 4), full.Scaled(1, 2), full}
 }
 
-func each(b *testing.B, f func(b *testing.B, s Size)) {
-	for _, s := range sizes() {
+func forEachSize(b *testing.B, f func(b *testing.B, s Size)) {
+	for _, s := range benchmarkSizes() {
 		b.Run(fmt.Sprintf("replicas=%d/accounts=%d", s.Replicas, s.Accounts), func(b *testing.B) { f(b, s) })
 	}
 }
 
-// world is an entry host's decision state under load: busy requests on each
-// server, and all accounts seen.
-type world struct {
-	snap    *snapshot.Snapshot
-	control *admission.Controller
-	names   []string
-	paths   []string
+// hostState is the decision state of an entry host under load. Every server has
+// reported its load, and every account has sent a request.
+type hostState struct {
+	snap       *snapshot.Snapshot
+	controller *admission.Controller
+	accounts   []string
+	paths      []string
 }
 
-// Loads of the benchmarks, in requests on a server.
+// Loads of the benchmarks, in running requests of each server.
 const (
-	calm = SlotsPerReplica / 2
-	full = SlotsPerReplica * 4 / 3
+	lightLoad = SlotsPerReplica / 2
+	overload  = SlotsPerReplica * 4 / 3
 )
 
-// caller is what one request needs besides; a request's own state holds it.
-type caller struct {
-	info pick.Attempt
-	req  admission.Request
+// requestState holds the structs that a decision needs. Entry hosts keep them in
+// the state of the request, so that they don't count as allocations here.
+type requestState struct {
+	attempt pick.Attempt
+	req     admission.Request
 }
 
-func newWorld(tb testing.TB, s Size, busy int) *world {
+// newHostState returns the state with busy running requests on each server.
+func newHostState(tb testing.TB, s Size, busy int) *hostState {
 	reg := server.NewRegistry()
-	w := &world{snap: build(tb, s, reg), control: admission.NewController(admission.DefaultOptions(), clock.NewSeeded(1))}
-	reg.Each(func(st *server.State) { st.SetLoad(&server.Load{Running: busy, Received: start}) })
+	h := &hostState{snap: buildSnapshot(tb, s, reg), controller: admission.NewController(admission.DefaultOptions(), clock.NewSeeded(1))}
+	reg.Each(func(st *server.State) { st.SetLoad(&server.Load{Running: busy, Received: startTime}) })
 	for i := range s.Accounts {
-		w.names = append(w.names, s.Account(i))
+		h.accounts = append(h.accounts, s.Account(i))
 	}
-	for _, r := range w.snap.Routes {
-		w.paths = append(w.paths, r.Match.Path)
+	for _, r := range h.snap.Routes {
+		h.paths = append(h.paths, r.Match.Path)
 	}
-	w.control.Tick(start, loads(start, w.snap))
-	for i := range w.names {
-		w.decide(start, uint64(i), &caller{})
+	h.controller.Tick(startTime, poolLoads(startTime, h.snap))
+	for i := range h.accounts {
+		h.decide(startTime, uint64(i), &requestState{})
 	}
-	w.control.Tick(start.Add(time.Second), loads(start, w.snap))
-	return w
+	h.controller.Tick(startTime.Add(time.Second), poolLoads(startTime, h.snap))
+	return h
 }
 
-var header = http.Header{}
+var emptyHeader = http.Header{}
 
-// decide is the whole decision on one request: its route, whether to admit it,
-// and a server for each stage.
-func (w *world) decide(now time.Time, i uint64, c *caller) int {
-	rt := w.snap.Route(http.MethodPost, w.paths[i%uint64(len(w.paths))], header)
-	c.req = admission.Request{
-		Profile: rt.Profile, Account: w.names[i%uint64(len(w.names))], ArrivedAt: now, Deadline: now.Add(5 * time.Second), Fingerprint: i*0x9e3779b97f4a7c15 + 1,
+// decide makes all decisions on request i: it finds the route, admits the request
+// and picks a server for each stage. It returns the number of stages; 0 if the
+// request is refused.
+func (h *hostState) decide(now time.Time, i uint64, r *requestState) int {
+	rt := h.snap.Route(http.MethodPost, h.paths[i%uint64(len(h.paths))], emptyHeader)
+	r.req = admission.Request{
+		Profile: rt.Profile, Account: h.accounts[i%uint64(len(h.accounts))], ArrivedAt: now, Deadline: now.Add(5 * time.Second), Fingerprint: i*0x9e3779b97f4a7c15 + 1,
 	}
-	if err := w.control.Admit(now, &c.req); err != nil {
+	if err := h.controller.Admit(now, &r.req); err != nil {
 		return 0
 	}
 	for k := range rt.Stages {
-		w.control.StageStart(now, &c.req, k)
-		c.info = pick.Attempt{Now: now, Rand: clock.SystemRand{}, Class: rt.Class, PrefixHash: i}
-		if _, err := rt.Stages[k].Pool.Picker.Pick(&c.info); err != nil {
+		h.controller.StageStart(now, &r.req, k)
+		r.attempt = pick.Attempt{Now: now, Rand: clock.SystemRand{}, Class: rt.Class, PrefixHash: i}
+		if _, err := rt.Stages[k].Pool.Picker.Pick(&r.attempt); err != nil {
 			panic(err)
 		}
 	}
-	w.control.Done(now, &c.req, admission.Completed)
+	h.controller.Done(now, &r.req, admission.Completed)
 	return len(rt.Stages)
 }
 
 func BenchmarkDecision(b *testing.B) {
-	b.Run("calm", func(b *testing.B) { benchmarkDecision(b, calm) })
-	b.Run("full", func(b *testing.B) { benchmarkDecision(b, full) })
+	b.Run("calm", func(b *testing.B) { benchmarkDecision(b, lightLoad) })
+	b.Run("full", func(b *testing.B) { benchmarkDecision(b, overload) })
 }
 
 func benchmarkDecision(b *testing.B, busy int) {
-	each(b, func(b *testing.B, s Size) {
-		w := newWorld(b, s, busy)
-		now := start.Add(time.Second)
+	forEachSize(b, func(b *testing.B, s Size) {
+		h := newHostState(b, s, busy)
+		now := startTime.Add(time.Second)
 		stages := 0
-		c := &caller{}
+		r := &requestState{}
 		b.ReportAllocs()
 		b.ResetTimer()
 		for i := range b.N {
-			stages += w.decide(now, uint64(i), c)
+			stages += h.decide(now, uint64(i), r)
 		}
 		b.ReportMetric(float64(stages)/float64(b.N), "stages/op")
 	})
 }
 
 func BenchmarkDecisionParallel(b *testing.B) {
-	w := newWorld(b, PlannedSize(), calm)
-	now := start.Add(time.Second)
+	h := newHostState(b, PlannedSize(), lightLoad)
+	now := startTime.Add(time.Second)
 	var next atomic.Uint64
 	b.ReportAllocs()
 	b.ResetTimer()
 	b.RunParallel(func(pb *testing.PB) {
 		i := next.Add(1) << 32
-		c := &caller{}
+		r := &requestState{}
 		for pb.Next() {
 			i++
-			w.decide(now, i, c)
+			h.decide(now, i, r)
 		}
 	})
 }
 
-// BenchmarkTick is a tenth of a second of control: every pool's load taken in,
-// shares divided each fifth time.
+// BenchmarkTick measures one tick of admission control, which runs every 100 ms: it
+// reads the load of every pool, and every fifth tick computes the shares.
 func BenchmarkTick(b *testing.B) {
-	each(b, func(b *testing.B, s Size) {
-		w := newWorld(b, s, full)
+	forEachSize(b, func(b *testing.B, s Size) {
+		h := newHostState(b, s, overload)
 		b.ReportAllocs()
 		b.ResetTimer()
 		for i := range b.N {
-			now := start.Add(time.Second + time.Duration(i)*100*time.Millisecond)
+			now := startTime.Add(time.Second + time.Duration(i)*100*time.Millisecond)
 			if i%10 == 0 {
 				b.StopTimer()
-				for k := range w.names {
-					w.decide(now, uint64(k), &caller{})
+				for k := range h.accounts {
+					h.decide(now, uint64(k), &requestState{})
 				}
 				b.StartTimer()
 			}
-			w.control.Tick(now, loads(now, w.snap))
+			h.controller.Tick(now, poolLoads(now, h.snap))
 		}
 	})
 }
 
-// BenchmarkInstall compiles a release that changes one row.
+// BenchmarkInstall measures how long a release takes to compile in full, as for a
+// release that changes one row.
 func BenchmarkInstall(b *testing.B) {
-	each(b, func(b *testing.B, s Size) {
+	forEachSize(b, func(b *testing.B, s Size) {
 		reg := server.NewRegistry()
-		rel := rows(s.Tables())
+		rel := newRelease(s.Tables())
 		b.ReportAllocs()
 		b.ResetTimer()
 		for range b.N {
-			if _, err := snapshot.Build(rel, options(reg)); err != nil {
+			if _, err := snapshot.Build(rel, snapshotOptions(reg)); err != nil {
 				b.Fatal(err)
 			}
 		}
 	})
 }
 
-func heap() uint64 {
+// liveHeapBytes returns the heap size after garbage collection. The second run
+// frees what finalizers released in the first.
+func liveHeapBytes() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -222,29 +229,30 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory reports what one entry host keeps, in bytes.
+// BenchmarkMemory reports the heap bytes of the tables and of the decision state of
+// one entry host.
 func BenchmarkMemory(b *testing.B) {
-	each(b, func(b *testing.B, s Size) {
+	forEachSize(b, func(b *testing.B, s Size) {
 		for range b.N {
-			before := heap()
-			snap := build(b, s, server.NewRegistry())
-			table := heap()
-			w := newWorld(b, s, full)
-			all := heap()
-			b.ReportMetric(float64(table-before), "table-B")
-			b.ReportMetric(float64(all-table), "world-B")
+			before := liveHeapBytes()
+			snap := buildSnapshot(b, s, server.NewRegistry())
+			withTables := liveHeapBytes()
+			h := newHostState(b, s, overload)
+			all := liveHeapBytes()
+			b.ReportMetric(float64(withTables-before), "table-B")
+			b.ReportMetric(float64(all-withTables), "world-B")
 			runtime.KeepAlive(snap)
-			runtime.KeepAlive(w)
+			runtime.KeepAlive(h)
 		}
 	})
 }
 
-// BenchmarkReach reports how many servers one host talks to, and over all
-// hosts the connections of the busiest server.
+// BenchmarkReach reports the largest number of servers that one host connects to,
+// and the largest number of hosts that connect to one server.
 func BenchmarkReach(b *testing.B) {
-	each(b, func(b *testing.B, s Size) {
+	forEachSize(b, func(b *testing.B, s Size) {
 		for range b.N {
-			most, perServer := 0, map[string]int{}
+			maxReach, hostsPerServer := 0, map[string]int{}
 			tables := s.Tables()
 			for h := range s.EntryHosts {
 				domain, region := s.FailureDomain(h)
@@ -253,24 +261,24 @@
 					reg := server.NewRegistry()
 					servers := make([]pick.Server, len(p.Servers))
 					for i, x := range p.Servers {
-						servers[i] = pick.Server{Server: x, State: reg.Get(x.Name, x.Address, start), Slots: p.Slots}
+						servers[i] = pick.Server{Server: x, State: reg.Get(x.Name, x.Address, startTime), Slots: p.Slots}
 					}
 					for _, x := range pick.NewLocalityPicker(pick.DefaultOptions(fmt.Sprint("host-", h), domain, region), servers).Eligible() {
 						reach++
-						perServer[x.Name]++
+						hostsPerServer[x.Name]++
 					}
 				}
-				most = max(most, reach)
+				maxReach = max(maxReach, reach)
 			}
-			b.ReportMetric(float64(most), "servers/host")
-			b.ReportMetric(float64(slices.Max(slices.Collect(maps.Values(perServer)))), "hosts/server")
+			b.ReportMetric(float64(maxReach), "servers/host")
+			b.ReportMetric(float64(slices.Max(slices.Collect(maps.Values(hostsPerServer)))), "hosts/server")
 			b.ReportMetric(float64(s.Replicas), "all-servers")
 		}
 	})
 }
 
-// BenchmarkLoadReport fetches one report over loopback and counts its bytes on
-// the wire, both ways.
+// BenchmarkLoadReport fetches one load report over loopback and counts the bytes on
+// the wire in both directions.
 func BenchmarkLoadReport(b *testing.B) {
 	const answer = `{"running":12,"queued":3,"slots":16,"models":["model-01@1"],"role":"decode","fence":17}`
 	srv := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -292,6 +300,7 @@
 	b.ReportMetric(float64(l.bytes.Load())/float64(b.N), "wire-B/op")
 }
 
+// countingListener counts the bytes that its connections read and write.
 type countingListener struct {
 	net.Listener
 	bytes atomic.Int64
@@ -322,25 +331,25 @@
 	return n, err
 }
 
-func TestFullSizeDecisionsNeedNoAllocation(t *testing.T) {
+func TestDecisionsAtPlannedSizeDoNotAllocate(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, PlannedSize(), calm)
-	g.Expect(w.snap.Pools).To(HaveLen(14))
-	i, c := uint64(0), &caller{}
+	h := newHostState(t, PlannedSize(), lightLoad)
+	g.Expect(h.snap.Pools).To(HaveLen(14))
+	i, r := uint64(0), &requestState{}
 	g.Expect(testing.AllocsPerRun(2000, func() {
 		i++
-		if w.decide(start.Add(time.Second), i, c) == 0 {
-			t.Error("refused without load")
+		if h.decide(startTime.Add(time.Second), i, r) == 0 {
+			t.Error("a request was refused at light load")
 		}
 	})).To(BeZero())
 }
 
-// Connections that grow as hosts times servers would give each server 380 and
-// each host 1,100.
-func TestReachIsBounded(t *testing.T) {
+// Without a bound on the eligible servers every host would connect to all 1,100
+// servers, and every server would have connections from all 380 hosts.
+func TestEligibleServersAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := PlannedSize()
-	snap := build(t, s, server.NewRegistry())
+	snap := buildSnapshot(t, s, server.NewRegistry())
 	reach := 0
 	for _, p := range snap.Pools {
 		reach += len(p.Picker.(*pick.LocalityPicker).Eligible())
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -105,7 +105,7 @@
 	for _, t := range o.Targets {
 		host, _, err := net.SplitHostPort(t)
 		if err != nil {
-			return fmt.Errorf("load: target %q: %w", t, err)
+			return fmt.Errorf("load: invalid target: %w", err)
 		}
 		if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
 			return fmt.Errorf("%w: %s", ErrNotLoopback, t)
--- a/internal/loadctl/loadctl.go
+++ b/internal/loadctl/loadctl.go
@@ -84,7 +84,8 @@
 	set.String(&o.overheadOutFile, "out", "file to write the results to as JSON", nil)
 }
 
-// parseRequestKinds parses the --requests flag.
+// parseRequestKinds parses the --requests flag, in which items without a weight
+// have weight 1.
 func parseRequestKinds(text, account, body string) ([]load.RequestKind, error) {
 	var mix []load.RequestKind
 	for _, item := range strings.Split(text, ",") {
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -170,7 +170,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("overhead: %s responded with status %d", url, resp.StatusCode)
+		return fmt.Errorf("overhead: call failed with status %d", resp.StatusCode)
 	}
 	return nil
 }
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -23,6 +23,8 @@
 	profiles map[string]*admission.Profile
 }
 
+// newFakeHost returns a host with the decision code of the policy. Seed is that of
+// its random decisions.
 func (sim *simulation) newFakeHost(at Location, seed uint64) *fakeHost {
 	h := &fakeHost{simulation: sim, Location: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
 	h.HostPolicy = sim.policy.New(at, h.rand)
@@ -56,7 +58,7 @@
 	}
 }
 
-// request is the state of one admitted request while it runs through the stages
+// request is the state of one request while it runs through the stages
 // of its route.
 type request struct {
 	*fakeHost
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -152,18 +152,18 @@
 // requests that completed in time with its weighted max-min share of the engine
 // capacity, and of the engine time that all accounts received. It returns the
 // lowest ratio of each. Background requests have no share and don't count.
-func (sim *simulation) worstShareRatios() (ofCapacity, ofServed float64) {
-	ofCapacity, ofServed = 1, 1
+func (sim *simulation) worstShareRatios() (capacityRatio, servedRatio float64) {
+	capacityRatio, servedRatio = 1, 1
 	for from := time.Duration(0); from < scenarioDuration(sim.scenario); from += shareWindow {
 		demanded, completed := sim.accountEngineSeconds(from)
-		var served float64
+		var completedTotal float64
 		for _, s := range completed {
-			served += s
+			completedTotal += s
 		}
-		ofCapacity = min(ofCapacity, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, sim.engineCapacity(from))))
-		ofServed = min(ofServed, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, served)))
+		capacityRatio = min(capacityRatio, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, sim.engineCapacity(from))))
+		servedRatio = min(servedRatio, worstRatio(completed, fairShares(demanded, sim.deployment.Accounts, completedTotal)))
 	}
-	return ofCapacity, ofServed
+	return capacityRatio, servedRatio
 }
 
 // accountEngineSeconds returns the engine time of each account's requests that
@@ -227,29 +227,29 @@
 
 // fairShares returns the weighted max-min fair allocation of capacity to the
 // demands of the accounts.
-func fairShares(demanded []float64, accounts []Account, capacity float64) []float64 {
-	shares := make([]float64, len(demanded))
-	remaining := len(demanded)
-	satisfied := make([]bool, len(demanded))
+func fairShares(demands []float64, accounts []Account, capacity float64) []float64 {
+	shares := make([]float64, len(demands))
+	remaining := len(demands)
+	satisfied := make([]bool, len(demands))
 	for remaining > 0 {
 		var weights float64
-		for i := range demanded {
+		for i := range demands {
 			if !satisfied[i] {
 				weights += accounts[i].Weight
 			}
 		}
 		perWeight, anySatisfied := capacity/weights, false
-		for i := range demanded {
-			if !satisfied[i] && demanded[i] <= perWeight*accounts[i].Weight {
-				shares[i], satisfied[i], anySatisfied = demanded[i], true, true
-				capacity -= demanded[i]
+		for i := range demands {
+			if !satisfied[i] && demands[i] <= perWeight*accounts[i].Weight {
+				shares[i], satisfied[i], anySatisfied = demands[i], true, true
+				capacity -= demands[i]
 				remaining--
 			}
 		}
 		if anySatisfied {
 			continue
 		}
-		for i := range demanded {
+		for i := range demands {
 			if !satisfied[i] {
 				shares[i] = perWeight * accounts[i].Weight
 			}
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -57,7 +57,7 @@
 // and has a retry budget, but no admission control.
 func Placement() Policy {
 	return Policy{"placement", func(at Location, _ clock.Rand) *HostPolicy {
-		d := &HostPolicy{
+		hp := &HostPolicy{
 			Admitter: admission.AlwaysAdmit{},
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 				return pick.NewLocalityPicker(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
@@ -66,19 +66,19 @@
 				s.RecordOutcome(now, o, took)
 			},
 		}
-		d.useRetryBudgets()
-		return d
+		hp.useRetryBudgets()
+		return hp
 	}}
 }
 
 // Current is the policy of a real entry host.
 func Current() Policy {
 	return Policy{"current", func(at Location, r clock.Rand) *HostPolicy {
-		d := Placement().New(at, r)
+		hp := Placement().New(at, r)
 		c := admission.NewController(admission.DefaultOptions(), r)
-		d.Admitter = c
-		d.Tick = func(now time.Time, pools map[string]pick.Picker) { c.Tick(now, poolLoads(now, pools)) }
-		return d
+		hp.Admitter = c
+		hp.Tick = func(now time.Time, pools map[string]pick.Picker) { c.Tick(now, poolLoads(now, pools)) }
+		return hp
 	}}
 }
 
@@ -93,7 +93,7 @@
 }
 
 // useRetryBudgets gives the host a retry budget for each pool.
-func (d *HostPolicy) useRetryBudgets() {
+func (hp *HostPolicy) useRetryBudgets() {
 	budgets := map[string]*limit.RetryBudget{}
 	budgetOf := func(pool string) *limit.RetryBudget {
 		if budgets[pool] == nil {
@@ -101,8 +101,8 @@
 		}
 		return budgets[pool]
 	}
-	d.RecordFirstAttempt = func(pool string) { budgetOf(pool).RecordFirstAttempt() }
-	d.AllowRetry = func(pool string) bool { return budgetOf(pool).Allow() }
+	hp.RecordFirstAttempt = func(pool string) { budgetOf(pool).RecordFirstAttempt() }
+	hp.AllowRetry = func(pool string) bool { return budgetOf(pool).Allow() }
 }
 
 // Policies returns every policy, the baseline first.
--- a/internal/replay/run.go
+++ b/internal/replay/simulation.go
@@ -54,10 +54,10 @@
 }
 
 const (
-	reportDelay       = 300 * time.Millisecond // from taking a load report to its receipt
-	tickInterval      = 100 * time.Millisecond // of the decision code
-	clientRetryRatio  = 10                     // one of this many refused clients retries after the delay of the refusal
-	clientRetryJitter = .1                     // upper bound of the random fraction that it adds to the delay
+	reportDelay            = 300 * time.Millisecond // from taking a load report to its receipt
+	tickInterval           = 100 * time.Millisecond // of the decision code
+	refusalsPerClientRetry = 10                     // one client retries, after the delay of the refusal
+	clientRetryJitter      = .1                     // upper bound of the random fraction that it adds to the delay
 )
 
 // epoch is the wall time at the start of a replay.
@@ -131,7 +131,7 @@
 func (sim *simulation) dispatch(o *outcome) {
 	h := sim.randomHost(o.record.Region)
 	h.handleRequest(o.record, o)
-	if !o.refused || o.retryAfter <= 0 || sim.rand.IntN(clientRetryRatio) > 0 {
+	if !o.refused || o.retryAfter <= 0 || sim.rand.IntN(refusalsPerClientRetry) > 0 {
 		return
 	}
 	delaySeconds := math.Ceil(o.retryAfter.Seconds()) // the Retry-After header has whole seconds
@@ -144,6 +144,7 @@
 	sim.scheduleAfter(wait, func() { sim.randomHost(o.record.Region).handleRequest(retry.record, retry) })
 }
 
+// randomHost returns a random host of a region.
 func (sim *simulation) randomHost(region string) *fakeHost {
 	i := slices.Index(sim.deployment.Regions, region)
 	return sim.hosts[i*sim.hostsPerRegion()+sim.rand.IntN(sim.hostsPerRegion())]
