--- a/internal/faultrun/at_most_once_test.go
+++ b/internal/faultrun/at_most_once_test.go
@@ -12,144 +12,146 @@
 	"bilberrydale/request/entry"
 )
 
-func transfer(token string) *Operation { return &Operation{Token: token, Name: "transfer"} }
+func transferOperation(token string) *Operation { return &Operation{Token: token, Route: "transfer"} }
 
-// hold makes the last stage on every server wait until release is called for
-// that server, or for all of them (-1).
-func (w *world) hold() (release func(server int)) {
-	once := make([]sync.Once, len(w.servers))
-	for _, s := range w.servers {
+// blockLastStage makes the last stage on every server wait until release is
+// called with the index of that server, or with -1 for all servers.
+func (env *environment) blockLastStage() (release func(server int)) {
+	once := make([]sync.Once, len(env.servers))
+	for _, s := range env.servers {
 		gate := make(chan struct{})
 		s.gate.Store(&gate)
 	}
-	free := func(i int) { once[i].Do(func() { close(*w.servers[i].gate.Load()) }) }
+	releaseServer := func(i int) { once[i].Do(func() { close(*env.servers[i].gate.Load()) }) }
 	release = func(i int) {
 		if i >= 0 {
-			free(i)
+			releaseServer(i)
 			return
 		}
-		for i := range w.servers {
-			free(i)
+		for i := range env.servers {
+			releaseServer(i)
 		}
 	}
-	w.t.Cleanup(func() { release(-1) })
+	env.t.Cleanup(func() { release(-1) })
 	return release
 }
 
-// booking waits until token's booking has begun.
-func (w *world) booking(g *WithT, token string) {
-	g.Eventually(func() int { return w.ledger.Executions(token) }, patience).Should(Equal(1))
+// awaitBooking waits until a backend server has started the booking of token.
+func (env *environment) awaitBooking(g *WithT, token string) {
+	g.Eventually(func() int { return env.recorder.Executions(token) }, hangTimeout).Should(Equal(1))
 }
 
-// A booking runs on a backend server when its entry host is killed. The caller
-// sees its connection end and sends the same key to another host. Memory alone
-// knows nothing there and books twice; the claim on the platform says that it
-// may have run.
+// Guards against a double booking after the entry host is killed while the
+// booking runs. The caller sends the same key to another host. With claims in
+// memory only, that host books again; the claim stored on the platform tells
+// it that the booking may have run.
 func TestKilledHostsBookingIsNotRepeated(t *testing.T) {
-	for _, naive := range []bool{true, false} {
+	for _, baseline := range []bool{true, false} {
 		g := NewWithT(t)
-		w := newWorld(t, 2, 1)
-		w.rebuild(naive)
-		release := w.hold()
-		op, done := transfer("a"), make(chan Answer, 1)
-		go func() { done <- w.send(0, op, "key") }()
-		w.booking(g, "a")
-		w.kill(0)
-		g.Eventually(done, patience).Should(Receive(HaveField("Whole", false)))
+		env := newEnvironment(t, 2, 1)
+		env.restartHosts(baseline)
+		release := env.blockLastStage()
+		op, done := transferOperation("a"), make(chan Response, 1)
+		go func() { done <- env.send(0, op, "key") }()
+		env.awaitBooking(g, "a")
+		env.killHost(0)
+		g.Eventually(done, hangTimeout).Should(Receive(HaveField("Whole", false)))
 		release(-1)
-		again := w.send(1, op, "key")
-		if naive {
-			g.Expect(w.ledger.Executions("a")).To(Equal(2), "the naive variant")
+		resent := env.send(1, op, "key")
+		if baseline {
+			g.Expect(env.recorder.Executions("a")).To(Equal(2), "the baseline")
 			continue
 		}
-		g.Expect(again.Kind).To(Equal("outcome_unknown"))
-		g.Expect(again.Ran).To(Equal(RanUnknown))
-		g.Expect(w.ledger.Executions("a")).To(Equal(1))
+		g.Expect(resent.Kind).To(Equal("outcome_unknown"))
+		g.Expect(resent.Ran).To(Equal(RanUnknown))
+		g.Expect(env.recorder.Executions("a")).To(Equal(1))
 	}
 }
 
-// The caller gives up while its booking runs. Cancelling the exchange would
-// lose an outcome that is about to arrive; it goes on without the caller, and
-// the resend, here to another host, gets the answer.
-func TestResendAfterTheCallerLeftGetsTheAnswer(t *testing.T) {
+// Guards against losing the outcome of a booking whose caller disconnects.
+// Cancelling the call would discard a response that is about to arrive. The
+// call continues, and a resend, here to another host, gets the response.
+func TestResendAfterCallerDisconnectGetsResponse(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, 2, 1)
-	release := w.hold()
-	op := transfer("a")
-	ctx, leave := context.WithCancel(context.Background())
-	body, _ := json.Marshal(work{Token: "a"})
-	gone := make(chan error, 1)
+	env := newEnvironment(t, 2, 1)
+	release := env.blockLastStage()
+	op := transferOperation("a")
+	ctx, disconnect := context.WithCancel(context.Background())
+	body, _ := json.Marshal(operationBody{Token: "a"})
+	disconnected := make(chan error, 1)
 	go func() {
-		_, _, err := w.post(ctx, 0, "/transfer", "key", body, false)
-		gone <- err
+		_, _, err := env.post(ctx, 0, "/transfer", "key", body, false)
+		disconnected <- err
 	}()
-	w.booking(g, "a")
-	leave()
-	g.Eventually(gone, patience).Should(Receive(HaveOccurred()))
+	env.awaitBooking(g, "a")
+	disconnect()
+	g.Eventually(disconnected, hangTimeout).Should(Receive(HaveOccurred()))
 	release(-1)
-	g.Eventually(func() bool { return w.send(1, op, "key").Whole }, patience).Should(BeTrue())
-	g.Expect(w.ledger.Executions("a")).To(Equal(1))
+	g.Eventually(func() bool { return env.send(1, op, "key").Whole }, hangTimeout).Should(BeTrue())
+	g.Expect(env.recorder.Executions("a")).To(Equal(1))
 }
 
-// The connection under a booking goes silent while the server lives. No answer
-// can come on it. The caller is told at once that the outcome is unknown, not
-// at its deadline, and the booking is not sent again.
-func TestSilentConnectionUnderABookingIsUnknownAtOnce(t *testing.T) {
+// The connection of a running booking becomes unresponsive while the server is
+// healthy, so no response can arrive on it. The caller has to get
+// "outcome_unknown" at once and not at its deadline, and the booking must not
+// be sent again.
+func TestUnresponsiveConnectionDuringBookingIsUnknownAtOnce(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, 1, 1)
-	for range 20 { // measures the pool, and leaves a connection for reuse
-		g.Expect(w.send(0, &Operation{Token: "warm", Name: "draft", Repeatable: true}, "").Whole).To(BeTrue())
+	env := newEnvironment(t, 1, 1)
+	for range 20 { // fills the latency statistics of the pool and leaves a connection for reuse
+		g.Expect(env.send(0, &Operation{Token: "warm", Route: "draft", Repeatable: true}, "").Whole).To(BeTrue())
 	}
-	release := w.hold()
-	done := make(chan Answer, 1)
+	release := env.blockLastStage()
+	done := make(chan Response, 1)
 	start := time.Now()
-	go func() { done <- w.send(0, transfer("a"), "key") }()
-	w.booking(g, "a")
-	w.servers[0].relay.Blackhole(false)
+	go func() { done <- env.send(0, transferOperation("a"), "key") }()
+	env.awaitBooking(g, "a")
+	env.servers[0].relay.Blackhole(false)
 	release(-1)
-	var a Answer
-	g.Eventually(done, patience).Should(Receive(&a))
-	g.Expect(a.Kind).To(Equal("outcome_unknown"))
-	t.Logf("told after %s, deadline %s", time.Since(start), w.limit)
-	g.Expect(w.ledger.Executions("a")).To(Equal(1))
+	var resp Response
+	g.Eventually(done, hangTimeout).Should(Receive(&resp))
+	g.Expect(resp.Kind).To(Equal("outcome_unknown"))
+	t.Logf("response after %s, deadline %s", time.Since(start), env.deadline)
+	g.Expect(env.recorder.Executions("a")).To(Equal(1))
 }
 
-// Without a key nothing tells a resend from a new request, so the host must
-// not send again by itself: the connection breaks under the booking, and one
-// execution is all there is.
-func TestBrokenConnectionUnderABookingIsNotRetried(t *testing.T) {
+// The connection breaks during a booking without an idempotency key. A backend
+// server cannot distinguish a retry from a new request, so the host must not
+// retry: the booking is executed once.
+func TestBrokenConnectionDuringBookingIsNotRetried(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, 1, 3)
-	w.hold()
-	done := make(chan Answer, 1)
-	go func() { done <- w.send(0, transfer("a"), "") }()
-	g.Eventually(func() int { return w.ledger.Executions("a#0") }, patience).Should(Equal(1))
-	for _, s := range w.servers {
+	env := newEnvironment(t, 1, 3)
+	env.blockLastStage()
+	done := make(chan Response, 1)
+	go func() { done <- env.send(0, transferOperation("a"), "") }()
+	g.Eventually(func() int { return env.recorder.Executions("a#0") }, hangTimeout).Should(Equal(1))
+	for _, s := range env.servers {
 		s.relay.ResetConnections()
 	}
-	g.Eventually(done, patience).Should(Receive(HaveField("Kind", "outcome_unknown")))
-	g.Expect(w.ledger.Executions("a#0")).To(Equal(1))
+	g.Eventually(done, hangTimeout).Should(Receive(HaveField("Kind", "outcome_unknown")))
+	g.Expect(env.recorder.Executions("a#0")).To(Equal(1))
 }
 
-// The platform is down. A key of the caller's own may have run elsewhere, so it
-// is refused at once and without a claim about that; a ticket needs no platform
-// and is booked, once, whichever host gets it.
+// The platform is down. A key chosen by the caller may have run on another host,
+// so it is refused at once with "ran: unknown". A ticket does not need the
+// platform: it is booked exactly once, whichever host receives it, and refused
+// with another body.
 func TestPlatformOutage(t *testing.T) {
 	g := NewWithT(t)
-	w := newWorld(t, 2, 1)
-	down := w.objects.Faults()
+	env := newEnvironment(t, 2, 1)
+	down := env.objects.Faults()
 	down.Down = true
-	w.objects.SetFaults(down)
-	a := w.send(0, transfer("a"), "key")
-	g.Expect(a.Kind).To(Equal("claim_unavailable"))
-	g.Expect(a.Ran).To(Equal(RanUnknown))
-	g.Expect(w.ledger.Received("a")).To(BeFalse())
-	ticket := w.ticket(0)
+	env.objects.SetFaults(down)
+	refused := env.send(0, transferOperation("a"), "key")
+	g.Expect(refused.Kind).To(Equal("claim_unavailable"))
+	g.Expect(refused.Ran).To(Equal(RanUnknown))
+	g.Expect(env.recorder.Received("a")).To(BeFalse())
+	ticket := env.mintTicket(0)
 	for i := range 4 {
-		g.Expect(w.send(i, transfer("b"), ticket).Whole).To(BeTrue())
+		g.Expect(env.send(i, transferOperation("b"), ticket).Whole).To(BeTrue())
 	}
-	g.Expect(w.ledger.Executions("b")).To(Equal(1))
-	resp, data, err := w.post(t.Context(), 1, "/transfer", ticket, []byte(`{"token":"c"}`), false)
+	g.Expect(env.recorder.Executions("b")).To(Equal(1))
+	resp, data, err := env.post(t.Context(), 1, "/transfer", ticket, []byte(`{"token":"c"}`), false)
 	g.Expect(err).NotTo(HaveOccurred())
 	var p entry.Problem
 	g.Expect(json.Unmarshal(data, &p)).To(Succeed())
--- a/internal/faultrun/backend_test.go
+++ b/internal/faultrun/backend_test.go
@@ -17,49 +17,50 @@
 	"bilberrydale/internal/relay"
 )
 
-// backendServer is a backend server behind a relay. It executes whole and streamed
-// stages and notes each execution in the ledger.
+// backendServer is a backend server behind a relay. It executes stages with
+// whole and with streamed responses and records each execution.
 type backendServer struct {
-	name        string
-	ledger      *Ledger
-	relay       *relay.Proxy
-	refuse      atomic.Bool
-	fail        atomic.Bool
-	cross       atomic.Bool
-	cut         atomic.Bool
-	poison      atomic.Value // string: a body that contains it kills the server
-	deaths      atomic.Int64
-	gate        atomic.Pointer[chan struct{}] // holds the last stage
-	held        atomic.Int64                  // executions that the gate has held
-	cutStream   atomic.Bool
-	change      atomic.Bool // a resumed stream has another text
-	dieInStream atomic.Bool
-	mu          sync.Mutex
-	before      map[string]string // the last answer of another request, for crossing
+	name               string
+	recorder           *Recorder
+	relay              *relay.Proxy
+	refuseRequests     atomic.Bool
+	failRequests       atomic.Bool
+	swapResponses      atomic.Bool
+	truncateResponses  atomic.Bool
+	poison             atomic.Value // string: a body that contains it crashes the server
+	crashes            atomic.Int64
+	gate               atomic.Pointer[chan struct{}] // blocks the last stage until closed
+	blocked            atomic.Int64                  // executions that the gate has blocked
+	interruptStream    atomic.Bool
+	alterResumedStream atomic.Bool // a resumed stream continues with another text
+	crashInStream      atomic.Bool
+	mu                 sync.Mutex
+	previous           map[string]string // by path: the response to the preceding request, to swap with the next one
 }
 
-// die ends the server's connections and refuses new ones, as a crash does.
-func (s *backendServer) die() {
+// crash closes the server's connections and refuses new ones, like the crash of
+// a process.
+func (s *backendServer) crash() {
 	s.relay.RefuseConnections(true)
 	s.relay.ResetConnections()
 }
 
-// work is the body of every operation.
-type work struct {
+// operationBody is the request body of every operation.
+type operationBody struct {
 	Token string `json:"token"`
 }
 
 const serviceTime = 2 * time.Millisecond
 
-func newServer(t testing.TB, name string, ledger *Ledger) *backendServer {
-	s := &backendServer{name: name, ledger: ledger, before: map[string]string{}}
+func newBackendServer(t testing.TB, name string, recorder *Recorder) *backendServer {
+	s := &backendServer{name: name, recorder: recorder, previous: map[string]string{}}
 	s.poison.Store("")
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) })
-	mux.HandleFunc("POST /whole", s.whole)
-	mux.HandleFunc("POST /book", s.whole)
-	mux.HandleFunc("POST /last", s.whole)
-	mux.HandleFunc("POST /stream", s.stream)
+	mux.HandleFunc("POST /whole", s.serveWhole)
+	mux.HandleFunc("POST /book", s.serveWhole)
+	mux.HandleFunc("POST /last", s.serveWhole)
+	mux.HandleFunc("POST /stream", s.serveStream)
 	h := httptest.NewServer(mux)
 	t.Cleanup(h.Close)
 	r, err := relay.New(h.Listener.Addr().String())
@@ -71,91 +72,92 @@
 	return s
 }
 
-// begin reads the request and starts its execution.
-func (s *backendServer) begin(w http.ResponseWriter, r *http.Request) (token string, ok bool) {
+// beginExecution reads the request, records it and applies the faults that hold
+// for it; ok is false if no response has to be written.
+func (s *backendServer) beginExecution(w http.ResponseWriter, r *http.Request) (token string, ok bool) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return "", false
 	}
-	var in work
+	var in operationBody
 	_ = json.Unmarshal(body, &in)
 	for _, h := range []string{backend.HeaderRequestID, backend.HeaderStage, backend.HeaderAttempt} {
 		w.Header().Set(h, r.Header.Get(h))
 	}
-	if s.refuse.Load() {
+	if s.refuseRequests.Load() {
 		w.Header().Set(backend.HeaderNotStarted, "true")
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return "", false
 	}
-	s.ledger.Receive(in.Token)
+	s.recorder.RecordReceived(in.Token)
 	if r.URL.Path != "/whole" {
-		s.ledger.Execute(in.Token)
+		s.recorder.RecordExecution(in.Token)
 	}
 	if p := s.poison.Load().(string); p != "" && strings.Contains(string(body), p) {
-		s.deaths.Add(1)
-		s.die()
+		s.crashes.Add(1)
+		s.crash()
 		panic(http.ErrAbortHandler)
 	}
 	if gate := s.gate.Load(); gate != nil && r.URL.Path != "/whole" {
-		s.held.Add(1)
+		s.blocked.Add(1)
 		<-*gate
 	}
 	<-time.After(serviceTime)
-	if s.fail.Load() {
+	if s.failRequests.Load() {
 		http.Error(w, "failed", http.StatusInternalServerError)
 		return "", false
 	}
 	return in.Token, true
 }
 
-func (s *backendServer) whole(w http.ResponseWriter, r *http.Request) {
-	token, ok := s.begin(w, r)
+func (s *backendServer) serveWhole(w http.ResponseWriter, r *http.Request) {
+	token, ok := s.beginExecution(w, r)
 	if !ok {
 		return
 	}
-	answer := whole(token)
+	response := expectedBody(token)
 	if r.URL.Path == "/whole" {
-		// Not the last stage: its output is the next one's input.
-		data, _ := json.Marshal(work{Token: token})
-		answer = string(data)
+		// The output of this stage is the input of the last one.
+		data, _ := json.Marshal(operationBody{Token: token})
+		response = string(data)
 	}
-	if s.cross.Load() {
+	if s.swapResponses.Load() {
 		s.mu.Lock()
-		other := s.before[r.URL.Path]
-		s.before[r.URL.Path] = r.Header.Get(backend.HeaderRequestID) + "|" + answer
+		other := s.previous[r.URL.Path]
+		s.previous[r.URL.Path] = r.Header.Get(backend.HeaderRequestID) + "|" + response
 		s.mu.Unlock()
 		if id, text, ok := strings.Cut(other, "|"); ok {
 			w.Header().Set(backend.HeaderRequestID, id)
-			answer = text
+			response = text
 		}
 	}
-	w.Header().Set("Content-Length", strconv.Itoa(len(answer)))
-	if s.cut.Load() {
-		_, _ = io.WriteString(w, answer[:len(answer)/2])
+	w.Header().Set("Content-Length", strconv.Itoa(len(response)))
+	if s.truncateResponses.Load() {
+		_, _ = io.WriteString(w, response[:len(response)/2])
 		panic(http.ErrAbortHandler)
 	}
-	_, _ = io.WriteString(w, answer)
+	_, _ = io.WriteString(w, response)
 }
 
 const chunkBytes = 10
 
-func (s *backendServer) stream(w http.ResponseWriter, r *http.Request) {
-	token, ok := s.begin(w, r)
+func (s *backendServer) serveStream(w http.ResponseWriter, r *http.Request) {
+	token, ok := s.beginExecution(w, r)
 	if !ok {
 		return
 	}
-	text := whole(token)
+	text := expectedBody(token)
 	from, _ := strconv.Atoi(r.Header.Get(backend.HeaderResume))
-	if from > 0 && s.change.Load() {
+	if from > 0 && s.alterResumedStream.Load() {
 		text = strings.ReplaceAll(text, token, strings.ToUpper(token))
 	}
 	enc := json.NewEncoder(w)
 	for off := from; off < len(text); off += chunkBytes {
-		if s.dieInStream.Load() && off > len(text)/2 {
+		if s.crashInStream.Load() && off > len(text)/2 {
 			s.relay.RefuseConnections(true)
 			panic(http.ErrAbortHandler)
 		}
-		if (s.cut.Load() || s.cutStream.Load()) && off > len(text)/2 && from == 0 {
+		if (s.truncateResponses.Load() || s.interruptStream.Load()) && off > len(text)/2 && from == 0 {
 			panic(http.ErrAbortHandler)
 		}
 		_ = enc.Encode(backend.Chunk{Offset: int64(off), Data: text[off:min(off+chunkBytes, len(text))]})
@@ -164,7 +166,7 @@
 	_ = enc.Encode(backend.Chunk{Offset: int64(len(text)), Final: true})
 }
 
-// whole is the one right answer to token.
-func whole(token string) string {
+// expectedBody returns the only correct response body for token.
+func expectedBody(token string) string {
 	return fmt.Sprintf(`{"token":%q,"text":%q}`, token, strings.Repeat(token+" ", 20))
 }
--- a/internal/faultrun/faults_test.go
+++ b/internal/faultrun/faults_test.go
@@ -15,202 +15,205 @@
 )
 
 var (
-	seedFlag      = flag.Uint64("faults.seed", 1, "seed of the fault run")
-	runsFlag      = flag.Int("faults.runs", 1, "runs, each with the next seed")
-	nFlag         = flag.Int("faults.n", 300, "operations of a run")
-	processesFlag = flag.Int("faults.processes", 24, "operations of the run over real processes")
-	outFlag       = flag.String("faults.out", "", "file for the reports as JSON")
+	seedFlag       = flag.Uint64("faults.seed", 1, "seed of the first fault run")
+	runsFlag       = flag.Int("faults.runs", 1, "number of runs, each with the next seed")
+	operationsFlag = flag.Int("faults.n", 300, "operations of a run")
+	processesFlag  = flag.Int("faults.processes", 24, "operations of the run with real processes")
+	outFlag        = flag.String("faults.out", "", "file for the reports as JSON")
 )
 
 const (
-	worldHosts    = 4
-	worldServers  = 4
-	callersAtOnce = 16
-	maxSends      = 4
+	hostCount         = 4
+	serverCount       = 4
+	concurrentCallers = 16
+	maxSends          = 4
 )
 
-// Callers send transfers, drafts and chats, resend what has no final answer to
-// other hosts, and some twice at once. Meanwhile hosts and servers die, freeze
-// and lose each other and the platform, up to two failures at a time. Each
-// caller has to get its own whole answer or a truthful refusal.
+// Callers send transfers, drafts and chats. They resend operations without a
+// final response to other hosts, and send some to two hosts at once. Meanwhile
+// hosts and servers are killed, frozen and disconnected from each other and from
+// the platform, with at most two faults at a time. Each caller has to get the
+// complete response to its own operation or a correct error.
 func TestFaultRun(t *testing.T) {
 	var reports []Report
 	for i := range *runsFlag {
-		r := faultRun(t, *seedFlag+uint64(i), *nFlag, false)
+		r := faultRun(t, *seedFlag+uint64(i), *operationsFlag, false)
 		r.Print(os.Stdout)
 		reports = append(reports, r)
-		if r.Broken.Sum() > 0 {
-			t.Errorf("seed %d: broken promises: %+v", r.Seed, r.Broken)
+		if r.Violations.Total() > 0 {
+			t.Errorf("seed %d: violated guarantees: %+v", r.Seed, r.Violations)
 		}
-		NewWithT(t).Expect(r.Completed).To(BeNumerically(">", r.Operations/4), "the run proves little")
+		NewWithT(t).Expect(r.Completed).To(BeNumerically(">", r.Operations/4), "too few operations completed for the run to be meaningful")
 	}
 	if *outFlag != "" {
-		NewWithT(t).Expect(Write(*outFlag, reports)).To(Succeed())
+		NewWithT(t).Expect(WriteReports(*outFlag, reports)).To(Succeed())
 	}
 }
 
-// Seeds that found a broken promise once: 5, a quarantined resend was told "not
-// run"; 12, one of two sends at once. 1, the default seed, found the third: a
-// key given back after its check stage had run.
-func TestSeedsThatFailedOnce(t *testing.T) {
+// Seeds that failed once. Seed 5: the resend of a quarantined request got "not
+// run" although the request had run. Seed 12: the same happened to one of two
+// concurrent sends. Seed 1, the default of TestFaultRun: a key was released
+// after its check stage had run.
+func TestPreviouslyFailingSeeds(t *testing.T) {
 	for _, seed := range []uint64{5, 12} {
 		r := faultRun(t, seed, 150, false)
-		NewWithT(t).Expect(r.Broken).To(BeZero(), "seed %d: %v", seed, r.Examples)
+		NewWithT(t).Expect(r.Violations).To(BeZero(), "seed %d: %v", seed, r.Examples)
 	}
 }
 
-// The same run with claims in memory and without quarantine has to be caught:
-// otherwise the run above proves nothing.
-func TestFaultRunCatchesTheNaiveVariant(t *testing.T) {
+// With claims in memory and without quarantine, a fault run has to detect
+// duplicate executions. Otherwise a pass of TestFaultRun would prove nothing.
+func TestFaultRunDetectsViolationsOfBaseline(t *testing.T) {
 	r := faultRun(t, 1, 200, true)
-	NewWithT(t).Expect(r.Broken.Doubled).To(BeNumerically(">", 0))
+	NewWithT(t).Expect(r.Violations.Duplicated).To(BeNumerically(">", 0))
 }
 
-func faultRun(t *testing.T, seed uint64, n int, naive bool) Report {
-	w := newWorld(t, worldHosts, worldServers)
-	// The random picker keeps sending to servers that fail.
-	w.random, w.limit = seed%2 == 1, deadline
-	w.rebuild(naive)
-	c := &conductor{world: w, steps: Plan(seed, n, worldHosts, worldServers), counts: map[string]int{}}
+func faultRun(t *testing.T, seed uint64, n int, baseline bool) Report {
+	env := newEnvironment(t, hostCount, serverCount)
+	// The random picker continues to send to failing servers.
+	env.randomPicker, env.deadline = seed%2 == 1, shortDeadline
+	env.restartHosts(baseline)
+	inj := &faultInjector{environment: env, steps: Plan(seed, n, hostCount, serverCount), counts: map[string]int{}}
 	var wg sync.WaitGroup
-	next := make(chan int)
-	for range callersAtOnce {
+	indexes := make(chan int)
+	for range concurrentCallers {
 		wg.Go(func() {
-			for i := range next {
-				w.operate(rand.New(rand.NewPCG(seed, uint64(i))), i)
-				c.tick()
+			for i := range indexes {
+				env.runOperation(rand.New(rand.NewPCG(seed, uint64(i))), i)
+				inj.operationDone()
 			}
 		})
 	}
 	for i := range n {
-		next <- i
+		indexes <- i
 	}
-	close(next)
+	close(indexes)
 	wg.Wait()
-	c.heal()
-	// Attempts whose callers were answered still run for a while.
-	<-time.After(runOptions().LateResultTimeout)
-	return w.ledger.Judge(seed, c.counts)
+	inj.endAll()
+	// Attempts whose callers already got a response may still be running.
+	<-time.After(runnerOptions().LateResultTimeout)
+	return env.recorder.Check(seed, inj.counts)
 }
 
-// operate does one operation: its sends, one after the other until one is
-// final, or two at once.
-func (w *world) operate(r *rand.Rand, i int) {
-	op := Operation{Token: fmt.Sprint("op", i), Name: "draft", Repeatable: true}
+// runOperation sends one operation until it gets a complete response or maxSends
+// is reached. Some operations with a key are first sent to two hosts at once.
+func (env *environment) runOperation(r *rand.Rand, i int) {
+	op := Operation{Token: fmt.Sprint("op", i), Route: "draft", Repeatable: true}
 	key := ""
 	kind := r.IntN(6)
 	switch kind {
 	case 0:
 	case 1:
-		op.Name = "chat"
+		op.Route = "chat"
 	default:
-		op.Name, op.Repeatable = "transfer", false
+		op.Route, op.Repeatable = "transfer", false
 	}
-	from := r.IntN(worldHosts)
+	from := r.IntN(hostCount)
 	switch kind {
 	case 2, 3:
 		key = "key-" + op.Token
 	case 4:
-		key = w.ticket(from)
+		key = env.mintTicket(from)
 	}
 	sends := 1
 	if key != "" || op.Repeatable {
 		sends = maxSends
 	}
 	if key != "" && r.IntN(4) == 0 {
-		op.Sends = w.twice(r, &op, key)
+		op.Responses = env.sendTwice(r, &op, key)
 	}
-	for len(op.Sends) < sends {
-		a := w.send(from, &op, key)
-		op.Sends = append(op.Sends, a)
-		if a.Whole {
+	for len(op.Responses) < sends {
+		resp := env.send(from, &op, key)
+		op.Responses = append(op.Responses, resp)
+		if resp.Whole {
 			break
 		}
-		from = r.IntN(worldHosts)
+		from = r.IntN(hostCount)
 	}
-	w.ledger.Close(op)
+	env.recorder.RecordOperation(op)
 }
 
-// twice sends op to two hosts at once.
-func (w *world) twice(r *rand.Rand, op *Operation, key string) []Answer {
-	answers := make([]Answer, 2)
+// sendTwice sends op to two hosts at once.
+func (env *environment) sendTwice(r *rand.Rand, op *Operation, key string) []Response {
+	responses := make([]Response, 2)
 	var wg sync.WaitGroup
-	a, b := r.IntN(worldHosts), r.IntN(worldHosts)
+	a, b := r.IntN(hostCount), r.IntN(hostCount)
 	for i, h := range []int{a, b} {
-		wg.Go(func() { answers[i] = w.send(h, op, key) })
+		wg.Go(func() { responses[i] = env.send(h, op, key) })
 	}
 	wg.Wait()
-	for i := range answers {
-		// One of the two may truly not have run before the other did.
-		answers[i].Belied = false
+	for i := range responses {
+		// "Not run" can be correct for one of the two although the other was
+		// received.
+		responses[i].Belied = false
 	}
-	return answers
+	return responses
 }
 
-// conductor begins and undoes the plan's failures as operations end.
-type conductor struct {
-	*world
-	mu     sync.Mutex
-	done   int
-	steps  []Step
-	counts map[string]int
+// faultInjector starts and ends the faults of the plan as operations end.
+type faultInjector struct {
+	*environment
+	mu        sync.Mutex
+	completed int
+	steps     []Step
+	counts    map[string]int
 }
 
-func (c *conductor) tick() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.done++
-	for _, s := range c.steps {
-		if s.From == c.done {
-			c.counts[string(s.Fault)]++
-			c.turn(s, true)
+func (inj *faultInjector) operationDone() {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	inj.completed++
+	for _, s := range inj.steps {
+		if s.StartAfter == inj.completed {
+			inj.counts[string(s.Fault)]++
+			inj.setFault(s, true)
 		}
-		if s.To == c.done {
-			c.turn(s, false)
+		if s.EndAfter == inj.completed {
+			inj.setFault(s, false)
 		}
 	}
 }
 
-func (c *conductor) heal() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for _, s := range c.steps {
-		if s.From <= c.done && s.To > c.done {
-			c.turn(s, false)
+func (inj *faultInjector) endAll() {
+	inj.mu.Lock()
+	defer inj.mu.Unlock()
+	for _, s := range inj.steps {
+		if s.StartAfter <= inj.completed && s.EndAfter > inj.completed {
+			inj.setFault(s, false)
 		}
 	}
 }
 
-// turn switches a failure on or off.
-func (c *conductor) turn(s Step, on bool) {
-	a, b := fmt.Sprint("h", s.A), fmt.Sprint("h", s.B)
-	srv := c.servers[s.A%len(c.servers)]
+// setFault starts or ends the fault of a step.
+func (inj *faultInjector) setFault(s Step, on bool) {
+	a, b := fmt.Sprint("h", s.Target), fmt.Sprint("h", s.Peer)
+	srv := inj.servers[s.Target%len(inj.servers)]
 	platform := func(f standin.Faults) {
 		if !on {
 			f = standin.Faults{}
 		}
-		c.objects.SetFaults(f)
+		inj.objects.SetFaults(f)
 	}
 	switch s.Fault {
 	case KillHost:
 		if on {
-			c.kill(s.A)
+			inj.killHost(s.Target)
 		} else {
-			c.start(s.A)
+			inj.startHost(s.Target)
 		}
-	case CutHosts:
-		c.link(on, func() { c.net.Partition(a, b) }, a, b)
-	case LosePeer:
-		c.link(on, func() { c.net.LoseResponses(a, b) }, a, b)
+	case PartitionHosts:
+		inj.setLinkFault(on, func() { inj.network.Partition(a, b) }, a, b)
+	case LosePeerResponses:
+		inj.setLinkFault(on, func() { inj.network.LoseResponses(a, b) }, a, b)
 	case PlatformDown:
 		platform(standin.Faults{Down: true})
-	case PlatformLosing:
+	case PlatformLosesResponses:
 		platform(standin.Faults{LoseWriteResponses: 10})
 	case PlatformSlow:
 		platform(standin.Faults{Delay: 30 * time.Millisecond})
 	case KillServer:
 		if on {
-			srv.die()
+			srv.crash()
 		} else {
 			srv.relay.RefuseConnections(false)
 		}
@@ -222,29 +225,29 @@
 		}
 	case ResetConns:
 		srv.relay.ResetConnections()
-	case SilentConns:
+	case SilenceConns:
 		if on {
 			srv.relay.Blackhole(false)
 		}
-	case LoseAnswers:
+	case LoseResponses:
 		if on {
 			srv.relay.Blackhole(true)
 		}
-	case RefuseWork:
-		srv.refuse.Store(on)
-	case FailWork:
-		srv.fail.Store(on)
-	case CrossAnswers:
-		srv.cross.Store(on)
-	case CutAnswers:
-		srv.cut.Store(on)
+	case RefuseRequests:
+		srv.refuseRequests.Store(on)
+	case FailRequests:
+		srv.failRequests.Store(on)
+	case SwapResponses:
+		srv.swapResponses.Store(on)
+	case TruncateResponses:
+		srv.truncateResponses.Store(on)
 	}
 }
 
-func (c *conductor) link(on bool, fault func(), a, b string) {
+func (inj *faultInjector) setLinkFault(on bool, fault func(), a, b string) {
 	if on {
 		fault()
 	} else {
-		c.net.Heal(a, b)
+		inj.network.Heal(a, b)
 	}
 }
--- a/internal/faultrun/plan.go
+++ b/internal/faultrun/plan.go
@@ -2,58 +2,59 @@
 
 import "math/rand/v2"
 
-// Fault names one kind of failure of a run.
+// Fault names a kind of injected fault. The names appear in Report.Faults.
 type Fault string
 
-// The failures that a run mixes.
+// The faults that a run injects.
 const (
-	KillHost       Fault = "kill entry host"
-	CutHosts       Fault = "cut entry hosts apart"
-	LosePeer       Fault = "lose peer answers"
-	PlatformDown   Fault = "platform down"
-	PlatformLosing Fault = "platform loses answers"
-	PlatformSlow   Fault = "platform slow"
-	KillServer     Fault = "kill backend server"
-	FreezeServer   Fault = "freeze backend server"
-	ResetConns     Fault = "reset connections"
-	SilentConns    Fault = "silent connections"
-	LoseAnswers    Fault = "answers of connections lost"
-	RefuseWork     Fault = "refuse as not started"
-	FailWork       Fault = "answer with 500"
-	CrossAnswers   Fault = "crossed answers"
-	CutAnswers     Fault = "cut answers"
+	KillHost               Fault = "kill entry host"
+	PartitionHosts         Fault = "cut entry hosts apart"
+	LosePeerResponses      Fault = "lose peer answers"
+	PlatformDown           Fault = "platform down"
+	PlatformLosesResponses Fault = "platform loses answers"
+	PlatformSlow           Fault = "platform slow"
+	KillServer             Fault = "kill backend server"
+	FreezeServer           Fault = "freeze backend server"
+	ResetConns             Fault = "reset connections"
+	SilenceConns           Fault = "silent connections"
+	LoseResponses          Fault = "answers of connections lost"
+	RefuseRequests         Fault = "refuse as not started"
+	FailRequests           Fault = "answer with 500"
+	SwapResponses          Fault = "crossed answers"
+	TruncateResponses      Fault = "cut answers"
 )
 
-// Faults are all of them.
+// Faults lists all faults.
 var Faults = []Fault{
-	KillHost, CutHosts, LosePeer, PlatformDown, PlatformLosing, PlatformSlow, KillServer, FreezeServer,
-	ResetConns, SilentConns, LoseAnswers, RefuseWork, FailWork, CrossAnswers, CutAnswers,
+	KillHost, PartitionHosts, LosePeerResponses, PlatformDown, PlatformLosesResponses, PlatformSlow, KillServer, FreezeServer,
+	ResetConns, SilenceConns, LoseResponses, RefuseRequests, FailRequests, SwapResponses, TruncateResponses,
 }
 
-// Step is one failure of a plan: it begins when From operations have ended and
-// is undone at To.
+// Step is one fault of a plan. It starts when StartAfter operations have ended
+// and is undone when EndAfter operations have ended.
 type Step struct {
-	Fault    Fault
-	A, B     int // which host or server; B for faults between two
-	From, To int
+	Fault                Fault
+	Target, Peer         int // which host or server; B for faults between two
+	StartAfter, EndAfter int
 }
 
-// Plan draws failures for a run of n operations on the given number of entry
-// hosts and backend servers. Up to two failures hold at a time.
+// Plan draws the faults for a run of n operations with the given numbers of
+// entry hosts and backend servers. The same seed gives the same plan. At most
+// two faults are active at a time.
 func Plan(seed uint64, n, hosts, servers int) []Step {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var steps []Step
-	for lane := range 2 {
-		for at := 10 + 5*lane; at < n; {
+	for track := range 2 {
+		for start := 10 + 5*track; start < n; {
 			length := 5 + r.IntN(25)
 			f := Faults[r.IntN(len(Faults))]
 			limit := servers
 			switch f {
-			case KillHost, CutHosts, LosePeer:
+			case KillHost, PartitionHosts, LosePeerResponses:
 				limit = hosts
 			}
-			steps = append(steps, Step{Fault: f, A: r.IntN(limit), B: r.IntN(limit), From: at, To: at + length})
-			at += length + r.IntN(10)
+			steps = append(steps, Step{Fault: f, Target: r.IntN(limit), Peer: r.IntN(limit), StartAfter: start, EndAfter: start + length})
+			start += length + r.IntN(10)
 		}
 	}
 	return steps
--- a/internal/faultrun/process_faults_test.go
+++ b/internal/faultrun/process_faults_test.go
@@ -20,27 +20,27 @@
 
 const processCallers = 4
 
-// Callers book with keys and tickets through two daemons, resending to either.
-// Meanwhile one daemon after the other is killed and started again or stopped
-// for a while, and so are the ledger and the platform stopped. What the ledger
-// executed is held against what the callers were told.
+// Callers book with keys and tickets through two daemons and resend to either of
+// them. Meanwhile daemons are killed and restarted or paused, and the platform is
+// paused. The executions of the ledger service are compared with the responses
+// that the callers got.
 func TestFaultRunOfProcesses(t *testing.T) {
 	t.Parallel()
-	p := build(t)
-	hosts, ledger, platform := p.deployment()
-	run := &processRun{processes: p, hosts: hosts, ledger: NewLedger()}
-	next := make(chan int)
+	p := buildPrograms(t)
+	hosts, ledgerAddress, platform := p.startDeployment()
+	run := &processRun{processEnvironment: p, hosts: hosts, recorder: NewRecorder()}
+	indexes := make(chan int)
 	var wg sync.WaitGroup
 	for range processCallers {
 		wg.Go(func() {
-			for i := range next {
-				run.operate(rand.New(rand.NewPCG(*seedFlag, uint64(i))), i)
+			for i := range indexes {
+				run.runOperation(rand.New(rand.NewPCG(*seedFlag, uint64(i))), i)
 			}
 		})
 	}
 	r := rand.New(rand.NewPCG(*seedFlag, 0))
 	for i := range *processesFlag {
-		next <- i
+		indexes <- i
 		switch i % 8 {
 		case 1:
 			run.restart(r.IntN(len(hosts)))
@@ -50,18 +50,18 @@
 			run.pause(platform.Process.Pid)
 		}
 	}
-	close(next)
+	close(indexes)
 	wg.Wait()
-	p.g.Eventually(func() bool { return run.counted(ledger) }, 5*time.Second).Should(BeTrue())
-	report := run.ledger.Judge(*seedFlag, nil)
+	p.g.Eventually(func() bool { return run.recordStableCounts(ledgerAddress) }, 5*time.Second).Should(BeTrue())
+	report := run.recorder.Check(*seedFlag, nil)
 	t.Logf("%+v", report)
-	p.g.Expect(report.Broken.Sum()).To(BeZero())
+	p.g.Expect(report.Violations.Total()).To(BeZero())
 	p.g.Expect(report.Completed).To(BeNumerically(">", *processesFlag/4))
 }
 
 type processRun struct {
-	*processes
-	ledger *Ledger
+	*processEnvironment
+	recorder *Recorder
 
 	mu     sync.Mutex
 	hosts  []*daemon
@@ -74,7 +74,7 @@
 	return *r.hosts[i]
 }
 
-// restart kills daemon i and starts a new incarnation.
+// restart kills daemon i with SIGKILL and starts a new incarnation.
 func (r *processRun) restart(i int) {
 	d := r.host(i)
 	_ = d.cmd.Process.Kill()
@@ -85,37 +85,37 @@
 	r.mu.Unlock()
 }
 
-// pauseTime is longer than a booking takes.
-const pauseTime = 500 * time.Millisecond
+// pauseDuration is longer than a booking takes (300 ms).
+const pauseDuration = 500 * time.Millisecond
 
 func (r *processRun) pause(pid int) {
 	_ = syscall.Kill(pid, syscall.SIGSTOP)
-	<-time.After(pauseTime)
+	<-time.After(pauseDuration)
 	_ = syscall.Kill(pid, syscall.SIGCONT)
 }
 
-func (r *processRun) operate(rnd *rand.Rand, i int) {
-	op := Operation{Token: fmt.Sprint("op", i), Name: "transfer"}
+func (r *processRun) runOperation(rnd *rand.Rand, i int) {
+	op := Operation{Token: fmt.Sprint("op", i), Route: "transfer"}
 	key := "key-" + op.Token
 	if rnd.IntN(2) == 0 {
 		d := r.host(rnd.IntN(2))
-		if text := ticketOf(&d); text != "" {
+		if text := mintTicketFrom(&d); text != "" {
 			key = text
 		}
 	}
 	for range maxSends {
 		d := r.host(rnd.IntN(2))
-		a := sendTo(&d, key, op.Token)
-		a.Sent = key
-		op.Sends = append(op.Sends, a)
-		if a.Whole {
+		resp := sendTransfer(&d, key, op.Token)
+		resp.Sent = key
+		op.Responses = append(op.Responses, resp)
+		if resp.Whole {
 			break
 		}
 	}
-	r.ledger.Close(op)
+	r.recorder.RecordOperation(op)
 }
 
-func ticketOf(d *daemon) string {
+func mintTicketFrom(d *daemon) string {
 	resp, err := d.post(entry.TicketPath, "", "", "")
 	if err != nil {
 		return ""
@@ -126,43 +126,44 @@
 	return t.Ticket
 }
 
-func sendTo(d *daemon, key, token string) Answer {
+func sendTransfer(d *daemon, key, token string) Response {
 	resp, err := d.post("/transfer", key, "", fmt.Sprintf(`{"token":%q}`, token))
 	if err != nil {
-		return Answer{Kind: "connection"}
+		return Response{Kind: "connection"}
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return Answer{Kind: "connection"}
+		return Response{Kind: "connection"}
 	}
 	if resp.StatusCode != http.StatusOK {
 		var problem entry.Problem
 		_ = json.Unmarshal(data, &problem)
-		return Answer{Ran: Ran(problem.Ran), Kind: string(problem.Kind)}
+		return Response{Ran: Ran(problem.Ran), Kind: string(problem.Kind)}
 	}
-	var a service.Response
-	var in work
-	right := json.Unmarshal(data, &a) == nil && json.Unmarshal(a.Input, &in) == nil
+	var booking service.Response
+	var in operationBody
+	right := json.Unmarshal(data, &booking) == nil && json.Unmarshal(booking.Input, &in) == nil
 	if in.Token != token {
-		return Answer{Whole: true, Token: "another operation"}
+		return Response{Whole: true, Token: "another operation"}
 	}
-	return Answer{Whole: true, Token: key, Right: right}
+	return Response{Whole: true, Token: key, Right: right}
 }
 
-// counted takes the ledger's counts over once they have come to rest.
-func (r *processRun) counted(ledger string) bool {
-	counts := executed(r.g, ledger)
-	rest := fmt.Sprint(counts) == fmt.Sprint(r.counts)
+// recordStableCounts records the executions of the ledger service once two
+// successive reads agree, and returns whether they did.
+func (r *processRun) recordStableCounts(ledgerAddress string) bool {
+	counts := executionCounts(r.g, ledgerAddress)
+	stable := fmt.Sprint(counts) == fmt.Sprint(r.counts)
 	r.counts = counts
-	if !rest {
+	if !stable {
 		return false
 	}
 	for operation, n := range counts {
-		key := strings.TrimSuffix(strings.TrimPrefix(operation, "/"), "/book") // of no account
-		r.ledger.Receive(key)
+		key := strings.TrimSuffix(strings.TrimPrefix(operation, "/"), "/book") // the client account is empty
+		r.recorder.RecordReceived(key)
 		for range n {
-			r.ledger.Execute(key)
+			r.recorder.RecordExecution(key)
 		}
 	}
 	return true
--- a/internal/faultrun/process_test.go
+++ b/internal/faultrun/process_test.go
@@ -20,21 +20,21 @@
 	"bilberrydale/request/entry"
 )
 
-// processes are the programs themselves, built and started on loopback.
-type processes struct {
+// processEnvironment builds the programs and runs them on loopback addresses.
+type processEnvironment struct {
 	g   *WithT
 	t   *testing.T
 	dir string
 }
 
-func build(t *testing.T) *processes {
-	p := &processes{NewWithT(t), t, t.TempDir()}
+func buildPrograms(t *testing.T) *processEnvironment {
+	p := &processEnvironment{NewWithT(t), t, t.TempDir()}
 	out, err := exec.Command("go", "build", "-o", p.dir+"/", "bilberrydale/cmd/bilberryd", "bilberrydale/cmd/bilberryctl", "bilberrydale/cmd/standin").CombinedOutput()
 	p.g.Expect(err).NotTo(HaveOccurred(), string(out))
 	return p
 }
 
-func (p *processes) start(name string, args ...string) *exec.Cmd {
+func (p *processEnvironment) start(name string, args ...string) *exec.Cmd {
 	cmd := exec.Command(filepath.Join(p.dir, name), args...)
 	cmd.Stderr = &bytes.Buffer{}
 	p.g.Expect(cmd.Start()).To(Succeed())
@@ -52,7 +52,8 @@
 	return l.Addr().String()
 }
 
-func (p *processes) up(url string) {
+// awaitOK waits until a GET of url returns 200.
+func (p *processEnvironment) awaitOK(url string) {
 	p.g.Eventually(func() int {
 		resp, err := http.Get(url)
 		if err != nil {
@@ -63,24 +64,25 @@
 	}, 10*time.Second, 20*time.Millisecond).Should(Equal(http.StatusOK), url)
 }
 
-// daemon is one entry host.
+// daemon is an entry host that runs as a process.
 type daemon struct {
 	cmd        *exec.Cmd
 	args       []string
 	url, admin string
 }
 
-// deployment starts the platform, a ledger that books in 300 ms, an engine that
-// streams for about a second, and two entry hosts.
-func (p *processes) deployment() (hosts []*daemon, ledger string, platform *exec.Cmd) {
-	store, engine := freeAddress(p.g), freeAddress(p.g)
-	ledger = freeAddress(p.g)
-	platform = p.start("standin", "platform", "--listen", store)
-	p.start("standin", "service", "--name", "ledger-1", "--listen", ledger, "--time", "300ms")
-	p.start("standin", "engine", "--name", "engine-1", "--listen", engine, "--tokens", "100", "--per-token", "10ms")
-	p.up("http://" + store + "/admin/counts")
-	p.up("http://" + ledger + "/health")
-	p.up("http://" + engine + "/health")
+// startDeployment starts the platform, a ledger service whose bookings take
+// 300 ms, an engine whose streams take about a second, and two entry hosts. It
+// returns the address of the ledger service.
+func (p *processEnvironment) startDeployment() (hosts []*daemon, ledgerAddress string, platform *exec.Cmd) {
+	platformAddress, engineAddress := freeAddress(p.g), freeAddress(p.g)
+	ledgerAddress = freeAddress(p.g)
+	platform = p.start("standin", "platform", "--listen", platformAddress)
+	p.start("standin", "service", "--name", "ledger-1", "--listen", ledgerAddress, "--time", "300ms")
+	p.start("standin", "engine", "--name", "engine-1", "--listen", engineAddress, "--tokens", "100", "--per-token", "10ms")
+	p.awaitOK("http://" + platformAddress + "/admin/counts")
+	p.awaitOK("http://" + ledgerAddress + "/health")
+	p.awaitOK("http://" + engineAddress + "/health")
 	tables := filepath.Join(p.dir, "tables")
 	p.g.Expect(os.Mkdir(tables, 0o755)).To(Succeed())
 	text := `
@@ -91,9 +93,9 @@
   - {name: transfer, match: {path: /transfer}, deadline: 2s, worth: 1, class: interactive, stages: [{name: book, pool: ledger, budget: 1s, repeatable: false}]}
   - {name: chat, match: {path: /chat}, deadline: 5s, worth: 1, class: interactive, stages: [{name: generate, pool: engine, budget: 3s, repeatable: true, stream: true}]}
 `
-	text = strings.NewReplacer("LEDGER", ledger, "ENGINE", engine).Replace(text)
+	text = strings.NewReplacer("LEDGER", ledgerAddress, "ENGINE", engineAddress).Replace(text)
 	p.g.Expect(os.WriteFile(filepath.Join(tables, "t.yaml"), []byte(text), 0o644)).To(Succeed())
-	out, err := exec.Command(filepath.Join(p.dir, "bilberryctl"), "--platform", "http://"+store, "--author", "test", "apply", tables).CombinedOutput()
+	out, err := exec.Command(filepath.Join(p.dir, "bilberryctl"), "--platform", "http://"+platformAddress, "--author", "test", "apply", tables).CombinedOutput()
 	p.g.Expect(err).NotTo(HaveOccurred(), string(out))
 	peers := []string{freeAddress(p.g), freeAddress(p.g)}
 	for i, name := range []string{"e1", "e2"} {
@@ -101,28 +103,29 @@
 		listen, admin := freeAddress(p.g), freeAddress(p.g)
 		d.url, d.admin = "http://"+listen, "http://"+admin
 		d.args = []string{
-			"--name", name, "--domain", "d", "--region", "r", "--platform", "http://" + store,
+			"--name", name, "--domain", "d", "--region", "r", "--platform", "http://" + platformAddress,
 			"--listen", listen, "--admin", admin, "--peer", peers[i], "--peers", peers[1-i], "--drain-delay", "0s",
 		}
 		d.cmd = p.start("bilberryd", d.args...)
 		hosts = append(hosts, d)
 	}
 	for _, d := range hosts {
-		p.up(d.admin + "/ready")
+		p.awaitOK(d.admin + "/ready")
 	}
-	return hosts, ledger, platform
+	return hosts, ledgerAddress, platform
 }
 
 func (d *daemon) post(path, key, accept, body string) (*http.Response, error) {
 	req, _ := http.NewRequest(http.MethodPost, d.url+path, strings.NewReader(body))
 	req.Header.Set("Idempotency-Key", key)
 	req.Header.Set("Accept", accept)
-	return callers.Do(req)
+	return httpClient.Do(req)
 }
 
-// executed returns how often the ledger ran each operation.
-func executed(g *WithT, ledger string) map[string]int {
-	resp, err := http.Get("http://" + ledger + "/admin/executed")
+// executionCounts returns how many times the ledger service executed each
+// operation.
+func executionCounts(g *WithT, ledgerAddress string) map[string]int {
+	resp, err := http.Get("http://" + ledgerAddress + "/admin/executed")
 	g.Expect(err).NotTo(HaveOccurred())
 	defer resp.Body.Close()
 	var counts map[string]int
@@ -130,14 +133,13 @@
 	return counts
 }
 
-// The daemon gets SIGTERM while a chat streams. New requests are refused as
-// draining; what is in flight reaches its caller whole; then the process ends
-// without an error. It has left word on the platform of what it booked: a
-// resend to the other daemon is told that it ran.
-func TestShutdownCutsNothingInFlight(t *testing.T) {
+// A daemon gets SIGTERM during a stream. It refuses new requests as draining,
+// completes the stream and exits without an error. The outcome of an earlier
+// booking is stored on the platform: a resend to the other daemon gets "ran: yes".
+func TestShutdownCompletesRequestsInFlight(t *testing.T) {
 	t.Parallel()
-	p := build(t)
-	hosts, ledger, _ := p.deployment()
+	p := buildPrograms(t)
+	hosts, ledgerAddress, _ := p.startDeployment()
 	d := hosts[0]
 	booked, err := d.post("/transfer", "booked", "", "{}")
 	p.g.Expect(err).NotTo(HaveOccurred())
@@ -170,17 +172,17 @@
 	var problem entry.Problem
 	p.g.Expect(json.NewDecoder(resent.Body).Decode(&problem)).To(Succeed())
 	p.g.Expect(problem.Ran).To(BeEquivalentTo(RanYes), problem.Detail)
-	p.g.Expect(executed(p.g, ledger)).To(HaveKeyWithValue("/booked/book", 1))
+	p.g.Expect(executionCounts(p.g, ledgerAddress)).To(HaveKeyWithValue("/booked/book", 1))
 }
 
-// The daemon is killed with SIGKILL while it books, and another is stopped
-// with SIGSTOP while it books and goes on later. The resends go to the other
-// host; the ledger, asked afterwards, ran each booking once.
+// One daemon is killed with SIGKILL during a booking; another is paused with
+// SIGSTOP during a booking and resumed later. Resends go to the other host each
+// time, and the ledger service must have executed each booking once.
 func TestKilledAndPausedDaemonsBookOnce(t *testing.T) {
 	t.Parallel()
-	p := build(t)
-	hosts, ledger, _ := p.deployment()
-	first := func(d *daemon, key string) chan int {
+	p := buildPrograms(t)
+	hosts, ledgerAddress, _ := p.startDeployment()
+	startBooking := func(d *daemon, key string) chan int {
 		done := make(chan int, 1)
 		go func() {
 			resp, err := d.post("/transfer", key, "", "{}")
@@ -191,7 +193,7 @@
 			resp.Body.Close()
 			done <- resp.StatusCode
 		}()
-		p.g.Eventually(func() int { return executed(p.g, ledger)["/"+key+"/book"] }, 3*time.Second, 5*time.Millisecond).Should(Equal(1))
+		p.g.Eventually(func() int { return executionCounts(p.g, ledgerAddress)["/"+key+"/book"] }, 3*time.Second, 5*time.Millisecond).Should(Equal(1))
 		return done
 	}
 	resend := func(d *daemon, key string) entry.Problem {
@@ -203,35 +205,35 @@
 		return problem
 	}
 
-	paused := first(hosts[1], "paused")
+	paused := startBooking(hosts[1], "paused")
 	p.g.Expect(hosts[1].cmd.Process.Signal(syscall.SIGSTOP)).To(Succeed())
 	p.g.Expect(resend(hosts[0], "paused").Ran).To(BeEquivalentTo(RanUnknown))
 	p.g.Expect(hosts[1].cmd.Process.Signal(syscall.SIGCONT)).To(Succeed())
 	p.g.Eventually(paused, 5*time.Second).Should(Receive(Equal(http.StatusOK)))
 
-	killed := first(hosts[0], "killed")
+	killed := startBooking(hosts[0], "killed")
 	p.g.Expect(hosts[0].cmd.Process.Kill()).To(Succeed())
 	p.g.Eventually(killed, 5*time.Second).Should(Receive(Equal(0)))
 	p.g.Expect(resend(hosts[1], "killed").Ran).To(BeEquivalentTo(RanUnknown))
-	p.g.Expect(executed(p.g, ledger)).To(Equal(map[string]int{"/paused/book": 1, "/killed/book": 1}))
+	p.g.Expect(executionCounts(p.g, ledgerAddress)).To(Equal(map[string]int{"/paused/book": 1, "/killed/book": 1}))
 }
 
-// The platform is killed. A ticket from one daemon is sent to the other, and
-// again to both: over the peer port the minter lends it once, and every later
-// send gets the one answer.
+// The platform is killed. A ticket minted by one daemon is sent to the other and
+// then to both again. The minter lends it once over the peer port, and every
+// later send gets the same response.
 func TestTicketAcrossDaemonsWithoutThePlatform(t *testing.T) {
 	t.Parallel()
-	p := build(t)
-	hosts, ledger, platform := p.deployment()
+	p := buildPrograms(t)
+	hosts, ledgerAddress, platform := p.startDeployment()
 	p.g.Expect(platform.Process.Kill()).To(Succeed())
 	resp, err := hosts[0].post(entry.TicketPath, "", "", "")
 	p.g.Expect(err).NotTo(HaveOccurred())
 	var ticket entry.Ticket
 	p.g.Expect(json.NewDecoder(resp.Body).Decode(&ticket)).To(Succeed())
 	resp.Body.Close()
-	answers := map[string]int{}
+	responses := map[string]int{}
 	for _, i := range []int{1, 0, 1, 0} {
-		// Until the daemons have met, the ticket is refused, and not spent.
+		// Until the daemons are connected, the ticket is refused but not used up.
 		p.g.Eventually(func() int {
 			resp, err := hosts[i].post("/transfer", ticket.Ticket, "", "{}")
 			p.g.Expect(err).NotTo(HaveOccurred())
@@ -239,11 +241,11 @@
 			data, err := io.ReadAll(resp.Body)
 			p.g.Expect(err).NotTo(HaveOccurred())
 			if resp.StatusCode == http.StatusOK {
-				answers[string(data)]++
+				responses[string(data)]++
 			}
 			return resp.StatusCode
 		}, 10*time.Second, 50*time.Millisecond).Should(Equal(http.StatusOK))
 	}
-	p.g.Expect(answers).To(HaveLen(1))
-	p.g.Expect(executed(p.g, ledger)).To(Equal(map[string]int{"/" + ticket.Ticket + "/book": 1}))
+	p.g.Expect(responses).To(HaveLen(1))
+	p.g.Expect(executionCounts(p.g, ledgerAddress)).To(Equal(map[string]int{"/" + ticket.Ticket + "/book": 1}))
 }
