--- a/internal/e2e/doc.go
+++ b/internal/e2e/doc.go
@@ -1,2 +1,3 @@
-// Package e2e holds the tests that run the built programs as processes.
+// Package e2e holds end-to-end tests that build the programs and run them as
+// processes on loopback addresses.
 package e2e
--- a/internal/e2e/process_test.go
+++ b/internal/e2e/process_test.go
@@ -15,8 +15,9 @@
 	. "github.com/onsi/gomega"
 )
 
-// programs are the built programs, made once for the package.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds all programs into buildDir, once per test run, and returns
+// the folder. On an error it returns the output of the compiler instead.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := filepath.Abs(buildDir)
 	if err != nil {
 		return "", err
@@ -28,40 +29,41 @@
 	return dir, nil
 })
 
-// buildDir is set by TestMain and removed by it.
+// buildDir is a temporary folder that TestMain creates and removes.
 var buildDir string
 
-// process is one running program.
+// process is a running program and its log output.
 type process struct {
-	t    *testing.T
-	cmd  *exec.Cmd
-	done chan error
+	t      *testing.T
+	cmd    *exec.Cmd
+	exited chan error
 
 	mu  sync.Mutex
 	log bytes.Buffer
 }
 
-// start runs a program and waits for the line that tells its addresses.
+// start runs a program of this build and waits for the log line with its
+// addresses, which it returns by name: "callers" and "admin".
 func start(t *testing.T, name string, args ...string) (p *process, addresses map[string]string) {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	NewWithT(t).Expect(err).NotTo(HaveOccurred(), dir)
 	return startFrom(t, dir, name, args...)
 }
 
-// startFrom is start for a program in a given folder.
+// startFrom is start for a program in the folder dir.
 func startFrom(t *testing.T, dir, name string, args ...string) (p *process, addresses map[string]string) {
 	t.Helper()
 	g := NewWithT(t)
-	p = &process{t: t, cmd: exec.Command(filepath.Join(dir, name), args...), done: make(chan error, 1)}
+	p = &process{t: t, cmd: exec.Command(filepath.Join(dir, name), args...), exited: make(chan error, 1)}
 	out, err := p.cmd.StderrPipe()
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(p.cmd.Start()).To(Succeed())
 	lines := make(chan map[string]string, 1)
-	go p.read(out, lines)
+	go p.readLog(out, lines)
 	t.Cleanup(func() {
 		_ = p.cmd.Process.Kill()
-		<-p.done
+		<-p.exited
 	})
 	g.Eventually(lines, 20*time.Second).Should(Receive(&addresses), "%s: %s", name, p)
 	return p, addresses
@@ -69,7 +71,9 @@
 
 var addressField = regexp.MustCompile(`(callers|admin)=(\S+)`)
 
-func (p *process) read(out io.Reader, lines chan<- map[string]string) {
+// readLog collects the log lines of the process, sends the addresses of the first
+// line that has some to lines, and reports the exit of the process on p.exited.
+func (p *process) readLog(out io.Reader, lines chan<- map[string]string) {
 	scan := bufio.NewScanner(out)
 	for scan.Scan() {
 		p.mu.Lock()
@@ -86,11 +90,11 @@
 			}
 		}
 	}
-	p.done <- p.cmd.Wait()
-	close(p.done)
+	p.exited <- p.cmd.Wait()
+	close(p.exited)
 }
 
-// String returns what the process logged.
+// String returns the log output of the process so far.
 func (p *process) String() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
