--- a/internal/memberbench/bench_test.go
+++ b/internal/memberbench/bench_test.go
@@ -11,21 +11,23 @@
 	"bilberrydale/process/member"
 )
 
-// A fleet is measured at rest over as many heartbeats of each host as it sends
-// in about 8 s. Those of the first 12 s or so pass before: with them go the news of
-// the start, the first details and dials, which are not the state at rest.
+// The steady state is measured over measuredHeartbeats of each host, which take
+// about 8 s. The settlingHeartbeats before, about 12 s, are left out: they carry
+// the announcements of the start, the first details and the first dials, which
+// are not part of the steady state.
 const (
-	windowBeats = 32
-	settleBeats = 48
+	measuredHeartbeats = 32
+	settlingHeartbeats = 48
 )
 
-// figures are what one size gave. Rates are per second and daemon but for
-// those of the platform, which are for the whole fleet and for one domain.
-type figures struct {
+// measurement is the result for one fleet size. Rates are per second and daemon,
+// except for the calls to the platform, which are per second for the whole fleet
+// and for one failure domain.
+type measurement struct {
 	Hosts             int     `json:"hosts"`
 	Domains           int     `json:"domains"`
-	Servers           int     `json:"servers_per_domain"`
-	Heartbeats        float64 `json:"heartbeats_sent"`
+	ServersPerDomain  int     `json:"servers_per_domain"`
+	HeartbeatsSent    float64 `json:"heartbeats_sent"`
 	PeerBytes         float64 `json:"peer_bytes_sent"`
 	LoadBytes         float64 `json:"load_bytes_sent"`
 	Polls             float64 `json:"polls"`
@@ -40,15 +42,16 @@
 }
 
 func BenchmarkMembership(b *testing.B) {
-	// The last is one whole failure domain of the size to design for.
-	sizes := []shape{{6, 3, 10}, {12, 3, 10}, {24, 3, 10}, {48, 3, 10}, {38, 1, 110}}
+	// The last size is one whole failure domain at the size that the system is
+	// designed for.
+	sizes := []fleetSize{{6, 3, 10}, {12, 3, 10}, {24, 3, 10}, {48, 3, 10}, {38, 1, 110}}
 	for _, size := range sizes {
-		b.Run(fmt.Sprintf("hosts=%d,domains=%d,servers=%d", size.hosts, size.domains, size.servers), func(b *testing.B) {
+		b.Run(fmt.Sprintf("hosts=%d,domains=%d,servers=%d", size.hostCount, size.domainCount, size.serversPerDomain), func(b *testing.B) {
 			f := newFleet(b, size)
-			f.beats(settleBeats)
-			fig := f.atRest()
-			fig.LeavingLast = f.leaving().Seconds()
-			first, last := f.killed()
+			f.awaitHeartbeats(settlingHeartbeats)
+			fig := f.measureSteadyState()
+			fig.LeavingLast = f.measureLeavingServer().Seconds()
+			first, last := f.measureKilledHost()
 			fig.KilledFirst, fig.KilledLast = first.Seconds(), last.Seconds()
 			data, _ := json.Marshal(fig)
 			fmt.Printf("figures %s\n", data)
@@ -60,48 +63,49 @@
 	}
 }
 
-// totals are the counters of the fleet at one moment.
-type totals struct {
-	sent, bytes, loads, polls, busy, calls int64
-	cpu                                    time.Duration
+// counterTotals are the counters of the fleet, summed over its hosts, at one time.
+type counterTotals struct {
+	heartbeatsSent, connectionBytes, sharedLoadBytes, polls, busyNanos, platformCalls int64
+	cpu                                                                               time.Duration
 }
 
-func (f *fleet) totals() totals {
-	t := totals{bytes: f.bytes.Load(), cpu: cpuTime()}
+func (f *fleet) totals() counterTotals {
+	t := counterTotals{connectionBytes: f.connectionBytes.Load(), cpu: cpuTime()}
 	c := f.store.CallCounts()
-	t.calls = c.Reads + c.Writes + c.Watches
-	for _, h := range f.all {
-		t.sent += h.monitor.Counters.Sent.Load()
-		t.busy += h.monitor.Counters.BusyNanos.Load()
-		t.loads += h.watcher.Counters.LoadsSharedBytes.Load()
-		t.polls += h.watcher.Counters.Polls.Load()
+	t.platformCalls = c.Reads + c.Writes + c.Watches
+	for _, h := range f.hosts {
+		t.heartbeatsSent += h.monitor.Counters.Sent.Load()
+		t.busyNanos += h.monitor.Counters.BusyNanos.Load()
+		t.sharedLoadBytes += h.poller.Counters.LoadsSharedBytes.Load()
+		t.polls += h.poller.Counters.Polls.Load()
 	}
 	return t
 }
 
-// beats waits until the hosts have sent so many more heartbeats each.
-func (f *fleet) beats(each int64) {
-	end := f.totals().sent + each*int64(len(f.all))
-	f.wait("heartbeats", func() bool { return f.totals().sent >= end })
+// awaitHeartbeats waits until the hosts have sent each more heartbeats on average.
+func (f *fleet) awaitHeartbeats(each int64) {
+	end := f.totals().heartbeatsSent + each*int64(len(f.hosts))
+	f.waitFor("heartbeats", func() bool { return f.totals().heartbeatsSent >= end })
 }
 
-func (f *fleet) atRest() figures {
-	before, began := f.totals(), time.Now()
-	f.beats(windowBeats)
-	after, seconds := f.totals(), time.Since(began).Seconds()
-	per := func(n int64) float64 { return float64(n) / seconds / float64(len(f.all)) }
-	calls := float64(after.calls-before.calls) / seconds
-	return figures{
-		Hosts: len(f.all), Domains: f.domains, Servers: f.servers, Heartbeats: per(after.sent - before.sent), PeerBytes: per(after.bytes - before.bytes),
-		LoadBytes: per(after.loads - before.loads), Polls: per(after.polls - before.polls),
+func (f *fleet) measureSteadyState() measurement {
+	before, start := f.totals(), time.Now()
+	f.awaitHeartbeats(measuredHeartbeats)
+	after, seconds := f.totals(), time.Since(start).Seconds()
+	per := func(n int64) float64 { return float64(n) / seconds / float64(len(f.hosts)) }
+	calls := float64(after.platformCalls-before.platformCalls) / seconds
+	return measurement{
+		Hosts: len(f.hosts), Domains: f.domainCount, ServersPerDomain: f.serversPerDomain, HeartbeatsSent: per(after.heartbeatsSent - before.heartbeatsSent), PeerBytes: per(after.connectionBytes - before.connectionBytes),
+		LoadBytes: per(after.sharedLoadBytes - before.sharedLoadBytes), Polls: per(after.polls - before.polls),
 		CPUMicros:       per(int64((after.cpu - before.cpu) / time.Microsecond)),
-		MemoryKB:        memory() / 1024 / float64(len(f.all)),
-		HeartbeatMicros: float64(after.busy-before.busy) / 1e3 / float64(4*max(1, after.sent-before.sent)),
-		PlatformCalls:   calls, PlatformPerDomain: calls / float64(f.domains),
+		MemoryKB:        memoryBytes() / 1024 / float64(len(f.hosts)),
+		HeartbeatMicros: float64(after.busyNanos-before.busyNanos) / 1e3 / float64(4*max(1, after.heartbeatsSent-before.heartbeatsSent)),
+		PlatformCalls:   calls, PlatformPerDomain: calls / float64(f.domainCount),
 	}
 }
 
-// cpuTime is that of the whole process, backend servers and platform included.
+// cpuTime returns the CPU time of the whole process, including the backend servers
+// and the platform.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -110,21 +114,22 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// memory is the live heap and the stacks of the whole process, in bytes.
-func memory() float64 {
+// memoryBytes returns the size of the live heap and the stacks of the whole
+// process.
+func memoryBytes() float64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return float64(m.HeapAlloc + m.StackInuse)
 }
 
-// leaving lets a backend server report that it leaves and returns the time
-// until the last host of all domains gives it no new work.
-func (f *fleet) leaving() time.Duration {
-	s := f.backend[0]
+// measureLeavingServer lets a backend server report that it is leaving. It returns
+// the time until no host of any domain sends it new work.
+func (f *fleet) measureLeavingServer() time.Duration {
+	s := f.servers[0]
 	s.leaving.Store(true)
-	return f.wait("leaving server", func() bool {
-		for _, h := range f.all {
+	return f.waitFor("leaving server", func() bool {
+		for _, h := range f.hosts {
 			if h.registry.Get(s.name, s.address, time.Unix(1, 0)).Usable() {
 				return false
 			}
@@ -133,23 +138,23 @@
 	})
 }
 
-// killed ends one host without a word and returns the times until the first
-// and the last other host hold it for gone.
-func (f *fleet) killed() (first, last time.Duration) {
-	dead := f.all[0]
-	began := time.Now()
-	go dead.kill()
-	f.wait("killed host", func() bool {
+// measureKilledHost stops one host without notice to the others. It returns the
+// times until the first and the last other host consider it gone.
+func (f *fleet) measureKilledHost() (first, last time.Duration) {
+	killedHost := f.hosts[0]
+	start := time.Now()
+	go killedHost.kill()
+	f.waitFor("killed host", func() bool {
 		gone := 0
-		for _, h := range f.all[1:] {
-			if p, _ := h.monitor.Lookup(dead.mesh.Self().Host); p.State == member.Gone {
+		for _, h := range f.hosts[1:] {
+			if p, _ := h.monitor.Lookup(killedHost.mesh.Self().Host); p.State == member.Gone {
 				gone++
 			}
 		}
 		if gone > 0 && first == 0 {
-			first = time.Since(began)
+			first = time.Since(start)
 		}
-		return gone == len(f.all)-1
+		return gone == len(f.hosts)-1
 	})
-	return first, time.Since(began)
+	return first, time.Since(start)
 }
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -23,26 +23,26 @@
 )
 
 const (
-	patience = time.Minute
-	// resolution of measured times.
-	resolution = 2 * time.Millisecond
+	waitTimeout = time.Minute // of each wait for a condition
+	// pollInterval is the resolution of measured times.
+	pollInterval = 2 * time.Millisecond
 )
 
-// shape is the size of a fleet.
-type shape struct {
-	hosts, domains int
-	servers        int // of each domain
+// fleetSize is the size of a fleet.
+type fleetSize struct {
+	hostCount, domainCount int
+	serversPerDomain       int // backend servers
 }
 
-// fleet is entry hosts with their real connections, polls and leases in one
-// process, with the daemon's default periods.
+// fleet runs entry hosts in one process, with real connections, polls and leases
+// and the default intervals of the daemon.
 type fleet struct {
-	shape
-	b       *testing.B
-	bytes   atomic.Int64 // both ways, all connections between hosts
-	store   *objects.Store
-	backend []*backendServer
-	all     []*host
+	fleetSize
+	b               *testing.B
+	connectionBytes atomic.Int64 // in both directions, on all connections between hosts
+	store           *objects.Store
+	servers         []*backendServer
+	hosts           []*host
 }
 
 type backendServer struct {
@@ -53,67 +53,68 @@
 type host struct {
 	mesh     *peer.Mesh
 	monitor  *member.Monitor
-	watcher  *report.Poller
-	keeper   *lease.Elector
+	poller   *report.Poller
+	elector  *lease.Elector
 	registry *server.Registry
 	domain   string
 	kill     func()
 }
 
-// counted counts the bytes of accepted connections, which is one end of each.
-type counted struct {
+// countingListener counts the bytes of accepted connections. Each connection is
+// counted once, at its accepting end.
+type countingListener struct {
 	net.Listener
 	bytes *atomic.Int64
 }
 
-func (c *counted) Accept() (net.Conn, error) {
+func (c *countingListener) Accept() (net.Conn, error) {
 	conn, err := c.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{conn, c.bytes}, nil
+	return &countingConn{conn, c.bytes}, nil
 }
 
-type countedConn struct {
+type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
 }
 
-func (c *countedConn) Read(p []byte) (int, error) {
+func (c *countingConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.bytes.Add(int64(n))
 	return n, err
 }
 
-func newFleet(b *testing.B, size shape) *fleet {
-	f := &fleet{shape: size, b: b, store: objects.NewStore()}
-	for d := range size.domains {
-		for i := range size.servers {
+func newFleet(b *testing.B, size fleetSize) *fleet {
+	f := &fleet{fleetSize: size, b: b, store: objects.NewStore()}
+	for d := range size.domainCount {
+		for i := range size.serversPerDomain {
 			f.addServer(fmt.Sprintf("s%d-%d", d, i), domainName(d))
 		}
 	}
 	var seeds []string
-	for i := range size.hosts {
-		h := f.start(fmt.Sprint("h", i), domainName(i%size.domains), append([]string(nil), seeds...))
-		if i < size.domains {
+	for i := range size.hostCount {
+		h := f.startHost(fmt.Sprint("h", i), domainName(i%size.domainCount), append([]string(nil), seeds...))
+		if i < size.domainCount {
 			seeds = append(seeds, h.mesh.Self().Address)
 		}
 	}
-	for _, h := range f.all {
-		f.wait("all hosts known", func() bool {
+	for _, h := range f.hosts {
+		f.waitFor("all hosts known", func() bool {
 			alive := 0
 			for _, p := range h.monitor.Peers() {
 				if p.State == member.Alive {
 					alive++
 				}
 			}
-			return alive == size.hosts-1
+			return alive == size.hostCount-1
 		})
 	}
 	return f
@@ -128,10 +129,10 @@
 	}))
 	f.b.Cleanup(srv.Close)
 	s.address = srv.Listener.Addr().String()
-	f.backend = append(f.backend, s)
+	f.servers = append(f.servers, s)
 }
 
-func (f *fleet) start(name, domain string, seeds []string) *host {
+func (f *fleet) startHost(name, domain string, seeds []string) *host {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.b.Fatal(err)
@@ -149,20 +150,20 @@
 	}})
 	h.monitor = member.New(member.Options{Link: h.mesh, Clock: sys, Rand: rnd, Seeds: func() []string { return seeds }})
 	h.mesh.OnConnect(h.monitor.RecordAlive)
-	h.watcher = report.New(report.Options{
+	h.poller = report.New(report.Options{
 		Link: h.mesh, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd,
 		Prober: serverprobe.New(serverprobe.Options{}), ListHosts: f.store.Hosts, Targets: func() []report.Target { return f.targets(h) },
 	})
-	h.keeper = lease.NewElector(lease.Options{
+	h.elector = lease.NewElector(lease.Options{
 		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
 		IsCandidate: func() bool { return member.IsOwner(h.monitor, self, "lease", 2) },
 	})
-	port := &peerconn.Server{Options: conns, Dispatch: h.mesh.Dispatch, OnAccept: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
+	listener := &peerconn.Server{Options: conns, Dispatch: h.mesh.Dispatch, OnAccept: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
 	ctx, cancel := context.WithCancel(context.Background())
 	var running sync.WaitGroup
 	for _, run := range []func(context.Context) error{
-		func(ctx context.Context) error { return port.Run(ctx, &counted{l, &f.bytes}) },
-		h.monitor.Run, h.watcher.Run, h.keeper.Run,
+		func(ctx context.Context) error { return listener.Run(ctx, &countingListener{l, &f.connectionBytes}) },
+		h.monitor.Run, h.poller.Run, h.elector.Run,
 	} {
 		running.Go(func() { _ = run(ctx) })
 	}
@@ -172,27 +173,27 @@
 		running.Wait()
 	})
 	f.b.Cleanup(h.kill)
-	f.all = append(f.all, h)
+	f.hosts = append(f.hosts, h)
 	return h
 }
 
 func (f *fleet) targets(h *host) []report.Target {
-	out := make([]report.Target, 0, len(f.backend))
-	for _, s := range f.backend {
+	out := make([]report.Target, 0, len(f.servers))
+	for _, s := range f.servers {
 		out = append(out, report.Target{State: h.registry.Get(s.name, s.address, time.Unix(1, 0)), Domain: s.domain})
 	}
 	return out
 }
 
-func (f *fleet) wait(what string, done func() bool) time.Duration {
-	began := time.Now()
-	look := time.NewTicker(resolution)
-	defer look.Stop()
-	for !done() {
-		if time.Since(began) > patience {
-			f.b.Fatalf("%s: not within %s", what, patience)
+func (f *fleet) waitFor(description string, condition func() bool) time.Duration {
+	start := time.Now()
+	ticker := time.NewTicker(pollInterval)
+	defer ticker.Stop()
+	for !condition() {
+		if time.Since(start) > waitTimeout {
+			f.b.Fatalf("%s: condition not met within %s", description, waitTimeout)
 		}
-		<-look.C
+		<-ticker.C
 	}
-	return time.Since(began)
+	return time.Since(start)
 }
