--- a/internal/layout/choice_test.go
+++ b/internal/layout/choice_test.go
@@ -9,20 +9,22 @@
 	"testing"
 )
 
-// Where servers may be taken from the directory without a request, to be given items that
-// carry the regions of theirs, and where a request's server is chosen: with its regions,
-// and with what cold servers bear.
+// The files in which servers may be chosen.
 const (
-	serversOfBatchers = "edge/regions.go"
-	choiceOfRequests  = "request/gateway/choose.go"
+	// Reads servers from the directory without a request, to send them items that
+	// carry the regions of their own requests.
+	batchServersFile = "edge/regions.go"
+	// Chooses the server of a request, taking into account the regions of the request
+	// and the limits of cold servers.
+	requestBalancingFile = "request/gateway/choose.go"
 )
 
-// Guards against a new choice of a server that forgets where a request may be served, which
-// failure domains are evacuated, or that servers are cold.
-func TestServersOfRequestsAreChosenInOnePlace(t *testing.T) {
+// Guards against another place that chooses servers without considering the regions in which a
+// request may be served, evacuated failure domains and cold servers.
+func TestRequestsChooseServersInOnePlace(t *testing.T) {
 	files := token.NewFileSet()
 	chosen := 0
-	each(t, ".go", func(path string, data []byte) {
+	walkFiles(t, ".go", func(path string, data []byte) {
 		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			t.Fatal(err)
@@ -37,14 +39,14 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.CallExpr:
-				if called, ok := n.Fun.(*ast.SelectorExpr); ok && called.Sel.Name == "Servers" && rel != serversOfBatchers {
-					t.Errorf("%s: servers without the regions of a request", files.Position(n.Pos()))
+				if called, ok := n.Fun.(*ast.SelectorExpr); ok && called.Sel.Name == "Servers" && rel != batchServersFile {
+					t.Errorf("%s: reads servers from the directory without the regions of a request", files.Position(n.Pos()))
 				}
 			case *ast.KeyValueExpr:
 				if key, ok := n.Key.(*ast.Ident); ok && key.Name == "Servers" && strings.Contains(string(data), "balance.Query{") {
 					chosen++
-					if rel != choiceOfRequests {
-						t.Errorf("%s: a second choice of a request's server", files.Position(n.Pos()))
+					if rel != requestBalancingFile {
+						t.Errorf("%s: chooses the server of a request outside of the one permitted file", files.Position(n.Pos()))
 					}
 				}
 			}
@@ -52,6 +54,6 @@
 		})
 	})
 	if chosen != 1 {
-		t.Errorf("%d choices of a request's server; one was expected in %s", chosen, choiceOfRequests)
+		t.Errorf("%d places choose the server of a request; want 1, in %s", chosen, requestBalancingFile)
 	}
 }
--- a/internal/layout/files_test.go
+++ b/internal/layout/files_test.go
@@ -19,8 +19,9 @@
 	maxLines = 500 // of one file
 )
 
-// each calls f for every file of the repository with the suffix.
-func each(t *testing.T, suffix string, f func(path string, data []byte)) {
+// walkFiles calls f for every file of the repository with the suffix, except in
+// hidden folders. It fails the test if there is no such file.
+func walkFiles(t *testing.T, suffix string, f func(path string, data []byte)) {
 	t.Helper()
 	seen := 0
 	err := filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
@@ -43,19 +44,20 @@
 	g.Expect(seen).To(BeNumerically(">", 0))
 }
 
-func TestFilesStaySmall(t *testing.T) {
+// Go files have at most maxLines lines.
+func TestFileLengthIsLimited(t *testing.T) {
 	g := NewWithT(t)
-	each(t, ".go", func(path string, data []byte) {
+	walkFiles(t, ".go", func(path string, data []byte) {
 		g.Expect(bytes.Count(data, []byte("\n"))).To(BeNumerically("<=", maxLines), path)
 	})
 }
 
-// A reader meets a package by its comment and a public item by its own.
-func TestPackagesAndPublicItemsAreDocumented(t *testing.T) {
+// Every package and every exported type, function and method has a doc comment.
+func TestPackagesAndExportedItemsAreDocumented(t *testing.T) {
 	g := NewWithT(t)
 	documented, all := map[string]bool{}, map[string]bool{}
 	files := token.NewFileSet()
-	each(t, ".go", func(path string, data []byte) {
+	walkFiles(t, ".go", func(path string, data []byte) {
 		if strings.HasSuffix(path, "_test.go") {
 			return
 		}
@@ -65,21 +67,22 @@
 		all[dir] = true
 		documented[dir] = documented[dir] || f.Doc != nil
 		for _, d := range f.Decls {
-			if name := bare(d); name != "" {
-				t.Errorf("%s: %s has no comment", path, name)
+			if name := undocumentedName(d); name != "" {
+				t.Errorf("%s: exported %s has no doc comment", path, name)
 			}
 		}
 	})
 	for dir := range all {
-		g.Expect(documented[dir]).To(BeTrue(), "package %s has no comment", dir)
+		g.Expect(documented[dir]).To(BeTrue(), "package %s has no doc comment", dir)
 	}
 }
 
-// bare returns the name of a public item without a comment.
-func bare(d ast.Decl) string {
+// undocumentedName returns the name of an exported item declared by d without a
+// doc comment, or "".
+func undocumentedName(d ast.Decl) string {
 	switch d := d.(type) {
 	case *ast.FuncDecl:
-		if d.Doc == nil && d.Name.IsExported() && publicReceiver(d) {
+		if d.Doc == nil && d.Name.IsExported() && exportedReceiver(d) {
 			return d.Name.Name
 		}
 	case *ast.GenDecl:
@@ -92,7 +95,8 @@
 	return ""
 }
 
-func publicReceiver(d *ast.FuncDecl) bool {
+// exportedReceiver reports whether d is a function or a method of an exported type.
+func exportedReceiver(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
 	}
--- a/internal/layout/layout_test.go
+++ b/internal/layout/layout_test.go
@@ -11,16 +11,17 @@
 	. "github.com/onsi/gomega"
 )
 
-// lifeSpans are the layers from the shortest to the longest life.
-var lifeSpans = []string{"request", "connection", "version", "process"}
+// layers are ordered by the lifetime of their objects, from shortest to longest.
+var layers = []string{"request", "connection", "version", "process"}
 
-func span(path string) int {
+// layerOf returns the index in layers of an import path, or -1.
+func layerOf(path string) int {
 	rest, ok := strings.CutPrefix(path, "bilberrydale/")
 	if !ok {
 		return -1
 	}
 	first, _, _ := strings.Cut(rest, "/")
-	for i, s := range lifeSpans {
+	for i, s := range layers {
 		if s == first {
 			return i
 		}
@@ -28,9 +29,11 @@
 	return -1
 }
 
-// A package that outlives a request must not refer to one: the reference would
-// keep the request's memory alive and read it after its end.
-func TestPackagesImportOnlyWhatLivesAsLong(t *testing.T) {
+// An object that outlives a request must not refer to it: the reference would
+// keep the request's memory alive and could be read after the request has ended.
+// A package may therefore import only packages of its own or of longer-lived
+// layers.
+func TestPackagesDoNotImportShorterLivedLayers(t *testing.T) {
 	g := NewWithT(t)
 	out, err := exec.Command("go", "list", "-json=ImportPath,Imports", "bilberrydale/...").Output()
 	g.Expect(err).NotTo(HaveOccurred())
@@ -46,19 +49,20 @@
 			break
 		}
 		g.Expect(err).NotTo(HaveOccurred())
-		from := span(p.ImportPath)
+		from := layerOf(p.ImportPath)
 		if from < 0 {
 			continue
 		}
 		seen++
 		for _, imp := range p.Imports {
-			if to := span(imp); to >= 0 {
-				g.Expect(to).To(BeNumerically(">=", from), "%s imports %s, which lives shorter", p.ImportPath, imp)
+			if to := layerOf(imp); to >= 0 {
+				g.Expect(to).To(BeNumerically(">=", from), "%s imports %s of a shorter-lived layer", p.ImportPath, imp)
 			}
 			g.Expect(imp).NotTo(HavePrefix("bilberrydale/entryhost"), p.ImportPath)
-			// The core tells what it needs of a platform; adapters depend on it.
+			// The core declares the interfaces that a platform has to provide; adapters
+			// depend on the core and not the reverse.
 			g.Expect(imp).NotTo(HavePrefix("bilberrydale/platform"), p.ImportPath)
 		}
 	}
-	g.Expect(seen).To(BeNumerically(">", len(lifeSpans)))
+	g.Expect(seen).To(BeNumerically(">", len(layers)))
 }
--- a/internal/layout/links_test.go
+++ b/internal/layout/links_test.go
@@ -9,15 +9,16 @@
 	"testing"
 )
 
-var link = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
+var linkPattern = regexp.MustCompile(`\]\(([^)#:]+)(#[^)]*)?\)`)
 
-func TestLinksOfThePagesLeadSomewhere(t *testing.T) {
-	each(t, ".md", func(path string, data []byte) {
+// Relative links in Markdown files point to existing files.
+func TestLinksInPagesResolve(t *testing.T) {
+	walkFiles(t, ".md", func(path string, data []byte) {
 		lines := bufio.NewScanner(bytes.NewReader(data))
 		for lines.Scan() {
-			for _, m := range link.FindAllStringSubmatch(lines.Text(), -1) {
+			for _, m := range linkPattern.FindAllStringSubmatch(lines.Text(), -1) {
 				if _, err := os.Stat(filepath.Join(filepath.Dir(path), m[1])); err != nil {
-					t.Errorf("%s: there is no %s", path, m[1])
+					t.Errorf("%s: link target %s does not exist", path, m[1])
 				}
 			}
 		}
--- a/internal/layout/platform_test.go
+++ b/internal/layout/platform_test.go
@@ -9,12 +9,13 @@
 	"testing"
 )
 
-// The adapter translates. It has no goroutines, locks, timers, clocks or random
-// numbers of its own: with those it would keep state or decide something.
-func TestTheAdapterDecidesNothing(t *testing.T) {
+// The platform adapter only translates between the core and the platform's API.
+// It must not use goroutines, locks, timers, clocks or random numbers, with which
+// it could keep state or make decisions.
+func TestPlatformAdapterIsStateless(t *testing.T) {
 	forbidden := map[string]bool{"sync": true, "sync/atomic": true, "math/rand/v2": true, "bilberrydale/process/clock": true}
 	files := token.NewFileSet()
-	each(t, ".go", func(path string, data []byte) {
+	walkFiles(t, ".go", func(path string, data []byte) {
 		rel, err := filepath.Rel(root, path)
 		if err != nil {
 			t.Fatal(err)
@@ -34,11 +35,11 @@
 		ast.Inspect(f, func(n ast.Node) bool {
 			switch n := n.(type) {
 			case *ast.GoStmt:
-				t.Errorf("%s: a goroutine", files.Position(n.Pos()))
+				t.Errorf("%s: the platform adapter starts a goroutine", files.Position(n.Pos()))
 			case *ast.SelectorExpr:
 				pkg, ok := n.X.(*ast.Ident)
 				if ok && pkg.Name == "time" && (n.Sel.Name == "Now" || n.Sel.Name == "After" || n.Sel.Name == "AfterFunc" || n.Sel.Name == "Sleep") {
-					t.Errorf("%s: time.%s", files.Position(n.Pos()), n.Sel.Name)
+					t.Errorf("%s: the platform adapter uses time.%s", files.Position(n.Pos()), n.Sel.Name)
 				}
 			}
 			return true
