--- a/scripts/bench.sh
+++ b/scripts/bench.sh
@@ -1,7 +1,11 @@
 #!/usr/bin/env bash
-# Runs the benchmarks, prints their table, and writes it to OUT as JSON: one
-# object a benchmark, with its package and each of its figures by unit. BENCH
-# chooses benchmarks by a regular expression, PKG packages.
+# Runs the benchmarks and prints their results. If OUT is set, also writes them to
+# that file as a JSON array with one object per benchmark: package, name, number of
+# runs, and each result by its unit. Settings (environment):
+#   BENCH     regular expression that selects benchmarks (.)
+#   PKG       packages (./...)
+#   TIMEOUT   time limit of go test (30m)
+#   OUT       file for the results as JSON (none)
 set -euo pipefail
 cd "$(dirname "$0")/.."
 table=$(mktemp)
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,13 +1,13 @@
 #!/usr/bin/env bash
-# Runs the main job on this machine: the platform and backend stand-ins of an
-# example, entry hosts that know each other, one request through four stages to
-# each of them, then a clean stop. Settings (environment):
+# Runs an example on this machine: starts stand-ins for its platform and backend
+# servers and several entry hosts that are peers of each other, sends one request
+# of four stages to each entry host, and stops them cleanly. Settings (environment):
 #   EXAMPLE     folder under examples/ (kalahari)
-#   HOSTS       entry hosts, one a region in turn (3)
-#   PORT_BASE   first of the ports for the platform and the entry hosts (18090)
-#   LOAD_RATE   requests a second of open-loop traffic before the stop (none);
-#               LOAD_DURATION, LOAD_REQUESTS, SEED and OUT go to cmd/load
-#   DEMO_PATH, DEMO_BODY, DEMO_ACCOUNT   the request
+#   HOSTS       number of entry hosts, assigned to the regions in turn (3)
+#   PORT_BASE   first port; the platform uses it, the entry hosts those above (18090)
+#   LOAD_RATE   requests per second of open-loop traffic before the stop (none);
+#               LOAD_DURATION, LOAD_REQUESTS, SEED and OUT are passed to cmd/load
+#   DEMO_PATH, DEMO_BODY, DEMO_ACCOUNT   path, body and client account of the request
 set -euo pipefail
 cd "$(dirname "$0")/.."
 example=${EXAMPLE:-kalahari}
@@ -22,8 +22,8 @@
 path=${DEMO_PATH:-$path} account=${DEMO_ACCOUNT:-$account} body=${DEMO_BODY:-$body}
 
 tables=examples/$example
-[ -f "$tables/pools.yaml" ] || { echo "demo: there is no example $example; choose one of: $(ls examples | tr '\n' ' ')" >&2; exit 1; }
-command -v curl >/dev/null || { echo "demo: curl is missing" >&2; exit 1; }
+[ -f "$tables/pools.yaml" ] || { echo "demo: example $example does not exist; available examples: $(ls examples | tr '\n' ' ')" >&2; exit 1; }
+command -v curl >/dev/null || { echo "demo: curl is not installed" >&2; exit 1; }
 
 tmp=$(mktemp -d)
 log=$tmp/log
@@ -35,7 +35,7 @@
   rm -rf "$tmp"
 }
 trap stop EXIT
-fail() { echo "demo: $*" >&2; echo "--- end of the log" >&2; tail -20 "$log" >&2 || true; exit 1; }
+fail() { echo "demo: $*" >&2; echo "--- last lines of the log" >&2; tail -20 "$log" >&2 || true; exit 1; }
 
 start() { # NAME COMMAND...
   local name=$1
@@ -46,7 +46,7 @@
 check_running() {
   local pid
   for pid in "${!names[@]}"; do
-    kill -0 "$pid" 2>/dev/null || fail "${names[$pid]} ended; a port may be taken: set PORT_BASE, or free the ports in $tables/pools.yaml"
+    kill -0 "$pid" 2>/dev/null || fail "${names[$pid]} exited unexpectedly; a port may be in use: set PORT_BASE, or free the ports in $tables/pools.yaml"
   done
 }
 wait_for() { # NAME URL
@@ -55,10 +55,10 @@
     check_running
     sleep 0.1
   done
-  fail "$1 did not come up at $2"
+  fail "$1 did not respond at $2 within 150 attempts"
 }
 port_free() { # HOST:PORT
-  ! (exec 3<>"/dev/tcp/${1%:*}/${1#*:}") 2>/dev/null || fail "$1 is taken: set PORT_BASE, or free the ports in $tables/pools.yaml"
+  ! (exec 3<>"/dev/tcp/${1%:*}/${1#*:}") 2>/dev/null || fail "address $1 is in use: set PORT_BASE, or free the ports in $tables/pools.yaml"
 }
 
 : >"$log"
@@ -108,10 +108,10 @@
 done
 for i in $(seq "$count"); do wait_for "entry-$i" "http://127.0.0.1:$((base + 100 + i))/ready"; done
 check_running
-echo "demo: ${#names[@]} processes run; one request through the route of $path to each of $count entry hosts"
+echo "demo: ${#names[@]} processes are running; sending one request to $path on each of $count entry hosts"
 for i in $(seq "$count"); do
   curl -fsS -H "X-Client-Account: $account" -H 'Content-Type: application/json' -d "$body" \
-    "http://127.0.0.1:$((base + i))$path" >"$tmp/answer" || fail "entry-$i did not answer: $(head -c 400 "$tmp/answer")"
+    "http://127.0.0.1:$((base + i))$path" >"$tmp/answer" || fail "the request to entry-$i failed: $(head -c 400 "$tmp/answer")"
   echo "entry-$i: $(head -c 300 "$tmp/answer")"
 done
 ctl status --hosts "${admins%,}" --wait 10s
@@ -119,7 +119,7 @@
 if [ -n "${LOAD_RATE:-}" ]; then
   targets=$(for i in $(seq "$count"); do echo "127.0.0.1:$((base + i))"; done | paste -sd, -)
   "$tmp/bin/load" traffic --targets "$targets" --rate "$LOAD_RATE" --duration "${LOAD_DURATION:-10s}" --seed "${SEED:-1}" \
-    --requests "${LOAD_REQUESTS:-$mix}" --account "$account" ${OUT:+--out "$OUT"} || fail "the load failed"
+    --requests "${LOAD_REQUESTS:-$mix}" --account "$account" ${OUT:+--out "$OUT"} || fail "the traffic generator failed"
 fi
 echo "demo: executions by backend server"
 while read -r line; do
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,9 +1,10 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt are run
-# apart, printed, and do not decide; every other failure is red. A line is
+# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt run
+# separately; their results are printed but do not affect the exit status. Any
+# other failure fails the run. Each line of the list has the form
 #   PACKAGE TEST, cause, issue
-# where PACKAGE is a folder and TEST a Go test, or for a ginkgo spec its full
-# text after "spec:". Three lines at most.
+# where PACKAGE is a folder and TEST the name of a Go test or, for a ginkgo spec,
+# "spec:" and its full text. The list has at most three lines.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 GO=${GO:-go}
@@ -14,13 +15,13 @@
 lines=()
 [ ! -f "$list" ] || mapfile -t lines < <(grep -v '^[[:space:]]*$' "$list" || true)
 if [ ${#lines[@]} -eq 0 ]; then exec "${run[@]}" ./...; fi
-if [ ${#lines[@]} -gt $max ]; then echo "$list: ${#lines[@]} lines; $max at most" >&2; exit 1; fi
+if [ ${#lines[@]} -gt $max ]; then echo "$list has ${#lines[@]} lines; the maximum is $max" >&2; exit 1; fi
 
 quote() { sed 's/[][\.*^$+?(){}|/]/\\&/g' <<<"$1"; }
 declare -A skip_test=() skip_spec=()
 packages=()
 for line in "${lines[@]}"; do
-  [[ $line =~ ^([^ ,]+)\ ([^,]+),\ *[^,]+,.*[0-9] ]] || { echo "$list: \"$line\" is not PACKAGE TEST, cause, issue" >&2; exit 1; }
+  [[ $line =~ ^([^ ,]+)\ ([^,]+),\ *[^,]+,.*[0-9] ]] || { echo "$list: line \"$line\" does not have the form PACKAGE TEST, cause, issue" >&2; exit 1; }
   package=./${BASH_REMATCH[1]#./} test=${BASH_REMATCH[2]}
   "$GO" list "$package" >/dev/null
   packages+=("$package")
@@ -41,13 +42,13 @@
   [ -z "${skip_spec[$package]-}" ] || tail=(-ginkgo.skip="(^| )(${skip_spec[$package]})\$")
   "${run[@]}" "${args[@]}" "$package" "${tail[@]}" || verdict=1
 done
-echo "known red, passed over:"
+echo "known failures, not counted:"
 for line in "${lines[@]}"; do
   [[ $line =~ ^([^ ,]+)\ ([^,]+), ]]
   package=./${BASH_REMATCH[1]#./} test=${BASH_REMATCH[2]}
   args=(-run "^$(quote "$test")\$") tail=()
   case $test in spec:*) args=() tail=(-ginkgo.focus="(^| )$(quote "${test#spec:}")\$") ;; esac
-  if "${run[@]}" "${args[@]}" "$package" "${tail[@]}" >/dev/null 2>&1; then state="passes now; remove the line"; else state="fails"; fi
+  if "${run[@]}" "${args[@]}" "$package" "${tail[@]}" >/dev/null 2>&1; then state="passes; remove the line"; else state="fails"; fi
   echo "  $line [$state]"
 done
 exit $verdict
