--- a/internal/soak/doc.go
+++ b/internal/soak/doc.go
@@ -1,4 +1,4 @@
-// Package soak has a randomized run of the real daemon, bilberryedge, as
-// separate processes before stand-ins of the platform, with faults from outside
-// of them. See soak_test.go.
+// Package soak holds a randomized soak test that runs the daemon bilberryedge as
+// separate processes, with a stand-in for the platform and stand-in backend
+// servers, and injects faults from outside the processes. See soak_test.go.
 package soak
--- /dev/null
+++ b/internal/soak/environment_test.go
@@ -0,0 +1,411 @@
+package soak
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"syscall"
+	"testing"
+	"time"
+
+	"bilberrydale/internal/relay"
+	"bilberrydale/platform/platformtest"
+	"bilberrydale/process/coldstart"
+	"bilberrydale/version/plan"
+)
+
+// Settings of the daemons and routes.
+const (
+	maxRevocationDelay  = 5 * time.Second
+	shutdownGracePeriod = 8 * time.Second
+	routeTimeout        = 4 * time.Second
+)
+
+// environment is the stand-in platform with its backend servers and the daemons.
+type environment struct {
+	t           *testing.T
+	dir         string
+	store       *platformtest.Store
+	storeServer *httptest.Server
+	hosts       []*host
+	servers     []*backendServer
+	requests    *requestLog
+
+	mu            sync.Mutex
+	configVersion int
+	keys          []string
+	revoked       map[string]time.Time // by key: when the store acknowledged its removal
+	executions    map[string][]string  // by attempt id: servers that executed the request
+	results       map[string][]string  // by attempt id: servers that produced stage results
+}
+
+// host is an entry host whose daemon runs as a process.
+type host struct {
+	index    int
+	name, ip string
+	settings string
+	relay    *relay.Proxy // to the store
+	log      *os.File
+	// restarting is held while the process is being ended and started again.
+	restarting sync.Mutex
+	mu         sync.Mutex
+	cmd        *exec.Cmd
+	exited     chan struct{} // closed when the host has no process
+	stopping   bool          // the process was told to exit, by SIGTERM or SIGKILL
+	paused     bool          // by SIGSTOP: the process does not act on other signals
+	processes  []*exec.Cmd   // all processes of this host, so that they can be ended by id
+}
+
+// backendServer is a stand-in backend server behind a relay.
+type backendServer struct {
+	*platformtest.Server
+	relay    *relay.Proxy
+	domain   string
+	restarts int // number of restarts; each makes it cold
+	// The end of the latest cold period.
+	coldUntil    time.Time
+	coldRequests [][]time.Time // by restart: when requests reached it while cold
+}
+
+func newEnvironment(t *testing.T, binary string, hosts int, base int) *environment {
+	env := &environment{
+		t: t, dir: t.TempDir(), store: platformtest.NewStore(), keys: []string{"key-1", "key-2"},
+		revoked: map[string]time.Time{}, executions: map[string][]string{}, results: map[string][]string{}, requests: newRequestLog(),
+	}
+	env.storeServer = httptest.NewServer(env.store)
+	t.Cleanup(env.storeServer.Close)
+	for _, service := range []string{"ledger", "ledger", "model", "model", "model", "floor", "floor", "portal"} {
+		env.addServer(service, nearDomain)
+	}
+	for _, service := range []string{"ledger", "model", "floor", "portal"} {
+		env.addServer(service, farDomain)
+	}
+	env.putConfig()
+	for i := range hosts {
+		env.addHost(binary, i, base)
+	}
+	return env
+}
+
+func (env *environment) must(err error) {
+	if err != nil {
+		env.t.Fatal(err)
+	}
+}
+
+// The failure domains and their regions. All entry hosts are in the near domain; some routes
+// are restricted to the region of the far domain.
+const (
+	nearDomain, nearRegion = "a", "r"
+	farDomain, farRegion   = "b", "q"
+)
+
+func (env *environment) addServer(service, domain string) {
+	s := platformtest.NewServer(fmt.Sprintf("%s-%d", service, len(env.servers)), service)
+	env.t.Cleanup(s.HTTP.Close)
+	r, err := relay.New(s.Address())
+	env.must(err)
+	env.t.Cleanup(r.Close)
+	s.ListedAddress = r.Address()
+	b := &backendServer{Server: s, relay: r, domain: domain}
+	env.servers = append(env.servers, b)
+	s.SetInterceptor(func(w http.ResponseWriter, req *http.Request) bool { return env.serveRequest(b, w, req) })
+	env.publishEntry(b, false)
+}
+
+// publishEntry writes the entry of a server to the store. While the server is cold, the entry
+// states how long it stays so.
+func (env *environment) publishEntry(b *backendServer, draining bool) {
+	env.mu.Lock()
+	coldLeft, incarnation := time.Until(b.coldUntil), b.incarnation()
+	env.mu.Unlock()
+	if coldLeft > 0 && !draining {
+		env.store.PutColdServer(b.Server, b.domain, coldLeft, incarnation)
+		return
+	}
+	env.store.PutServer(b.Server, b.domain, draining)
+}
+
+// incarnation returns a number that distinguishes the starts of a server. It is called with
+// environment.mu held.
+func (b *backendServer) incarnation() int64 { return int64(1700000000000 + b.restarts) }
+
+// serveRequest responds as the backend server and records which server executed which attempt.
+func (env *environment) serveRequest(b *backendServer, w http.ResponseWriter, req *http.Request) bool {
+	if platformtest.IsStageCall(req) {
+		env.recordStageCall(b, req)
+		return false
+	}
+	id := platformtest.AttemptID(req.Header)
+	_, _ = io.Copy(io.Discard, req.Body)
+	env.mu.Lock()
+	env.executions[id] = append(env.executions[id], b.ID)
+	if now := time.Now(); now.Before(b.coldUntil) {
+		b.coldRequests[b.restarts-1] = append(b.coldRequests[b.restarts-1], now)
+	}
+	env.mu.Unlock()
+	platformtest.Sign(w.Header(), "stamp-"+id)
+	if strings.HasPrefix(req.URL.Path, "/stream/") {
+		for i := platformtest.LastEventID(req) + 1; i <= streamEvents; i++ {
+			b.WriteEvents(w, i, i)
+			simulateWork(req, eventInterval)
+		}
+		return true
+	}
+	simulateWork(req, callDuration)
+	_, _ = io.WriteString(w, "answer to "+id)
+	return true
+}
+
+// recordStageCall records the attempts for which a server produces stage results.
+func (env *environment) recordStageCall(b *backendServer, req *http.Request) {
+	body, _ := io.ReadAll(req.Body) // the server itself fails a call with an incomplete body
+	req.Body = io.NopCloser(bytes.NewReader(body))
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, id := range platformtest.StageRequestIDs(body) {
+		env.results[id] = append(env.results[id], b.ID)
+	}
+}
+
+// restartCold lets a server start again under its id, in the cold state.
+func (env *environment) restartCold(b *backendServer) {
+	env.mu.Lock()
+	b.restarts++
+	b.coldUntil, b.coldRequests = time.Now().Add(coldDuration), append(b.coldRequests, nil)
+	env.mu.Unlock()
+	env.publishEntry(b, false)
+}
+
+// The request rate that engines accept while they are cold, and the number of requests within
+// coldCountWindow that counts as a violation: more than one and a half times the rate plus 5.
+const (
+	coldDuration          = 3 * time.Second
+	coldRequestsPerSecond = 1.0
+	maxColdRequests       = 1.5*coldRequestsPerSecond + 5
+	coldCountWindow       = time.Second
+)
+
+// Service times of a backend server. They are long enough for faults to occur during requests.
+const (
+	streamEvents  = 8
+	eventInterval = 20 * time.Millisecond
+	callDuration  = 5 * time.Millisecond
+)
+
+// simulateWork waits for d, or until the caller has disconnected.
+func simulateWork(req *http.Request, d time.Duration) {
+	select {
+	case <-time.After(d):
+	case <-req.Context().Done():
+	}
+}
+
+// putConfig writes the next version of the configuration, with the valid keys.
+func (env *environment) putConfig() {
+	env.mu.Lock()
+	env.configVersion += 3
+	version, keys := env.configVersion, append([]string(nil), env.keys...)
+	env.mu.Unlock()
+	route := func(name string, kind plan.RouteKind, service string) plan.Route {
+		path := "/" + name + "/"
+		if kind == plan.Stream {
+			path = "/stream" + path
+		}
+		return plan.Route{
+			Name: name, Host: "soap.example", PathPrefix: path, Kind: kind, Targets: []plan.Target{{Service: service, Weight: 1}}, MaxAttempts: 2,
+			Timeout: routeTimeout, TargetLatency: 800 * time.Millisecond, Priority: 1, MaxEventGap: 400 * time.Millisecond,
+		}
+	}
+	chat, draft := route("chat", plan.Stream, "model"), route("draft", plan.Stream, "model")
+	chat.Resumable = true
+	draft.MaxAttempts = 1
+	bound, boundDraft := route("bound", plan.Safe, "ledger"), route("bounddraft", plan.Stream, "model")
+	bound.Regions, boundDraft.Regions = []string{farRegion}, []string{farRegion}
+	draft.Stages = []plan.Stage{{Service: "floor", ResultBytes: 1000}, {Service: "portal", DependsOn: []int{0}, ResultBytes: 1000}}
+	boundDraft.Stages = draft.Stages
+	batch := &plan.Batch{
+		ConcurrentCalls: 1, QueuedCalls: 2, MaxItemsPerCall: 8, TimePerCall: 5 * time.Millisecond, TimePerItem: time.Millisecond,
+		ResultMemoryBytes: 1_000_000, ResultTTL: 4 * time.Second,
+	}
+	env.store.PutConfig(plan.Config{
+		Version: int64(version),
+		Routes:  []plan.Route{route("transfer", plan.Unsafe, "ledger"), route("status", plan.Safe, "ledger"), chat, draft, bound, boundDraft},
+		Services: []plan.Service{
+			{Name: "ledger"},
+			{Name: "model", Engine: &plan.Engine{Slots: 8}, ColdStart: coldstart.Limit{RequestsPerSecond: coldRequestsPerSecond, ColdDuration: coldDuration}},
+			{Name: "floor", Batch: batch},
+			{Name: "portal", Batch: batch},
+		},
+		Limits:   plan.Limits{MaxBodyBytes: 100_000},
+		Accounts: []plan.Account{{Name: "soap", Keys: keys}},
+	})
+}
+
+// replaceKey replaces the oldest key by a new one and records when the store acknowledged it.
+func (env *environment) replaceKey() {
+	env.mu.Lock()
+	old := env.keys[0]
+	env.keys = append(env.keys[1:], fmt.Sprintf("key-%d", env.configVersion+100))
+	env.mu.Unlock()
+	env.putConfig()
+	env.mu.Lock()
+	env.revoked[old] = time.Now()
+	env.mu.Unlock()
+}
+
+func (env *environment) addHost(binary string, i, base int) {
+	ip := fmt.Sprintf("127.%d.%d.%d", 10+base/200, 1+base%200, 10+i)
+	r, err := relay.New(strings.TrimPrefix(env.storeServer.URL, "http://"))
+	env.must(err)
+	env.t.Cleanup(r.Close)
+	h := &host{index: i, name: fmt.Sprintf("front-%d", i), ip: ip, relay: r, settings: filepath.Join(env.dir, fmt.Sprintf("host-%d.json", i))}
+	data, err := platformtest.HostSettings{
+		Name: h.name, IP: ip, Domain: nearDomain, Region: nearRegion, OtherRegions: map[string]string{farDomain: farRegion}, ClientAddress: ip + ":8625", ReadinessAddress: ip + ":8621",
+		FirstInternalPort: 7740, LastInternalPort: 7755, StoreAddress: r.Address(), ShutdownGracePeriod: shutdownGracePeriod, MaxKeyRevocationDelay: maxRevocationDelay, MaxEvacuationDelay: 5 * time.Second,
+		HeartbeatInterval: 1200 * time.Millisecond, RetryRatio: 0.2, RetryWindow: 10 * time.Second, RetrySlack: 200,
+	}.JSON()
+	env.must(err)
+	env.must(os.WriteFile(h.settings, data, 0o600))
+	h.log, err = os.Create(filepath.Join(env.dir, h.name+".log"))
+	env.must(err)
+	env.hosts = append(env.hosts, h)
+	env.must(h.start(binary))
+	env.t.Cleanup(func() {
+		h.mu.Lock()
+		h.stopping = true
+		for _, cmd := range h.processes {
+			_ = cmd.Process.Kill() // most have already exited
+		}
+		exited := h.exited
+		h.mu.Unlock()
+		<-exited
+		_ = h.log.Close()
+	})
+}
+
+// start starts a process for a host that has none.
+func (h *host) start(binary string) error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stopping, h.exited = false, make(chan struct{})
+	return h.launch(binary)
+}
+
+// launch starts a process and restarts it if SIGHUP ends it. It is called with h.mu held.
+func (h *host) launch(binary string) error {
+	cmd := exec.Command(h.nextBuild(binary), "--settings", h.settings)
+	cmd.Stdout, cmd.Stderr = h.log, h.log
+	cmd.Env = append(os.Environ(), "GOMAXPROCS=2")
+	if err := cmd.Start(); err != nil {
+		return err
+	}
+	h.cmd, h.paused = cmd, false
+	h.processes = append(h.processes, cmd)
+	go func() {
+		_ = cmd.Wait() // the process ends by a signal of the test; checkRequests verifies the effects
+		h.mu.Lock()
+		defer h.mu.Unlock()
+		if !h.stopping && killedBy(cmd, syscall.SIGHUP) && h.launch(binary) == nil {
+			return
+		}
+		close(h.exited)
+	}()
+	return nil
+}
+
+// nextBuild returns the program of the host's next process. With -soak.other, the two builds
+// alternate between hosts and between the starts of each host. It is called with h.mu held.
+func (h *host) nextBuild(binary string) string {
+	if *otherFlag != "" && (h.index+len(h.processes))%2 == 1 {
+		return *otherFlag
+	}
+	return binary
+}
+
+// checkDecodeErrors fails the test for lines in the daemons' logs about messages or entries
+// that could not be decoded, which happens if the other build wrote them in another format.
+func (env *environment) checkDecodeErrors() {
+	for _, h := range env.hosts {
+		data, err := os.ReadFile(h.log.Name())
+		env.must(err)
+		for line := range strings.Lines(string(data)) {
+			if strings.Contains(line, "msgpack") {
+				env.t.Errorf("%s: %s", h.name, line)
+			}
+		}
+	}
+}
+
+// killedBy reports whether a signal ended the process. SIGHUP does so in the first
+// moments of a process, before it has installed its signal handler. The platform
+// restarts the process in this case, and so does the test.
+func killedBy(cmd *exec.Cmd, s syscall.Signal) bool {
+	status, ok := cmd.ProcessState.Sys().(syscall.WaitStatus)
+	return ok && status.Signaled() && status.Signal() == s
+}
+
+// signal sends a signal, by process id, to the current process of the host, if it has one.
+func (h *host) signal(s syscall.Signal) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.stopping = h.stopping || s == syscall.SIGTERM || s == syscall.SIGKILL
+	switch s {
+	case syscall.SIGSTOP:
+		h.paused = true
+	case syscall.SIGCONT:
+		h.paused = false
+	}
+	select {
+	case <-h.exited:
+	default:
+		_ = h.cmd.Process.Signal(s) // the process may have just exited
+	}
+}
+
+func (h *host) isPaused() bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.paused
+}
+
+// exitPollInterval is the interval at which exitsWithin checks the process.
+const exitPollInterval = 10 * time.Millisecond
+
+// exitsWithin reports whether the process exits within bound of its own running time. A
+// paused process does not handle signals, so the time during which it is paused does not count.
+func (h *host) exitsWithin(exited <-chan struct{}, bound time.Duration) bool {
+	tick := time.NewTicker(exitPollInterval)
+	defer tick.Stop()
+	var ran time.Duration
+	for last := time.Now(); ran < bound; {
+		select {
+		case <-exited:
+			return true
+		case now := <-tick.C:
+			if !h.isPaused() {
+				ran += now.Sub(last)
+			}
+			last = now
+		}
+	}
+	return false
+}
+
+// ready reports whether the readiness check of the daemon succeeds.
+func (h *host) ready() bool {
+	client := &http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	resp, err := client.Get("http://" + h.ip + ":8621/ready")
+	if err != nil {
+		return false
+	}
+	_ = resp.Body.Close()
+	return resp.StatusCode == http.StatusOK
+}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -11,73 +11,83 @@
 	"bilberrydale/internal/relay"
 )
 
-// fault is one disturbance; it lasts until it returns.
+// fault is one kind of injected fault. It is active until run returns. binary is
+// the program that restarted hosts execute.
 type fault struct {
 	name string
-	run  func(p *place, r *rand.Rand, binary string)
+	run  func(env *environment, r *rand.Rand, binary string)
 }
 
-// some returns a number of requests. Faults last for requests, not for times: on
-// a busy machine they meet as many.
-func some(r *rand.Rand, least, most int) int { return least + r.IntN(most-least) }
+// randomCount returns a random number of requests, at least least and below most.
+// The length of a fault is given in requests and not in time, so that a fault
+// affects as many requests on a busy machine.
+func randomCount(r *rand.Rand, least, most int) int { return least + r.IntN(most-least) }
 
-func someTime(r *rand.Rand, least, most int) time.Duration {
-	return time.Duration(some(r, least, most)) * time.Millisecond
+// randomDuration is randomCount in milliseconds.
+func randomDuration(r *rand.Rand, least, most int) time.Duration {
+	return time.Duration(randomCount(r, least, most)) * time.Millisecond
 }
 
-func (p *place) anyHost(r *rand.Rand) *host      { return p.hosts[r.IntN(len(p.hosts))] }
-func (p *place) anyServer(r *rand.Rand) *backend { return p.servers[r.IntN(len(p.servers))] }
+func (env *environment) randomHost(r *rand.Rand) *host { return env.hosts[r.IntN(len(env.hosts))] }
 
-// restart waits for the end of a process and starts it again.
-func (p *place) restart(h *host, binary string, pause int) {
+func (env *environment) randomServer(r *rand.Rand) *backendServer {
+	return env.servers[r.IntN(len(env.servers))]
+}
+
+// restartHost waits until the process of a host has exited, then for pause
+// requests, and starts the host again. A process that outlives the grace period
+// fails the test and is killed.
+func (env *environment) restartHost(h *host, binary string, pause int) {
 	h.mu.Lock()
 	exited := h.exited
 	h.mu.Unlock()
-	if !h.endsWithin(exited, stopBound+time.Second) {
-		p.t.Errorf("%s did not end within its time to stop", h.name)
+	if !h.exitsWithin(exited, shutdownGracePeriod+time.Second) {
+		env.t.Errorf("%s did not exit within its shutdown grace period", h.name)
 		h.signal(syscall.SIGKILL)
 		<-exited
 	}
-	p.log.more(pause)
-	p.must(h.start(binary))
+	env.requests.awaitMore(pause)
+	env.must(h.start(binary))
 }
 
-// end ends a host's process by a signal and starts it again, unless another
-// fault is doing that.
-func (p *place) end(h *host, s syscall.Signal, binary string, pause int) {
+// stopAndRestart ends the process of a host by a signal and starts the host
+// again, unless another fault is already restarting it.
+func (env *environment) stopAndRestart(h *host, s syscall.Signal, binary string, pause int) {
 	if !h.restarting.TryLock() {
 		return
 	}
 	defer h.restarting.Unlock()
 	h.signal(s)
-	p.restart(h, binary, pause)
+	env.restartHost(h, binary, pause)
 }
 
-// relayFault disturbs the connections of a relay for a while.
-func relayFault(p *place, r *rand.Rand, x *relay.Proxy) {
+// disturbRelay applies a random fault to the connections of a relay and ends it
+// after a random number of requests.
+func disturbRelay(env *environment, r *rand.Rand, link *relay.Proxy) {
 	switch r.IntN(5) {
 	case 0:
-		x.ResetConnections()
+		link.ResetConnections()
 	case 1:
-		x.SetDelay(someTime(r, 20, 300))
+		link.SetDelay(randomDuration(r, 20, 300))
 	case 2:
-		x.Pause(false)
+		link.Pause(false)
 	case 3:
-		x.Pause(true)
+		link.Pause(true)
 	case 4:
-		x.RefuseConnections(true)
-		x.ResetConnections()
+		link.RefuseConnections(true)
+		link.ResetConnections()
 	}
-	p.log.more(some(r, 25, 300))
-	x.ClearFaults()
+	env.requests.awaitMore(randomCount(r, 25, 300))
+	link.ClearFaults()
 }
 
-// storeFault disturbs the store itself.
-func storeFault(p *place, r *rand.Rand) {
+// disturbStore lets the store refuse or delay calls, or drop the responses to
+// writes, for a random number of requests.
+func disturbStore(env *environment, r *rand.Rand) {
 	var mode atomic.Int32
 	mode.Store(int32(r.IntN(4)))
-	delay := someTime(r, 50, 400)
-	p.store.SetInterceptor(func(w http.ResponseWriter, q *http.Request) bool {
+	delay := randomDuration(r, 50, 400)
+	env.store.SetInterceptor(func(w http.ResponseWriter, req *http.Request) bool {
 		switch mode.Load() {
 		case 0:
 			w.WriteHeader(http.StatusServiceUnavailable)
@@ -88,86 +98,87 @@
 		case 2:
 			select {
 			case <-time.After(delay):
-			case <-q.Context().Done():
+			case <-req.Context().Done():
 			}
 			return false
 		default:
-			if q.Method == http.MethodGet {
+			if req.Method == http.MethodGet {
 				return false
 			}
-			panic(http.ErrAbortHandler) // a write without an answer
+			panic(http.ErrAbortHandler) // a write without a response
 		}
 	})
-	p.log.more(some(r, 40, 400))
-	p.store.SetInterceptor(nil)
+	env.requests.awaitMore(randomCount(r, 40, 400))
+	env.store.SetInterceptor(nil)
 }
 
+// faults are the faults of a run. Their names appear in the log of the test.
 var faults = []fault{
-	{"kill", func(p *place, r *rand.Rand, binary string) {
-		p.end(p.anyHost(r), syscall.SIGKILL, binary, some(r, 0, 200))
+	{"kill", func(env *environment, r *rand.Rand, binary string) {
+		env.stopAndRestart(env.randomHost(r), syscall.SIGKILL, binary, randomCount(r, 0, 200))
 	}},
-	{"terminate", func(p *place, r *rand.Rand, binary string) {
-		p.end(p.anyHost(r), syscall.SIGTERM, binary, some(r, 0, 60))
+	{"terminate", func(env *environment, r *rand.Rand, binary string) {
+		env.stopAndRestart(env.randomHost(r), syscall.SIGTERM, binary, randomCount(r, 0, 60))
 	}},
-	{"pause", func(p *place, r *rand.Rand, _ string) {
-		h := p.anyHost(r)
+	{"pause", func(env *environment, r *rand.Rand, _ string) {
+		h := env.randomHost(r)
 		h.signal(syscall.SIGSTOP)
-		p.log.more(some(r, 15, 900)) // also longer than keys may be honoured
+		env.requests.awaitMore(randomCount(r, 15, 900)) // sometimes longer than maxRevocationDelay
 		h.signal(syscall.SIGCONT)
 	}},
-	{"reload", func(p *place, r *rand.Rand, _ string) { p.anyHost(r).signal(syscall.SIGHUP) }},
-	{"link to the store", func(p *place, r *rand.Rand, _ string) { relayFault(p, r, p.anyHost(r).relay) }},
-	{"link to a server", func(p *place, r *rand.Rand, _ string) { relayFault(p, r, p.anyServer(r).relay) }},
-	{"store", func(p *place, r *rand.Rand, _ string) { storeFault(p, r) }},
-	{"history", func(p *place, r *rand.Rand, _ string) {
-		p.store.SuppressEvents(true)
-		p.log.more(some(r, 15, 130))
-		p.store.DropHistory()
-		p.store.SuppressEvents(false)
+	{"reload", func(env *environment, r *rand.Rand, _ string) { env.randomHost(r).signal(syscall.SIGHUP) }},
+	{"link to the store", func(env *environment, r *rand.Rand, _ string) { disturbRelay(env, r, env.randomHost(r).relay) }},
+	{"link to a server", func(env *environment, r *rand.Rand, _ string) { disturbRelay(env, r, env.randomServer(r).relay) }},
+	{"store", func(env *environment, r *rand.Rand, _ string) { disturbStore(env, r) }},
+	{"history", func(env *environment, r *rand.Rand, _ string) {
+		env.store.SuppressEvents(true)
+		env.requests.awaitMore(randomCount(r, 15, 130))
+		env.store.DropHistory()
+		env.store.SuppressEvents(false)
 	}},
-	{"key", func(p *place, _ *rand.Rand, _ string) { p.revoke() }},
-	{"configuration", func(p *place, _ *rand.Rand, _ string) { p.configure() }},
-	{"foreign entry", func(p *place, r *rand.Rand, _ string) {
-		p.store.PutRawServer(fmt.Sprintf("foreign-%d", r.IntN(5)), `{"service":"ledger","address":7}`)
+	{"key", func(env *environment, _ *rand.Rand, _ string) { env.replaceKey() }},
+	{"configuration", func(env *environment, _ *rand.Rand, _ string) { env.putConfig() }},
+	{"foreign entry", func(env *environment, r *rand.Rand, _ string) {
+		env.store.PutRawServer(fmt.Sprintf("foreign-%d", r.IntN(5)), `{"service":"ledger","address":7}`)
 	}},
-	{"server leaves", func(p *place, r *rand.Rand, _ string) {
-		b := p.anyServer(r)
-		p.list(b, true)
-		p.log.more(some(r, 60, 250))
-		p.list(b, false)
+	{"server leaves", func(env *environment, r *rand.Rand, _ string) {
+		b := env.randomServer(r)
+		env.publishEntry(b, true)
+		env.requests.awaitMore(randomCount(r, 60, 250))
+		env.publishEntry(b, false)
 	}},
-	{"server returns cold", func(p *place, r *rand.Rand, _ string) {
-		b := p.anyServer(r)
+	{"server returns cold", func(env *environment, r *rand.Rand, _ string) {
+		b := env.randomServer(r)
 		b.relay.RefuseConnections(true)
 		b.relay.ResetConnections()
-		p.log.more(some(r, 10, 60))
-		p.returnCold(b)
+		env.requests.awaitMore(randomCount(r, 10, 60))
+		env.restartCold(b)
 		b.relay.ClearFaults()
-		p.log.more(some(r, 100, 200))
+		env.requests.awaitMore(randomCount(r, 100, 200))
 	}},
-	{"evacuation", func(p *place, r *rand.Rand, _ string) {
+	{"evacuation", func(env *environment, r *rand.Rand, _ string) {
 		domain := []string{nearDomain, farDomain}[r.IntN(2)]
-		p.store.Evacuate(domain)
-		p.log.more(some(r, 60, 300))
-		p.store.EndEvacuation(domain)
+		env.store.Evacuate(domain)
+		env.requests.awaitMore(randomCount(r, 60, 300))
+		env.store.EndEvacuation(domain)
 	}},
-	{"region is cut off", func(p *place, r *rand.Rand, _ string) {
-		for _, b := range p.servers {
+	{"region is cut off", func(env *environment, r *rand.Rand, _ string) {
+		for _, b := range env.servers {
 			if b.domain == farDomain {
 				b.relay.Pause(true)
 			}
 		}
-		p.log.more(some(r, 60, 300))
-		for _, b := range p.servers {
+		env.requests.awaitMore(randomCount(r, 60, 300))
+		for _, b := range env.servers {
 			if b.domain == farDomain {
 				b.relay.ClearFaults()
 			}
 		}
 	}},
-	{"server lapses", func(p *place, r *rand.Rand, _ string) {
-		b := p.anyServer(r)
-		p.store.DeleteServer(b.ID)
-		p.log.more(some(r, 25, 200))
-		p.list(b, false)
+	{"server lapses", func(env *environment, r *rand.Rand, _ string) {
+		b := env.randomServer(r)
+		env.store.DeleteServer(b.ID)
+		env.requests.awaitMore(randomCount(r, 25, 200))
+		env.publishEntry(b, false)
 	}},
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -24,110 +24,117 @@
 )
 
 var (
-	seedFlag  = flag.Uint64("soak.seed", 1, "seed of the first run")
-	runsFlag  = flag.Int("soak.runs", 1, "number of runs, each with the next seed")
-	sizeFlag  = flag.Int("soak.requests", 500, "requests of a run while faults come")
-	hostsFlag = flag.Int("soak.hosts", 3, "daemons of a run")
-	keepFlag  = flag.String("soak.keep", "", "folder that keeps the logs of a failed run")
-	otherFlag = flag.String("soak.other", "", "bilberryedge of another build: hosts of both run side by side, and each start of a host takes the other build")
+	seedFlag     = flag.Uint64("soak.seed", 1, "seed of the first run")
+	runsFlag     = flag.Int("soak.runs", 1, "number of runs, each with the next seed")
+	requestsFlag = flag.Int("soak.requests", 500, "requests of a run during which faults are started")
+	hostsFlag    = flag.Int("soak.hosts", 3, "number of daemons of a run")
+	keepFlag     = flag.String("soak.keep", "", "folder to which the daemons' logs of a failed run are copied")
+	otherFlag    = flag.String("soak.other", "", "path of bilberryedge of another build: hosts of both builds run side by side, and each restart of a host switches its build")
 )
 
-// failedOnce are seeds that failed, each with its cause. They stay.
-var failedOnce = []uint64{
-	8124, // with 400 requests: the harness listed a cold server that had lapsed as one that is not cold
-	907,  // with 900 requests: SIGHUP reached a process that had just started, which it ended
-	2305, // with 700 requests, 3 of 16 runs: after streams over a pause a route's requests were refused on arrival for good
-	// With 600 requests: told to stop while frozen for longer than the harness waited.
+// previouslyFailingSeeds are seeds that failed once, each with its cause. TestSoak always
+// includes them; do not remove any.
+var previouslyFailingSeeds = []uint64{
+	8124, // with 400 requests: the test published a cold server whose entry had lapsed as a warm one
+	907,  // with 900 requests: SIGHUP ended a process that had just started
+	2305, // with 700 requests, in 3 of 16 runs: after streams had spanned a pause, all further requests of a route were refused on arrival
+	// With 600 requests: SIGTERM reached a paused process, and the pause was longer than the test waited for the exit.
 	3002, 3011, 3015, 3017,
 }
 
-// Clients send requests of four kinds, keeping connections until they are
-// closed, while daemons are killed, paused, stopped and started, links to the
-// store and to servers are delayed, cut one way, silenced and reset, and the
-// store refuses, forgets and loses answers. Faults overlap. Whatever happens:
-// what must not be repeated runs once, "not run" has not run, answers are whole
-// and to their own request, revoked keys end in time, daemons end in time when
-// told to, bound requests stay in their region, cold servers get what they bear, and when
-// the faults end, requests are served again.
+// Clients send requests over persistent connections while overlapping faults are
+// injected: daemons are killed, paused, stopped and restarted; connections to the
+// store and to servers are delayed, blocked in one or both directions and reset;
+// the store refuses calls, drops its history and loses responses. The test checks
+// that
+//   - requests that must not be repeated are executed at most once,
+//   - requests reported as "not run" were not executed,
+//   - responses are complete and belong to their request,
+//   - revoked keys are rejected and daemons exit within their time limits,
+//   - requests bound to a region are served only there,
+//   - cold servers do not get more requests than they accept, and
+//   - all requests are served again after the faults have ended.
 func TestSoak(t *testing.T) {
 	binary := filepath.Join(t.TempDir(), "bilberryedge")
 	build := exec.Command("go", "build", "-o", binary, "bilberrydale/cmd/bilberryedge")
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	seeds := append([]uint64(nil), failedOnce...)
+	seeds := append([]uint64(nil), previouslyFailingSeeds...)
 	for i := range *runsFlag {
 		seeds = append(seeds, *seedFlag+uint64(i))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { run(t, binary, seed) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { runSeed(t, binary, seed) })
 	}
 }
 
-// sent is one request as its client saw it.
-type sent struct {
+// clientRequest is one request with its result as observed by the client.
+type clientRequest struct {
 	id, path, key string
-	at            time.Time
+	sentAt        time.Time
 	status        int
 	body          string
-	err           error // no answer, or one that did not end as complete
+	err           error // no response, or an incomplete one
 }
 
-func run(t *testing.T, binary string, seed uint64) {
-	p := newPlace(t, binary, *hostsFlag, os.Getpid()%20000)
-	defer p.keepLogs(seed)
-	p.await("all daemons are ready", func() bool { return p.allReady() })
+func runSeed(t *testing.T, binary string, seed uint64) {
+	env := newEnvironment(t, binary, *hostsFlag, os.Getpid()%20000)
+	defer env.keepLogs(seed)
+	env.awaitCondition("all daemons are ready", func() bool { return env.allReady() })
 	ctx, stop := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
-	log := p.log
-	for i := range 3 * len(p.hosts) {
-		c := &client{p: p, log: log, host: p.hosts[i%len(p.hosts)], r: rand.New(rand.NewPCG(seed, uint64(i)))}
+	requests := env.requests
+	for i := range 3 * len(env.hosts) {
+		c := &client{env: env, requests: requests, host: env.hosts[i%len(env.hosts)], rand: rand.New(rand.NewPCG(seed, uint64(i)))}
 		clients.Go(func() { c.run(ctx) })
 	}
-	p.disturb(seed, binary)
+	env.injectFaults(seed, binary)
 	stop()
 	clients.Wait()
-	p.settle()
-	p.await("all daemons are ready after the faults", p.allReady)
-	p.recovered()
-	p.evacuated()
-	p.judge(log.all())
-	p.decodingFaults()
+	env.endFaults()
+	env.awaitCondition("all daemons are ready after the faults", env.allReady)
+	env.checkRecovery()
+	env.checkEvacuation()
+	env.checkRequests(requests.all())
+	env.checkDecodeErrors()
 }
 
-// disturb lets faults come, up to three at a time, and waits for their ends.
-func (p *place) disturb(seed uint64, binary string) {
+// injectFaults runs random faults, at most three at a time, until the requests of the run have
+// ended, and waits for the active ones.
+func (env *environment) injectFaults(seed uint64, binary string) {
 	r := rand.New(rand.NewPCG(seed, 0))
 	var running sync.WaitGroup
 	slots := make(chan struct{}, 3)
-	for p.log.len() < *sizeFlag {
+	for env.requests.len() < *requestsFlag {
 		f := faults[r.IntN(len(faults))]
-		own := rand.New(rand.NewPCG(r.Uint64(), 1))
+		faultRand := rand.New(rand.NewPCG(r.Uint64(), 1))
 		slots <- struct{}{}
-		p.t.Logf("fault: %s", f.name)
+		env.t.Logf("fault: %s", f.name)
 		running.Go(func() {
 			defer func() { <-slots }()
-			f.run(p, own, binary)
+			f.run(env, faultRand, binary)
 		})
-		p.log.more(some(r, 3, 75))
+		env.requests.awaitMore(randomCount(r, 3, 75))
 	}
 	running.Wait()
 }
 
-func (p *place) settle() {
-	p.store.SetInterceptor(nil)
-	p.store.SuppressEvents(false)
-	for _, h := range p.hosts {
+// endFaults removes all faults from the store, the relays and the servers' entries.
+func (env *environment) endFaults() {
+	env.store.SetInterceptor(nil)
+	env.store.SuppressEvents(false)
+	for _, h := range env.hosts {
 		h.relay.ClearFaults()
 	}
-	for _, b := range p.servers {
+	for _, b := range env.servers {
 		b.relay.ClearFaults()
-		p.list(b, false)
+		env.publishEntry(b, false)
 	}
 }
 
-func (p *place) allReady() bool {
-	for _, h := range p.hosts {
+func (env *environment) allReady() bool {
+	for _, h := range env.hosts {
 		if !h.ready() {
 			return false
 		}
@@ -135,58 +142,58 @@
 	return true
 }
 
-// patience is far over what a start or a recovery takes on a busy machine.
-const patience = 60 * time.Second
+// recoveryTimeout is far longer than a start or a recovery takes on a busy machine.
+const recoveryTimeout = 60 * time.Second
 
-func (p *place) await(what string, ok func() bool) {
-	p.t.Helper()
-	gomega.NewWithT(p.t).Eventually(ok, patience, "50ms").Should(gomega.BeTrue(), what)
+func (env *environment) awaitCondition(description string, condition func() bool) {
+	env.t.Helper()
+	gomega.NewWithT(env.t).Eventually(condition, recoveryTimeout, "50ms").Should(gomega.BeTrue(), description)
 }
 
-// recovered asks each daemon for each kind until all are served.
-func (p *place) recovered() {
-	for _, h := range p.hosts {
+// checkRecovery sends a request of each kind to each daemon until all are served.
+func (env *environment) checkRecovery() {
+	for _, h := range env.hosts {
 		for _, path := range paths {
-			c := &client{p: p, log: p.log, host: h, r: rand.New(rand.NewPCG(1, 1))}
-			p.await(h.name+" serves "+path, func() bool { return c.send(path).status == http.StatusOK })
+			c := &client{env: env, requests: env.requests, host: h, rand: rand.New(rand.NewPCG(1, 1))}
+			env.awaitCondition(h.name+" serves "+path, func() bool { return c.send(path).status == http.StatusOK })
 		}
 	}
 }
 
-// evacuated has the near domain evacuated once all is well: its servers get nothing more,
-// and what may be served elsewhere is.
-func (p *place) evacuated() {
-	p.store.Evacuate(nearDomain)
-	c := &client{p: p, log: p.log, r: rand.New(rand.NewPCG(2, 2))}
-	far := func(path string) bool {
+// checkEvacuation evacuates the near failure domain after the recovery. Its servers must not
+// get further requests, and requests that another domain may serve have to be served there.
+func (env *environment) checkEvacuation() {
+	env.store.Evacuate(nearDomain)
+	c := &client{env: env, requests: env.requests, rand: rand.New(rand.NewPCG(2, 2))}
+	servedInFarDomain := func(path string) bool {
 		s := c.send(path)
-		return s.status == http.StatusOK && p.ranIn(s.id, farDomain)
+		return s.status == http.StatusOK && env.ranOnlyIn(s.id, farDomain)
 	}
-	for _, c.host = range p.hosts {
-		c.drop()
-		p.await(c.host.name+" serves elsewhere", func() bool { return far("/status/1") && far("/stream/draft/1") })
+	for _, c.host = range env.hosts {
+		c.closeConn()
+		env.awaitCondition(c.host.name+" serves elsewhere", func() bool { return servedInFarDomain("/status/1") && servedInFarDomain("/stream/draft/1") })
 		for range 5 {
-			if !far("/status/1") {
-				p.t.Errorf("%s sends to an evacuated domain, or does not serve", c.host.name)
+			if !servedInFarDomain("/status/1") {
+				env.t.Errorf("%s sends requests to an evacuated domain, or refuses them", c.host.name)
 			}
 		}
 	}
-	c.drop()
-	p.store.EndEvacuation(nearDomain)
+	c.closeConn()
+	env.store.EndEvacuation(nearDomain)
 }
 
-// ranIn reports whether all that was done for an attempt was done in a failure domain.
-func (p *place) ranIn(id, domain string) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.allIn(id, domain)
+// ranOnlyIn reports whether only servers of a failure domain worked on an attempt.
+func (env *environment) ranOnlyIn(id, domain string) bool {
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	return env.ranOnlyInLocked(id, domain)
 }
 
-// allIn is called with p.mu held.
-func (p *place) allIn(id, domain string) bool {
-	for _, list := range [][]string{p.ran[id], p.made[id]} {
+// ranOnlyInLocked is ranOnlyIn for callers that hold env.mu.
+func (env *environment) ranOnlyInLocked(id, domain string) bool {
+	for _, list := range [][]string{env.executions[id], env.results[id]} {
 		for _, server := range list {
-			if p.domainOf(server) != domain {
+			if env.domainOf(server) != domain {
 				return false
 			}
 		}
@@ -194,8 +201,8 @@
 	return true
 }
 
-func (p *place) domainOf(server string) string {
-	for _, b := range p.servers {
+func (env *environment) domainOf(server string) string {
+	for _, b := range env.servers {
 		if b.ID == server {
 			return b.domain
 		}
@@ -203,207 +210,210 @@
 	return ""
 }
 
-// ledger keeps what clients saw.
-type ledger struct {
-	mu   sync.Mutex
-	cond sync.Cond // of more entries
-	list []sent
-	n    int
+// requestLog collects the requests of all clients. It is safe for concurrent use.
+type requestLog struct {
+	mu       sync.Mutex
+	added    sync.Cond // signaled after each addition
+	requests []clientRequest
+	lastID   int
 }
 
-func newLedger() *ledger {
-	l := &ledger{}
-	l.cond.L = &l.mu
+func newRequestLog() *requestLog {
+	l := &requestLog{}
+	l.added.L = &l.mu
 	return l
 }
 
-func (l *ledger) add(s sent) {
+func (l *requestLog) add(s clientRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.list = append(l.list, s)
-	l.cond.Broadcast()
+	l.requests = append(l.requests, s)
+	l.added.Broadcast()
 }
 
-func (l *ledger) len() int {
+func (l *requestLog) len() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.list)
+	return len(l.requests)
 }
 
-// more returns when n more requests have ended. Each ends in time: its client
-// leaves after the route's time.
-func (l *ledger) more(n int) {
+// awaitMore returns when n more requests have ended. It does not block forever:
+// clients give up on a request 2 s after the timeout of its route.
+func (l *requestLog) awaitMore(n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for end := len(l.list) + n; len(l.list) < end; {
-		l.cond.Wait()
+	for end := len(l.requests) + n; len(l.requests) < end; {
+		l.added.Wait()
 	}
 }
 
-func (l *ledger) next() int {
+func (l *requestLog) nextID() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.n++
-	return l.n
+	l.lastID++
+	return l.lastID
 }
 
-func (l *ledger) all() []sent {
+func (l *requestLog) all() []clientRequest {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return append([]sent(nil), l.list...)
+	return append([]clientRequest(nil), l.requests...)
 }
 
 var paths = []string{"/transfer/1", "/status/1", "/stream/chat/1", "/stream/draft/1", "/bound/1", "/stream/bounddraft/1"}
 
-// client sends one request after the other and keeps its connection while the
-// daemon does.
+// client sends one request after the other. It keeps its connection open until the
+// daemon closes it or an error occurs; after some requests it closes it itself.
 type client struct {
-	p    *place
-	log  *ledger
-	host *host
-	r    *rand.Rand
-	conn net.Conn
-	in   *bufio.Reader
+	env      *environment
+	requests *requestLog
+	host     *host
+	rand     *rand.Rand
+	conn     net.Conn
+	reader   *bufio.Reader
 }
 
 func (c *client) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		c.send(paths[c.r.IntN(len(paths))])
+		c.send(paths[c.rand.IntN(len(paths))])
 		select {
-		case <-time.After(someTime(c.r, 5, 40)): // as people do
+		case <-time.After(randomDuration(c.rand, 5, 40)): // think time
 		case <-ctx.Done():
 		}
 	}
-	c.drop()
+	c.closeConn()
 }
 
-func (c *client) drop() {
+func (c *client) closeConn() {
 	if c.conn != nil {
 		_ = c.conn.Close()
 		c.conn = nil
 	}
 }
 
-func (c *client) send(path string) sent {
-	c.p.mu.Lock()
-	key := c.p.keys[c.r.IntN(len(c.p.keys))]
-	if c.r.IntN(10) == 0 { // a client that has not heard that its key is gone
-		for old := range c.p.revoked {
+func (c *client) send(path string) clientRequest {
+	c.env.mu.Lock()
+	key := c.env.keys[c.rand.IntN(len(c.env.keys))]
+	if c.rand.IntN(10) == 0 { // a client that still uses a revoked key
+		for old := range c.env.revoked {
 			key = old
 		}
 	}
-	c.p.mu.Unlock()
-	s := sent{id: fmt.Sprintf("a%012x", c.log.next()), path: path, key: key}
-	c.exchange(&s)
-	c.log.add(s)
+	c.env.mu.Unlock()
+	s := clientRequest{id: fmt.Sprintf("a%012x", c.requests.nextID()), path: path, key: key}
+	c.do(&s)
+	c.requests.add(s)
 	return s
 }
 
-func (c *client) exchange(s *sent) {
+func (c *client) do(s *clientRequest) {
 	if c.conn == nil {
 		conn, err := net.DialTimeout("tcp", c.host.ip+":8625", time.Second)
 		if err != nil {
-			s.at, s.err = time.Now(), err
+			s.sentAt, s.err = time.Now(), err
 			return
 		}
-		c.conn, c.in = conn, bufio.NewReader(conn)
+		c.conn, c.reader = conn, bufio.NewReader(conn)
 	}
-	_ = c.conn.SetDeadline(time.Now().Add(routeTime + 2*time.Second))
-	s.at = time.Now()
-	err := c.write(s)
+	_ = c.conn.SetDeadline(time.Now().Add(routeTimeout + 2*time.Second))
+	s.sentAt = time.Now()
+	err := c.writeRequest(s)
 	var resp *http.Response
 	if err == nil {
-		resp, err = http.ReadResponse(c.in, nil)
+		resp, err = http.ReadResponse(c.reader, nil)
 	}
 	if err == nil {
 		var body []byte
 		body, err = io.ReadAll(resp.Body)
 		s.status, s.body = resp.StatusCode, string(body)
 		if id := platformtest.AttemptID(resp.Header); id != s.id {
-			c.p.t.Errorf("%s got the answer to %q", s.id, id)
+			c.env.t.Errorf("%s got the response to %q", s.id, id)
 		}
 	}
 	s.err = err
-	if err != nil || resp.Close || c.r.IntN(20) == 0 {
-		c.drop()
+	if err != nil || resp.Close || c.rand.IntN(20) == 0 {
+		c.closeConn()
 	}
 }
 
-func (c *client) write(s *sent) error {
+func (c *client) writeRequest(s *clientRequest) error {
 	req, err := http.NewRequest(http.MethodPost, "http://soap.example"+s.path, strings.NewReader("x"))
 	if err != nil {
 		return err
 	}
-	platformtest.Request{AttemptID: s.id, APIKey: s.key, Timeout: routeTime, StageItems: []int{1, 2}, StageInputKey: "k"}.SetHeaders(req.Header)
+	platformtest.Request{AttemptID: s.id, APIKey: s.key, Timeout: routeTimeout, StageItems: []int{1, 2}, StageInputKey: "k"}.SetHeaders(req.Header)
 	return req.Write(c.conn)
 }
 
-// promisedNotRun are statuses by which a request has not run and never will.
-func promisedNotRun(status int) bool {
+// statusMeansNotRun reports whether a status guarantees that the request was not
+// executed and will not be.
+func statusMeansNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests ||
 		status == http.StatusRequestTimeout || status == http.StatusMisdirectedRequest
 }
 
-// repeatable tells whether requests to a path may run more than once, so that one which was
-// refused may have run before.
+// repeatable reports whether requests to a path may be executed more than once. Such a request
+// may have been executed by an earlier attempt although it was refused in the end.
 func repeatable(path string) bool {
 	return strings.HasPrefix(path, "/status") || strings.HasPrefix(path, "/bound")
 }
 
-// judge compares what clients got with what servers ran.
-func (p *place) judge(list []sent) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+// checkRequests compares the responses of clients with the executions of servers.
+func (env *environment) checkRequests(list []clientRequest) {
+	env.mu.Lock()
+	defer env.mu.Unlock()
 	count := map[int]int{}
 	for _, s := range list {
 		count[s.status]++
-		ran := p.ran[s.id]
+		ran := env.executions[s.id]
 		if strings.HasPrefix(s.path, "/transfer") && len(ran) > 1 {
-			p.t.Errorf("%s %s ran on %v", s.id, s.path, ran)
+			env.t.Errorf("%s %s ran on %v", s.id, s.path, ran)
 		}
-		if promisedNotRun(s.status) && len(ran) > 0 && !repeatable(s.path) {
-			p.t.Errorf("%s %s was told %d and ran on %v", s.id, s.path, s.status, ran)
+		if statusMeansNotRun(s.status) && len(ran) > 0 && !repeatable(s.path) {
+			env.t.Errorf("%s %s got status %d but ran on %v", s.id, s.path, s.status, ran)
 		}
-		if gone, ok := p.revoked[s.key]; ok && s.at.Sub(gone) > revokeBound && len(ran) > 0 {
-			p.t.Errorf("%s ran %s after its key was revoked", s.id, s.at.Sub(gone))
+		if revokedAt, ok := env.revoked[s.key]; ok && s.sentAt.Sub(revokedAt) > maxRevocationDelay && len(ran) > 0 {
+			env.t.Errorf("%s was executed although sent %s after its key was revoked", s.id, s.sentAt.Sub(revokedAt))
 		}
-		if strings.Contains(s.path, "bound") && !p.allIn(s.id, farDomain) {
-			p.t.Errorf("%s %s is bound to one region: ran on %v, results of %v", s.id, s.path, ran, p.made[s.id])
+		if strings.Contains(s.path, "bound") && !env.ranOnlyInLocked(s.id, farDomain) {
+			env.t.Errorf("%s %s is bound to another region but ran on %v, with stage results of %v", s.id, s.path, ran, env.results[s.id])
 		}
 		if s.status == http.StatusOK && s.err == nil {
-			p.whole(s)
+			env.checkComplete(s)
 		}
 	}
-	p.judgeCold()
-	p.t.Logf("%d requests, by status: %v", len(list), count)
+	env.checkColdServers()
+	env.t.Logf("%d requests, by status: %v", len(list), count)
 	if count[http.StatusOK] == 0 {
-		p.t.Error("nothing was served")
+		env.t.Error("no request got status 200")
 	}
 }
 
-// judgeCold is called with p.mu held.
-func (p *place) judgeCold() {
-	for _, b := range p.servers {
-		for _, times := range b.cold {
+// checkColdServers checks the request rate of engines while they were cold. It is called with
+// env.mu held.
+func (env *environment) checkColdServers() {
+	for _, b := range env.servers {
+		for _, times := range b.coldRequests {
 			for i := range times {
 				n := 0
 				for _, at := range times[i:] {
-					if at.Sub(times[i]) < coldCount {
+					if at.Sub(times[i]) < coldCountWindow {
 						n++
 					}
 				}
-				if b.Service == "model" && float64(n) > coldMost {
-					p.t.Errorf("%s got %d requests in a second while it was cold", b.ID, n)
+				if b.Service == "model" && float64(n) > maxColdRequests {
+					env.t.Errorf("%s got %d requests in a second while it was cold", b.ID, n)
 				}
 			}
 		}
 	}
 }
 
-func (p *place) whole(s sent) {
+// checkComplete checks the body of a response that ended without an error.
+func (env *environment) checkComplete(s clientRequest) {
 	if !strings.HasPrefix(s.path, "/stream") {
 		if s.body != "answer to "+s.id {
-			p.t.Errorf("%s got %q", s.id, s.body)
+			env.t.Errorf("%s got body %q", s.id, s.body)
 		}
 		return
 	}
@@ -412,26 +422,26 @@
 		want.WriteString("id: " + strconv.Itoa(i) + "\ndata: piece " + strconv.Itoa(i) + "\n\n")
 	}
 	if s.body != want.String() {
-		p.t.Errorf("%s ended as complete with %q", s.id, s.body)
+		env.t.Errorf("%s got a stream that ended without an error but has body %q", s.id, s.body)
 	}
 }
 
-// keepLogs copies the daemons' logs of a failed run.
-func (p *place) keepLogs(seed uint64) {
-	if !p.t.Failed() || *keepFlag == "" {
+// keepLogs copies the daemons' logs of a failed run to the folder of -soak.keep.
+func (env *environment) keepLogs(seed uint64) {
+	if !env.t.Failed() || *keepFlag == "" {
 		return
 	}
 	if err := os.MkdirAll(*keepFlag, 0o700); err != nil {
-		p.t.Logf("logs not kept: %v", err)
+		env.t.Logf("logs not kept: %v", err)
 		return
 	}
-	for _, h := range p.hosts {
+	for _, h := range env.hosts {
 		data, err := os.ReadFile(h.log.Name())
 		if err == nil {
 			err = os.WriteFile(filepath.Join(*keepFlag, fmt.Sprintf("%d-%s.log", seed, h.name)), data, 0o600)
 		}
 		if err != nil {
-			p.t.Logf("log of %s not kept: %v", h.name, err)
+			env.t.Logf("log of %s not kept: %v", h.name, err)
 		}
 	}
 }
