--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -248,7 +248,7 @@
 		}
 		svc, ok := a.service(s.Service)
 		if !ok {
-			continue // the batcher reports the error
+			continue // an unknown service; the request fails with NoServer when it is submitted
 		}
 		at, used := r.position(i), a.inFlight[s.Service]
 		if reserved.services[s.Service] || used.items > 0 && used.plus(s).exceeds(svc.inFlightLimit(at), 1) {
@@ -266,8 +266,8 @@
 	return fits
 }
 
-// smallNeedDivisor: a request that needs less than this fraction of the memory that another
-// request waits for does not delay the other.
+// smallNeedDivisor: a request that needs less than 1/smallNeedDivisor of the memory that
+// another request waits for need not wait behind it, because it hardly delays the other.
 const smallNeedDivisor = 20
 
 // Restart counts the work of a request as in flight again for a repetition. It reports false
--- a/process/stages/coordinator_test.go
+++ b/process/stages/coordinator_test.go
@@ -102,7 +102,7 @@
 	return len(w.freed)
 }
 
-// chain returns a request of two stages: two items of service "floor", and three items of
+// chainRequest returns a request of two stages: two items of service "floor", and three items of
 // service "portal" that need their results.
 func chainRequest(id string) *Request {
 	now := time.Now()
--- a/process/stages/load_test.go
+++ b/process/stages/load_test.go
@@ -297,7 +297,7 @@
 	}
 }
 
-// around returns a random positive number around a mean.
+// randomAround returns a random positive number around a mean.
 func randomAround(r *rand.Rand, mean float64) int { return max(1, int(mean*(0.5+r.Float64())+0.5)) }
 
 // scarceEncodeWorkload has scarce stage servers in three regions: a few servers of one call at
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -143,8 +143,8 @@
 	}
 }
 
-// Waiting returns the number of requests that wait for admission here, and how many of them
-// can no longer meet their target latency (late).
+// Waiting returns the number of requests that wait for admission here: those that can still
+// meet their target latency, and late ones.
 func (p *Pool) Waiting() (onTime, late int) { return p.coordinator.Waiting() }
 
 // notify sends a message that may be lost: a host that misses it finds the change in the
--- a/process/stages/stages.go
+++ b/process/stages/stages.go
@@ -116,7 +116,7 @@
 type Error struct {
 	Stage  int
 	Reason batcher.Reason
-	// RetryAfter is when capacity may be available again; 0: unknown.
+	// RetryAfter is the time until capacity may be available again; 0: unknown.
 	RetryAfter time.Duration
 }
 
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -73,8 +73,9 @@
 }
 
 const (
-	// pendingTimeout is when a prompt stops counting although no host reported its prefill:
-	// the host that should report it has failed, or its message was lost.
+	// pendingTimeout is the time after which a prompt stops counting although no host
+	// reported its prefill: the host that should report it has failed, or its message was
+	// lost.
 	pendingTimeout = 3 * time.Second
 	// prefixTTL is how long a server is expected to keep a prefix: the caches of engines
 	// hold the prompts of a minute, and less during bursts.
@@ -94,7 +95,8 @@
 
 // waitCost returns the cost of a wait for a request with some slack until its target time.
 // The part of the wait that would make the request late counts fully, the rest by waitWeight:
-// prefilling a prefix again elsewhere takes another server's time.
+// prefilling a prefix again elsewhere takes another server's time. For a request that is late
+// already (slack of 0 or less), the whole wait counts by waitWeight.
 func waitCost(wait, slack time.Duration) time.Duration {
 	cost := time.Duration(waitWeight * float64(wait))
 	if over := wait - time.Duration(slackShare*float64(slack)); slack > 0 && over > 0 {
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -106,7 +106,7 @@
 		}
 	}
 	remaining := w.remainingTime(i)
-	domain, remoteBytes := w.domain(i)
+	domain, remoteBytes := w.preferredDomain(i)
 	job := &batcher.Job{
 		Items: items, Domain: domain, RemoteBytes: remoteBytes, AllowedRegions: w.request.AllowedRegions, ResultBytes: s.ResultBytes,
 		TargetTime: w.targetTime.Add(-remaining), Deadline: w.request.Deadline.Add(-remaining),
@@ -124,7 +124,7 @@
 
 // preferredDomain returns the failure domain where the items of a stage are best made, and
 // how many bytes cross domains if they are made elsewhere.
-func (w *requestWork) domain(stage int) (domain string, remoteBytes int64) {
+func (w *requestWork) preferredDomain(stage int) (domain string, remoteBytes int64) {
 	s := &w.request.Stages[stage]
 	bytes := map[string]int64{}
 	domain, mostBytes := w.request.RunDomain, int64(minDomainBytes)
