--- a/process/batcher/job.go
+++ b/process/batcher/job.go
@@ -64,8 +64,8 @@
 const (
 	TooLate    Reason = "late"      // the item cannot complete before its deadline
 	InputLost  Reason = "gone"      // an input no longer exists
-	NoServer   Reason = "no_server" // no server may run the item
-	Failed     Reason = "failed"    // servers failed on it maxAttempts times
+	NoServer   Reason = "no_server" // no server is listed, or none in an allowed region
+	Failed     Reason = "failed"    // calls with items of the job failed maxAttempts times
 	Cancelled  Reason = "cancelled" // the request was cancelled
 	NoCapacity Reason = "no_room"   // the server has no capacity; the item is retried elsewhere or later
 )
@@ -96,6 +96,7 @@
 	return o.CallTime + time.Duration(items)*o.ItemTime
 }
 
-// maxAttempts is how often an item is tried. After a crash and a slow server one attempt
-// remains, and an item that crashes every server reaches only three of them.
+// maxAttempts bounds how often an item is tried: it is the number of calls with failed items
+// after which a job ends. After a crash and a slow server one attempt remains, and an item that
+// crashes every server reaches only three of them.
 const maxAttempts = 3
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -289,11 +289,11 @@
 
 // slotFreeAt returns when the server can start one more call.
 func (q *Queue) slotFreeAt(s *server, now time.Time) time.Time {
-	over := len(s.calls) - q.opts.slotCount()
-	if over < 0 {
+	excess := len(s.calls) - q.opts.slotCount()
+	if excess < 0 {
 		return now
 	}
-	if at := s.expectedEnds()[over]; at.After(now) {
+	if at := s.expectedEnds()[excess]; at.After(now) {
 		return at
 	}
 	return now
--- a/process/batcher/wait.go
+++ b/process/batcher/wait.go
@@ -50,8 +50,8 @@
 // localWaitEnd returns until when a job may wait for a server of its own domain.
 func (q *Queue) localWaitEnd(s *server, j *Job) time.Time {
 	latest := j.TargetTime.Add(-q.jobCallTime(s, j) - localWaitMargin)
-	if most := j.queuedAt.Add(maxLocalWait); most.Before(latest) {
-		return most
+	if maxWaitEnd := j.queuedAt.Add(maxLocalWait); maxWaitEnd.Before(latest) {
+		return maxWaitEnd
 	}
 	return latest
 }
