--- a/process/follow/follow.go
+++ b/process/follow/follow.go
@@ -28,7 +28,7 @@
 // Response is a Source's response to a list or watch request.
 type Response[T any] struct {
 	Objects []Object[T] // all objects for List, the changes for Watch
-	AsOf    Revision
+	AsOf    Revision    // state of the object API that Objects leads to
 	// Age is the time from the source's last confirmation of its data to the arrival of
 	// the request; 0 for the object API, which responds from its own state. It is negative
 	// if the source confirmed its data while the request waited there.
