--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -22,7 +22,7 @@
 	Domain        string // failure domain
 	Region        string // of the failure domain
 	Version       string // software version
-	Slots         int
+	Slots         int    // requests that it runs concurrently
 	Draining      bool
 	ColdRemaining time.Duration // time for which it is still slow after its start
 	StartedUnixMS int64         // start time by the server's own clock, in Unix milliseconds
