--- a/process/coldstart/coldstart_test.go
+++ b/process/coldstart/coldstart_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// Guards against twice the rate or more while hosts are disconnected: half of a fleet
-// lists only itself, the other half lists all hosts.
+// Guards against twice the rate or more while hosts are disconnected: the hosts of one half
+// of a fleet list only that half, those of the other half list all hosts.
 func TestHostsWithDifferentListsStayBelowTwiceTheRate(t *testing.T) {
 	g := NewWithT(t)
 	all, limit := hostNames(80), Limit{RequestsPerSecond: 9.3, ColdDuration: coldTime}
