--- a/process/estimate/estimate.go
+++ b/process/estimate/estimate.go
@@ -1,6 +1,6 @@
 // Package estimate provides running estimates of fixed size that are read and written
-// concurrently without locks. A race between updates may lose one, which the following
-// samples make up for.
+// concurrently without locks. An update may be computed from a value that another one is just
+// replacing; the following samples make up for the error.
 package estimate
 
 import (
