--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -86,7 +86,7 @@
 	set.Int(&o.DropEventEvery, "event-gap", "drop every nth cache event; 0: none", 0, 1000000)
 	set.Duration(&o.OrderDuration, "order-time", "duration of the execution of an order", 0, time.Hour)
 	set.String(&o.WeightStoreURL, "weights", "base URL of the weight store; empty: none", nil)
-	set.Bool(&o.EnforceFencing, "fencing", "refuse orders with an outdated fencing token")
+	set.Bool(&o.EnforceFencing, "fencing", "refuse orders with an outdated fencing number")
 }
 
 // serve serves h on addr and prints the address of the listener, which callers
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -30,7 +30,7 @@
 	ResponseTokens int           // tokens of each response
 	ReportMaxAge   time.Duration // age at which the load report is renewed
 	CacheCapacity  int           // prompt prefixes
-	EnforceFencing bool          // refuse orders with a stale fencing token
+	EnforceFencing bool          // refuse orders with a stale fencing number
 	InitialModel   string        // model loaded at the start
 	OrderDuration  time.Duration // time to apply an accepted order
 	EventDelay     time.Duration // age at which a cache event is published
@@ -60,7 +60,7 @@
 	Slots     int      `json:"slots"`
 	Models    []string `json:"models"` // loaded models
 	Role      string   `json:"role"`
-	Fence     uint64   `json:"fence"`             // highest fencing token received
+	Fence     uint64   `json:"fence"`             // highest fencing number received
 	Leaving   bool     `json:"leaving,omitempty"` // the server will leave; it still accepts work
 	createdAt time.Time
 }
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -12,22 +12,22 @@
 
 // Order is the complete desired state of an engine, not a change to it.
 type Order struct {
-	Fence  uint64   `json:"fence"` // fencing token of the sender's lease
+	Fence  uint64   `json:"fence"` // fencing number of the sender's lease
 	Models []string `json:"models"`
 	Role   string   `json:"role"`
 }
 
-// orderState is the state set by orders. appliedFences records the fencing tokens
+// orderState is the state set by orders. appliedFences records the fencing numbers
 // in the order of application, so that tests can detect a late order of a previous
 // lease holder.
 type orderState struct {
-	fence         uint64 // highest fencing token received
+	fence         uint64 // highest fencing number received
 	models        []string
 	role          string
 	appliedFences []uint64
 }
 
-// handleOrder applies an order, unless its fencing token is stale when it is received
+// handleOrder applies an order, unless its fencing number is stale when it is received
 // or after its preparation.
 func (e *Engine) handleOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
@@ -36,7 +36,7 @@
 		return
 	}
 	if !e.recordFence(o) {
-		http.Error(w, "stale fencing token", http.StatusPreconditionFailed)
+		http.Error(w, "stale fencing number", http.StatusPreconditionFailed)
 		return
 	}
 	if err := e.prepareOrder(r, o); err != nil {
@@ -55,7 +55,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// recordFence records the fencing token of an order. It returns false if the token
+// recordFence records the fencing number of an order. It returns false if the number
 // is stale and fencing is enforced.
 func (e *Engine) recordFence(o Order) bool {
 	e.mu.Lock()
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// AppliedFences returns the fencing tokens of the applied orders, in the order of
+// AppliedFences returns the fencing numbers of the applied orders, in the order of
 // application.
 func (e *Engine) AppliedFences() []uint64 {
 	e.mu.Lock()
--- a/process/lease/elector.go
+++ b/process/lease/elector.go
@@ -53,7 +53,7 @@
 
 // record is the stored lease.
 type record struct {
-	Fence    uint64 `json:"fence"` // fencing token
+	Fence    uint64 `json:"fence"` // fencing number
 	Host     string `json:"host"`
 	Nonce    string `json:"nonce"`    // unique to each write
 	TTL      int64  `json:"ttl"`      // milliseconds
@@ -79,7 +79,7 @@
 
 	mu               sync.Mutex
 	held             *heldLease
-	highestSeenFence uint64 // highest fencing token reported by an engine
+	highestSeenFence uint64 // highest fencing number reported by an engine
 
 	// Guarded by stepMu.
 	pendingWrites   []pendingWrite
@@ -219,8 +219,8 @@
 	e.acquire(ctx, obj, rec)
 }
 
-// acquire takes the free lease. The new fencing token exceeds the object's
-// version as well as the previous token: versions of the store only increase,
+// acquire takes the free lease. The new fencing number exceeds the object's
+// version as well as the previous number: versions of the store only increase,
 // even when the object was deleted or restored with older content.
 func (e *Elector) acquire(ctx context.Context, obj objectapi.Object, rec record) {
 	e.mu.Lock()
@@ -248,8 +248,8 @@
 	}
 }
 
-// Invalidate drops the lease held under the token fence after an engine has
-// reported the higher token seen. Later tokens exceed seen, so that engines
+// Invalidate drops the lease held under the number fence after an engine has
+// reported the higher number seen. Later numbers exceed seen, so that engines
 // accept orders again after the platform was restored to an older state.
 func (e *Elector) Invalidate(fence, seen uint64) {
 	e.mu.Lock()
--- a/process/lease/elector_test.go
+++ b/process/lease/elector_test.go
@@ -145,7 +145,7 @@
 
 // While the platform is down, no host acquires the lease and the holder stops
 // by its own clock. When the platform is back, the old holder continues under
-// the same fencing token if no other host has acquired the lease.
+// the same fencing number if no other host has acquired the lease.
 func TestPlatformDownMeansNoNewHolder(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
 	c := newTestCluster(2)
@@ -169,9 +169,9 @@
 }
 
 // The lease object is deleted, or replaced by an older copy, while a holder
-// acts. Fencing tokens must not start again from 1: engines would refuse the
+// acts. Fencing numbers must not start again from 1: engines would refuse the
 // new holder, or accept orders of both.
-func TestFencingTokenRisesAcrossDeletionAndRestore(t *testing.T) {
+func TestFencingNumberRisesAcrossDeletionAndRestore(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
 	c := newTestCluster(2)
 	first := c.acquire(g, 0)
@@ -216,8 +216,8 @@
 
 // Random interleavings of steps, time, suspensions of one process between and
 // inside calls, lost responses, outages, deletions, restarts and releases. At
-// most one host may hold the lease at any time, no fencing token may have two
-// holders, and tokens only increase. Time passes at the same rate on all hosts;
+// most one host may hold the lease at any time, no fencing number may have two
+// holders, and numbers only increase. Time passes at the same rate on all hosts;
 // their clocks show different times.
 func TestAtMostOneHolder(t *testing.T) {
 	for name, value := range map[string]string{"rapid.seed": "1", "rapid.checks": "1500", "rapid.nofailfile": "true"} {
@@ -270,10 +270,10 @@
 				}
 				acting++
 				if owners[fence] == nil {
-					g.Expect(fence).To(BeNumerically(">", last), "fencing tokens only increase")
+					g.Expect(fence).To(BeNumerically(">", last), "fencing numbers only increase")
 					owners[fence], last = h, fence
 				}
-				g.Expect(owners[fence] == h).To(BeTrue(), "a fencing token has two holders")
+				g.Expect(owners[fence] == h).To(BeTrue(), "a fencing number has two holders")
 			}
 			g.Expect(acting).To(BeNumerically("<=", 1), "two hosts hold the lease")
 		}
--- a/process/order/order.go
+++ b/process/order/order.go
@@ -18,13 +18,13 @@
 )
 
 // ErrStaleFence is returned by Sender.Send when the engine refused the order
-// because it has seen a higher fencing token.
-var ErrStaleFence = errors.New("order: stale fencing token")
+// because it has seen a higher fencing number.
+var ErrStaleFence = errors.New("order: stale fencing number")
 
 // Order is the complete desired state of an engine, independent of its current
 // state.
 type Order struct {
-	Fence  uint64   `json:"fence"`  // fencing token of the lease
+	Fence  uint64   `json:"fence"`  // fencing number of the lease
 	Models []string `json:"models"` // model/adapter@version
 	Role   string   `json:"role"`
 }
@@ -35,7 +35,7 @@
 	Address string
 	Models  []string // sorted
 	Role    string
-	// ChecksFencing is set if the engine refuses stale fencing tokens.
+	// ChecksFencing is set if the engine refuses stale fencing numbers.
 	ChecksFencing bool
 	// LastReported is the state in the engine's last load report, or nil. An
 	// engine that reports its desired state is sent no request.
@@ -46,14 +46,14 @@
 type State struct {
 	Models []string
 	Role   string
-	Fence  uint64 // highest fencing token seen; 0 if the engine checks none
+	Fence  uint64 // highest fencing number seen; 0 if the engine checks none
 }
 
 // Sender sends requests to engines. Implementations are safe for concurrent
 // use.
 type Sender interface {
 	// Send returns an error that wraps ErrStaleFence if the engine refused the
-	// fencing token.
+	// fencing number.
 	Send(ctx context.Context, address string, o Order) error
 	// ReadState returns the engine's current state.
 	ReadState(ctx context.Context, address string) (State, error)
@@ -62,8 +62,8 @@
 // Lease is the lease under which orders are sent.
 type Lease interface {
 	lease.Holder
-	// Invalidate drops the lease held under the token fence after an engine has
-	// reported the higher token seen.
+	// Invalidate drops the lease held under the number fence after an engine has
+	// reported the higher number seen.
 	Invalidate(fence, seen uint64)
 	// Release lets the next holder acquire the lease without waiting. No order
 	// may be in flight.
@@ -248,7 +248,7 @@
 // sendOrder sends one order and reports whether the engine accepted it. It
 // checks the lease right before the write with the current time, so that a
 // process that was suspended past its lease sends nothing. The order ends
-// within the margin of the lease: on an engine that checks no fencing tokens it
+// within the margin of the lease: on an engine that checks no fencing numbers it
 // is over before the next holder starts. The remaining gap is a process
 // suspended between this check and the write; see docs/design/leases.md.
 func (m *Manager) sendOrder(ctx context.Context, t Target) bool {
--- a/process/order/order_test.go
+++ b/process/order/order_test.go
@@ -150,7 +150,7 @@
 // The holder's process is suspended past its lease before it checks the lease.
 // Another host acquires the lease and sends its own orders. The resumed holder
 // finds its lease expired by its own clock and sends nothing, whether or not
-// engines check fencing tokens.
+// engines check fencing numbers.
 func TestHolderPastItsLeaseSendsNothing(t *testing.T) {
 	for _, fencing := range []bool{true, false} {
 		t.Run(fmt.Sprint("fencing=", fencing), func(t *testing.T) {
@@ -170,7 +170,7 @@
 
 // The worst case: the holder is suspended after it checked the lease and before
 // its order is written. When it resumes, the order goes out late, under another
-// host's lease. Engines that check fencing tokens refuse it, and the old holder
+// host's lease. Engines that check fencing numbers refuse it, and the old holder
 // drops its lease. On other engines it takes effect, which the sender cannot
 // prevent; orders are absolute, so the next holder reads the wrong state and
 // corrects it.
@@ -204,10 +204,10 @@
 }
 
 // The platform was restored to an older state and assigns lower versions again,
-// so a holder's fencing token is below what engines have seen. They refuse its
-// orders; it drops the lease, acquires it again with a higher token, and its
+// so a holder's fencing number is below what engines have seen. They refuse its
+// orders; it drops the lease, acquires it again with a higher number, and its
 // orders are accepted.
-func TestHolderBelowTheEnginesTokenReacquiresAboveIt(t *testing.T) {
+func TestHolderBelowTheEnginesNumberReacquiresAboveIt(t *testing.T) {
 	d := newTestDomain(t, 1, true)
 	ctx := context.Background()
 	const seen = 1 << 40
--- a/process/order/suspended_test.go
+++ b/process/order/suspended_test.go
@@ -58,7 +58,7 @@
 // The holder is a real process that is suspended with SIGSTOP past its lease.
 // Another host acquires the lease and sends other orders. Then the first
 // process is continued: its timers are due and it orders its own model. An
-// engine that checks fencing tokens accepts nothing from it; one that does not
+// engine that checks fencing numbers accepts nothing from it; one that does not
 // check them ends in the state that the current holder orders. The process may
 // have been suspended between the check of the lease and the write, so a single
 // late order is allowed on such an engine; the new holder has to correct it.
@@ -113,7 +113,7 @@
 			} else {
 				g.Expect(late).To(BeNumerically("<=", 1))
 			}
-			t.Logf("fencing tokens of the orders applied: %v; orders sent by the next holder: %d", e.AppliedFences(), manager.Counters.Sent.Load())
+			t.Logf("fencing numbers of the orders applied: %v; orders sent by the next holder: %d", e.AppliedFences(), manager.Counters.Sent.Load())
 		})
 	}
 }
