--- a/process/lease/elector.go
+++ b/process/lease/elector.go
@@ -248,9 +248,9 @@
 	}
 }
 
-// Invalidate drops the lease held under the number fence after an engine has
-// reported the higher number seen. Later numbers exceed seen, so that engines
-// accept orders again after the platform was restored to an older state.
+// Invalidate drops the lease held with the fencing number fence after an engine
+// has reported the higher number seen. Later numbers exceed seen, so that
+// engines accept orders again after the platform was restored to an older state.
 func (e *Elector) Invalidate(fence, seen uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/process/lease/elector_test.go
+++ b/process/lease/elector_test.go
@@ -93,8 +93,9 @@
 }
 
 // The holder's process is suspended past the end of its lease, as by SIGSTOP,
-// and another host acquires it. When the process resumes, Held has to be false
-// at once, before any request to the platform.
+// and another host acquires it. Held has to become false by the holder's own
+// clock, without a request to the platform, and stay false after the process
+// has resumed and sent one.
 func TestHolderSuspendedPastItsLeaseDoesNotHoldItOnResume(t *testing.T) {
 	g, ctx := NewWithT(t), context.Background()
 	c := newTestCluster(2)
--- a/process/order/order.go
+++ b/process/order/order.go
@@ -62,8 +62,8 @@
 // Lease is the lease under which orders are sent.
 type Lease interface {
 	lease.Holder
-	// Invalidate drops the lease held under the number fence after an engine has
-	// reported the higher number seen.
+	// Invalidate drops the lease held with the fencing number fence after an
+	// engine has reported the higher number seen.
 	Invalidate(fence, seen uint64)
 	// Release lets the next holder acquire the lease without waiting. No order
 	// may be in flight.
@@ -104,8 +104,10 @@
 	}
 }
 
-// Counters are the totals of a Manager since its start. LeaseNotHeld counts
-// orders that were not sent because the lease had expired in the meantime.
+// Counters are the totals of a Manager since its start. Sent counts orders sent,
+// Confirmed those whose result showed in the engine's state, Failed those for
+// which Sender.Send returned an error, and LeaseNotHeld orders that were not sent
+// because the lease was no longer held.
 type Counters struct {
 	Sent, Confirmed, Failed, LeaseNotHeld atomic.Int64
 }
