--- a/process/admission/admission_test.go
+++ b/process/admission/admission_test.go
@@ -248,9 +248,9 @@
 	})
 }
 
-// For any demands and weights, the fair shares add up to the admitted part of
-// the demand: no account that requests less than its share is limited, and
-// none gets more per unit of weight than an account that is limited.
+// For any demands and weights, the shares of all accounts add up to the admitted
+// part of the demand. The share of an account is its demand, but at most its
+// weight times the fair-share level.
 func TestSharesAreMaxMin(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := newAccountTable()
@@ -279,8 +279,8 @@
 	})
 }
 
-// More accounts than the table has entries must neither grow it nor go
-// untracked.
+// There are more accounts than the table has entries: those that find no free
+// entry share the overflow entry, and an earlier account keeps its own.
 func TestAccountsBeyondTableCapacityShareOneEntry(t *testing.T) {
 	g := NewWithT(t)
 	a := newAccountTable()
