--- a/process/release/distributor_bench_test.go
+++ b/process/release/distributor_bench_test.go
@@ -174,10 +174,10 @@
 // BenchmarkInForce measures the time from the acceptance of a change to its
 // activation on all hosts, without faults.
 func BenchmarkInForce(b *testing.B) {
-	for _, hold := range []time.Duration{0, 100 * time.Millisecond, 250 * time.Millisecond} {
+	for _, activationDelay := range []time.Duration{0, 100 * time.Millisecond, 250 * time.Millisecond} {
 		for _, n := range []int{6, 12, 24, 48} {
-			b.Run(fmt.Sprintf("hold=%s/hosts=%d", hold, n), func(b *testing.B) {
-				fl := benchFleet(b, n, hold)
+			b.Run(fmt.Sprintf("hold=%s/hosts=%d", activationDelay, n), func(b *testing.B) {
+				fl := benchFleet(b, n, activationDelay)
 				calls0, bytes0, most0 := fl.traffic()
 				var all [][]time.Duration
 				for i := range b.N {
--- a/process/release/distributor_test.go
+++ b/process/release/distributor_test.go
@@ -16,8 +16,8 @@
 
 // All hosts follow a release, but only two of the twelve hosts of each domain
 // watch the platform: it counts each waiting watch, and its call rate does not
-// grow with the fleet. The watcher timeout is long: hosts that rightly take over from
-// watchers which they did not hear of in time are another test's subject.
+// grow with the fleet. The watcher timeout is long: other hosts that watch
+// because no watcher reported a response in time are the subject of another test.
 func TestFewHostsOfADomainWatchThePlatform(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
@@ -82,7 +82,7 @@
 }
 
 // The platform is slow and loses the responses to writes. Publishing takes
-// longer, and every host still follows every release in order.
+// longer, and every host still activates every release.
 func TestSlowPlatformThatLosesResponses(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
@@ -198,9 +198,9 @@
 }
 
 // The platform is restored to an earlier state, so its versions are below those
-// that the watches have seen. Hosts keep the release in force and report that
-// the platform is behind; publishers refuse edits because of the high-water
-// mark. After Recover all hosts follow again and never go back.
+// that the watches have seen. A watcher keeps the release in force and reports
+// that the platform is behind; publishers refuse edits because of the
+// high-water mark. After Recover all hosts follow again.
 func TestRestoredPlatformIsReportedAndRecovered(t *testing.T) {
 	g := NewWithT(t)
 	fl := newFleet(g)
--- a/process/release/publisher_test.go
+++ b/process/release/publisher_test.go
@@ -285,11 +285,11 @@
 	once sync.Once
 }
 
-func (b *hookStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
-	if key == b.key {
-		b.once.Do(b.hook)
+func (h *hookStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+	if key == h.key {
+		h.once.Do(h.hook)
 	}
-	return b.Store.Put(ctx, key, value, expect)
+	return h.Store.Put(ctx, key, value, expect)
 }
 
 // Tables over the value limit of the platform are split, and still accepted by
@@ -322,11 +322,11 @@
 	key string
 }
 
-func (d *failingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
-	if key == d.key {
+func (f *failingStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+	if key == f.key {
 		return 0, objectapi.ErrUnavailable
 	}
-	return d.Store.Put(ctx, key, value, expect)
+	return f.Store.Put(ctx, key, value, expect)
 }
 
 // History lists only accepted releases, and a rollback is a new release with
--- a/process/release/status.go
+++ b/process/release/status.go
@@ -13,8 +13,8 @@
 	Watching bool `json:"watching"`
 	// PlatformHead is the release number of the head that this host read last.
 	PlatformHead uint64 `json:"platform_head"`
-	// PlatformLastResponse is when the platform last answered this host or, as
-	// reported by peers, another host of its failure domain.
+	// PlatformLastResponse is when the platform last responded to this host or,
+	// as reported by peers, to another host of its failure domain.
 	PlatformLastResponse time.Time `json:"platform_heard,omitzero"`
 	// Faults are the texts of the active faults; see Follower.Err.
 	Faults []string `json:"faults,omitempty"`
--- a/process/release/watch.go
+++ b/process/release/watch.go
@@ -52,7 +52,7 @@
 	f.platform.roundTrip.update(d)
 }
 
-// platformLastResponse returns when the platform last answered this host; zero
+// platformLastResponse returns when the platform last responded to this host; zero
 // if the last watch failed or none runs.
 func (f *Follower) platformLastResponse() time.Time {
 	f.mu.Lock()
@@ -224,8 +224,8 @@
 	f.faults.set(faultPlatformUnreachable, err)
 }
 
-// backoff waits for a random delay that doubles with each consecutive failure
-// up to maxWatchBackoff, and counts the failure.
+// backoff waits for a random delay, whose bound doubles with each consecutive
+// failure up to maxWatchBackoff, and counts the failure.
 func (f *Follower) backoff(ctx context.Context, failures *int) {
 	limit := min(initialBackoff<<min(*failures, 10), maxWatchBackoff)
 	*failures++
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -26,9 +26,9 @@
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
 	Hash     string
-	// PlatformAgeMillis is the time since the platform last answered a watcher
-	// of the host's domain, as far as the host has learned; negative if it has
-	// learned of no answer.
+	// PlatformAgeMillis is the time since the platform last responded to a
+	// watcher of the host's failure domain, as far as the host has learned;
+	// negative if it has learned of no response.
 	PlatformAgeMillis int64
 }
 
@@ -41,7 +41,7 @@
 	Root     string
 }
 
-// fetchRequest asks for the newest release of the receiver; Number and Hash are
+// fetchRequest requests the newest release of the receiver; Number and Hash are
 // those of the newest release of the sender.
 type fetchRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
