--- a/process/claim/manager.go
+++ b/process/claim/manager.go
@@ -99,8 +99,8 @@
 }
 
 // checkOwnTicket verifies a ticket that names this incarnation as its minter, and
-// before the first use its expiry. It returns false with the
-// refusal if the ticket may not run.
+// before the first use its expiry. It returns false with the refusal if the
+// ticket may not run.
 func (m *Manager) checkOwnTicket(id ID, key Key, t *Ticket) (Result, bool) {
 	if m.minter.verify(key.Key, key.Account) != nil {
 		return Result{State: UnknownTicket}, false
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -73,6 +73,7 @@
 	// Acquire reserves server for the suspect fp. It returns false if another
 	// suspect has the server. After true, Release follows once.
 	Acquire(server string, fp Fingerprint) bool
+	// Release ends the reservation of server.
 	Release(server string)
 	// Released returns a channel that is closed at the next Release of any server.
 	Released() <-chan struct{}
