--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -31,7 +31,7 @@
 func defaultPolicyOptions() PolicyOptions {
 	a, p := admission.DefaultOptions(), pick.DefaultOptions("", "", "")
 	return PolicyOptions{
-		TargetLoad: a.TargetLoad, BackgroundMaxLoad: a.BackgroundMaxLoad, RemoteSpilloverLoad: p.RemoteSpilloverLoad, RemoteLoadPerMB: p.RemoteLoadPerMB,
+		TargetLoad: a.TargetLoad, BackgroundMaxLoad: a.BackgroundMaxLoad, RemoteSpilloverLoad: p.RemoteSpilloverLoad, RemoteLoadPerMB: p.MinRemoteGainPerMB,
 		RegionSubsetSize: p.RegionSubsetSize, RemoteSubsetSize: p.RemoteSubsetSize, LoadReportsPerSecond: 2,
 	}
 }
@@ -80,7 +80,7 @@
 // newPicker returns the picker for a pool of a new snapshot.
 func (h *Host) newPicker(_ table.Pool, servers []pick.Server) pick.Picker {
 	o := pick.DefaultOptions(h.opts.Name, h.opts.Domain, h.opts.Region)
-	o.RemoteSpilloverLoad, o.RemoteLoadPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.RemoteLoadPerMB
+	o.RemoteSpilloverLoad, o.MinRemoteGainPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.RemoteLoadPerMB
 	o.RegionSubsetSize, o.RemoteSubsetSize = h.opts.Policy.RegionSubsetSize, h.opts.Policy.RemoteSubsetSize
 	return pick.NewLocalityPicker(o, servers)
 }
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -17,7 +17,9 @@
 	// servers' last reports.
 	ReportedInFlight    float64
 	OwnInFlightAtReport float64
-	ProbesDue           int // ejected servers that a request would probe now
+	// ProbesDue is the number of ejected servers that are due for a trial request. Admission
+	// probes a pool that is down only if there is one.
+	ProbesDue int
 }
 
 // usableSpareFraction is the fraction of the free slots of servers in other regions that Load
--- a/version/pick/locality.go
+++ b/version/pick/locality.go
@@ -31,7 +31,7 @@
 	MaxRemoteLoad float64
 	// RemoteLoadPerMB is the minimum difference between the loads of the own region and of a
 	// server in another region, for each billed megabyte of input sent there.
-	RemoteLoadPerMB float64
+	MinRemoteGainPerMB float64
 	// MaxAffinityLoadFactor is the load up to which a server receives requests for the
 	// prefixes assigned to it, as a multiple of the mean load of its tier.
 	MaxAffinityLoadFactor float64
@@ -51,7 +51,7 @@
 func DefaultOptions(host, domain, region string) Options {
 	return Options{
 		Host: host, Domain: domain, Region: region, RegionSubsetSize: 8, RemoteSubsetSize: 4,
-		SpilloverLoad: 1, RemoteSpilloverLoad: 1.6, DegradedSpilloverLoad: 1.2, MaxRemoteLoad: .8, RemoteLoadPerMB: 1,
+		SpilloverLoad: 1, RemoteSpilloverLoad: 1.6, DegradedSpilloverLoad: 1.2, MaxRemoteLoad: .8, MinRemoteGainPerMB: 1,
 		MaxAffinityLoadFactor: 1.25, SlowStartDuration: 5 * time.Second, MaxReportAge: 15 * time.Second, MaxEjectedFraction: .5,
 	}
 }
@@ -177,7 +177,7 @@
 // billed transfer of the input, compared with load here in the own region.
 func (p *LocalityPicker) remoteIsBetter(attempt *Attempt, here, there float64) bool {
 	const megabyte = 1 << 20
-	return there < p.opts.MaxRemoteLoad && here-there >= p.opts.RemoteLoadPerMB*float64(attempt.InputBytes)/megabyte
+	return there < p.opts.MaxRemoteLoad && here-there >= p.opts.MinRemoteGainPerMB*float64(attempt.InputBytes)/megabyte
 }
 
 // chooseFromTier returns the best usable server of t and its load, or nil if there is none.
