--- a/entryhost/vars.go
+++ b/entryhost/vars.go
@@ -17,7 +17,7 @@
 	h.vars.Set("requests_completed", expvar.Func(func() any { return c.Completed.Load() }))
 	h.vars.Set("requests_refused", expvar.Func(func() any { return c.Refused.Load() }))
 	h.vars.Set("requests_failed", expvar.Func(func() any { return c.Failed.Load() }))
-	h.vars.Set("refusals_unlogged", expvar.Func(func() any { return c.UnloggedRefusals.Load() }))
+	h.vars.Set("refusals_unlogged", expvar.Func(func() any { return c.UnloggedErrors.Load() }))
 	h.vars.Set("release", expvar.Func(func() any {
 		rel, _ := h.releases.follower.Current()
 		return rel.Number
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -170,8 +170,8 @@
 	}
 }
 
-// FuzzHeaders sends arbitrary headers. Each request must get a complete response or a problem
-// of a known kind, and no stage may have been called if the problem says "not run".
+// FuzzHeaders sends arbitrary headers. Each response must have status 200 or be a problem of a
+// known kind, and no stage may have been called if the problem says "not run".
 func FuzzHeaders(f *testing.F) {
 	f.Add("depot", "k1", "2s", "id", StreamMediaType, "{}")
 	f.Add(strings.Repeat("a", 200), "", "-1s", "", "", "")
--- a/request/entry/record.go
+++ b/request/entry/record.go
@@ -19,7 +19,7 @@
 		span.SetStatus(codes.Error, e.Detail)
 	}
 	if c.LogLimit != nil && !c.LogLimit.AllowN(c.Clock.Now(), 1) {
-		c.Counters.UnloggedRefusals.Add(1)
+		c.Counters.UnloggedErrors.Add(1)
 		return
 	}
 	c.Log.Info("request refused", "request", c.id, "trace", telemetry.TraceID(c.r.Context()),
--- a/request/entry/response.go
+++ b/request/entry/response.go
@@ -14,10 +14,10 @@
 
 // Counters count responses for expvar.
 type Counters struct {
-	Completed        atomic.Int64
-	Refused          atomic.Int64 // errors with "ran: no"
-	Failed           atomic.Int64 // all other errors
-	UnloggedRefusals atomic.Int64 // errors not logged because of Handler.LogLimit
+	Completed      atomic.Int64
+	Refused        atomic.Int64 // errors with "ran: no"
+	Failed         atomic.Int64 // all other errors
+	UnloggedErrors atomic.Int64 // errors not logged because of Handler.LogLimit
 }
 
 // StreamMediaType is the media type of a streamed response: one JSON chunk per line, with
