--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -87,7 +87,7 @@
 func diffRows(base *Base, want map[string]json.RawMessage) []release.Change {
 	var out []release.Change
 	for key, row := range base.Rows {
-		if _, kept := want[key]; !kept {
+		if _, exists := want[key]; !exists {
 			out = append(out, release.Change{Key: key, Delete: true, BaseVersion: row.Version})
 		}
 	}
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -108,7 +108,7 @@
 		}
 	}
 	for field, text := range before {
-		if _, kept := after[field]; !kept {
+		if _, exists := after[field]; !exists {
 			out = append(out, FieldChange{Row: c.Key, Field: field, Old: text})
 		}
 	}
--- a/internal/ctl/hosts.go
+++ b/internal/ctl/hosts.go
@@ -43,9 +43,9 @@
 // is that of reading the CA file.
 func NewAdminClient(opts AdminClientOptions) (*AdminClient, error) {
 	tr := &http.Transport{Proxy: nil}
-	h := &AdminClient{opts: opts, scheme: "http", client: &http.Client{Timeout: callTimeout, Transport: tr}}
+	c := &AdminClient{opts: opts, scheme: "http", client: &http.Client{Timeout: callTimeout, Transport: tr}}
 	if opts.CAFile == "" {
-		return h, nil
+		return c, nil
 	}
 	pem, err := os.ReadFile(opts.CAFile)
 	if err != nil {
@@ -56,8 +56,8 @@
 		return nil, fmt.Errorf("--admin-ca: %s holds no certificate", opts.CAFile)
 	}
 	tr.TLSClientConfig = &tls.Config{RootCAs: roots, MinVersion: tls.VersionTLS12}
-	h.scheme = "https"
-	return h, nil
+	c.scheme = "https"
+	return c, nil
 }
 
 // statusError is the error of an admin call that the entry host refused.
@@ -71,7 +71,7 @@
 
 // call sends one admin call to the entry host at addr. It sends in as JSON and
 // decodes the response into out; both may be nil.
-func (h *AdminClient) call(ctx context.Context, method, addr, path string, in, out any) error {
+func (c *AdminClient) call(ctx context.Context, method, addr, path string, in, out any) error {
 	var body []byte
 	if in != nil {
 		data, err := json.Marshal(in)
@@ -80,14 +80,14 @@
 		}
 		body = data
 	}
-	req, err := http.NewRequestWithContext(ctx, method, h.scheme+"://"+addr+path, bytes.NewReader(body))
+	req, err := http.NewRequestWithContext(ctx, method, c.scheme+"://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return fmt.Errorf("build request: %w", err)
 	}
-	if h.opts.Token != "" {
-		req.Header.Set("Authorization", "Bearer "+h.opts.Token)
+	if c.opts.Token != "" {
+		req.Header.Set("Authorization", "Bearer "+c.opts.Token)
 	}
-	resp, err := h.client.Do(req)
+	resp, err := c.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -127,10 +127,10 @@
 
 // callEach calls all entry hosts concurrently and returns the results in the
 // order of their addresses.
-func callEach[T any](ctx context.Context, h *AdminClient, call func(ctx context.Context, addr string) (T, error)) []hostResult[T] {
-	out := make([]hostResult[T], len(h.opts.Addresses))
+func callEach[T any](ctx context.Context, c *AdminClient, call func(ctx context.Context, addr string) (T, error)) []hostResult[T] {
+	out := make([]hostResult[T], len(c.opts.Addresses))
 	var g errgroup.Group
-	for i, addr := range h.opts.Addresses {
+	for i, addr := range c.opts.Addresses {
 		g.Go(func() error {
 			v, err := call(ctx, addr)
 			out[i] = hostResult[T]{addr, v, err}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -202,7 +202,7 @@
 }
 
 // errorKind returns the kind of error of a response, or an empty string if the
-// response is complete. A stream without its final chunk is cut.
+// response is complete. The kind of a stream without its final chunk is "cut".
 func errorKind(resp *http.Response, body []byte) string {
 	if resp.StatusCode != http.StatusOK {
 		var p entry.Problem
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -150,10 +150,10 @@
 		if err := m.call(); err != nil {
 			return err
 		}
-		took := time.Since(start)
+		elapsed := time.Since(start)
 		if record {
 			m.mu.Lock()
-			_ = m.latencies.RecordValue(took.Nanoseconds())
+			_ = m.latencies.RecordValue(elapsed.Nanoseconds())
 			m.mu.Unlock()
 		}
 	}
--- a/internal/replay/bound.go
+++ b/internal/replay/bound.go
@@ -228,19 +228,19 @@
 // surplus returns the worth of a request less the price of its slot seconds in the
 // cheapest buckets, or 0, and adds these to used if it is positive.
 func (b *dualBound) surplus(x *requestDemand) float64 {
-	left := x.worth
+	surplus := x.worth
 	var bucket [16]int
 	for k, p := range x.pools {
 		bucket[k] = cheapestBucket(b.price[p], x.firstBucket, x.lastBucket)
-		left -= b.price[p][bucket[k]] * x.slotSeconds[k]
+		surplus -= b.price[p][bucket[k]] * x.slotSeconds[k]
 	}
-	if left <= 0 {
+	if surplus <= 0 {
 		return 0
 	}
 	for k, p := range x.pools {
 		b.used[p][bucket[k]] += x.slotSeconds[k]
 	}
-	return left
+	return surplus
 }
 
 // cheapestBucket returns the first of the cheapest buckets from first to last.
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -110,11 +110,11 @@
 // request fails if no server can be picked.
 func (req *request) tryServer() {
 	st := &req.route.Stages[req.stageIndex]
-	info := pick.Attempt{
+	pickAttempt := pick.Attempt{
 		Now: req.time(), Rand: req.rand, PrefixHash: req.prefixHash(), Class: req.route.Class,
 		InputBytes: req.record.Bytes[req.stageIndex], Exclude: req.tried,
 	}
-	srv, err := req.pickers[st.Pool].Pick(&info)
+	srv, err := req.pickers[st.Pool].Pick(&pickAttempt)
 	if err != nil {
 		req.endRequest(admission.Failed)
 		return
--- a/internal/replay/server.go
+++ b/internal/replay/server.go
@@ -88,16 +88,16 @@
 // of its service time, and the server restarts after restartDelay.
 func (s *fakeServer) start(t *task) {
 	t.state, t.startedAt = taskRunning, s.now
-	took := float64(t.serviceTime)
+	workNanos := float64(t.serviceTime)
 	if s.engine {
 		if t.prefixCached = s.usePrefix(t.prefix); !t.prefixCached {
-			took += float64(t.prefillTime)
+			workNanos += float64(t.prefillTime)
 		}
 	}
-	t.endAt = s.now + time.Duration(took*s.slowdown)
+	t.endAt = s.now + time.Duration(workNanos*s.slowdown)
 	s.running = append(s.running, t)
 	if t.poison {
-		s.scheduleAfter(time.Duration(took/4), func() { s.crash(); s.scheduleAfter(restartDelay, s.restart) })
+		s.scheduleAfter(time.Duration(workNanos/4), func() { s.crash(); s.scheduleAfter(restartDelay, s.restart) })
 	}
 	s.schedule(t.endAt, func() {
 		if t.state == taskRunning {
--- a/internal/settings/version.go
+++ b/internal/settings/version.go
@@ -3,7 +3,7 @@
 import "runtime/debug"
 
 // revisionDigits is the number of digits of the revision in a version. They
-// identify a revision.
+// are enough to identify it.
 const revisionDigits = 12
 
 // Version returns the version of this build: that of the module and, if the
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -57,7 +57,7 @@
 	return false
 }
 
-// appendEvent records an event, or drops it if its number is due to be lost.
+// appendEvent records an event, or drops it if its number is a multiple of dropEvery.
 func (c *cache) appendEvent(kind, prefix string, now time.Time) {
 	c.seq++
 	if c.dropEvery > 0 && c.seq%uint64(c.dropEvery) == 0 {
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -43,26 +43,26 @@
 		return nil, e
 	}
 	isolated := verdict == quarantine.Isolated && x.Isolator != nil
-	info := pick.Attempt{
+	pickAttempt := pick.Attempt{
 		Now: x.Clock.Now(), Rand: x.Rand, InputBytes: len(in), Exclude: x.triedServers,
 		Class: x.req.Route.Class, PrefixHash: xxhash.Sum64(in[:min(len(in), affinityBytes)]),
 	}
-	srv, err := x.pickServer(ctx, st, &info, isolated)
+	srv, err := x.pickServer(ctx, st, &pickAttempt, isolated)
 	if err != nil {
 		return nil, err
 	}
 	x.triedServers = append(x.triedServers, srv.State)
 	x.attempts++
-	x.req.Admitted.MayHaveQueued = !srv.HasFreeSlot(info.Now)
+	x.req.Admitted.MayHaveQueued = !srv.HasFreeSlot(pickAttempt.Now)
 	return &attempt{server: srv, number: x.attempts, isolated: isolated}, nil
 }
 
 // pickServer picks a server of the stage's pool. An isolated request gets a server on
 // which no other suspect runs, so that a crash can be attributed to it; it waits until
 // one is free.
-func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, info *pick.Attempt, isolated bool) (*pick.Server, *kind.Error) {
+func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, pickAttempt *pick.Attempt, isolated bool) (*pick.Server, *kind.Error) {
 	if !isolated {
-		srv, err := st.Pool.Picker.Pick(info)
+		srv, err := st.Pool.Picker.Pick(pickAttempt)
 		if err != nil {
 			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
 		}
@@ -70,13 +70,13 @@
 	}
 	for {
 		released := x.Isolator.Released()
-		query := *info
-		query.Exclude = append(x.serversWithSuspects(st), info.Exclude...)
+		query := *pickAttempt
+		query.Exclude = append(x.serversWithSuspects(st), pickAttempt.Exclude...)
 		srv, err := st.Pool.Picker.Pick(&query)
 		if err == nil && x.Isolator.Acquire(srv.Name, x.req.Fingerprint) {
 			return srv, nil
 		}
-		if err != nil && len(query.Exclude) == len(info.Exclude) {
+		if err != nil && len(query.Exclude) == len(pickAttempt.Exclude) {
 			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
 		}
 		select {
