--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -142,7 +142,7 @@
 // Peer returns the identity that the peer proved in the handshake.
 func (c *Conn) Peer() peer.Identity { return c.remote }
 
-// Done is closed when the connection has ended.
+// Done returns a channel that is closed when the connection has ended.
 func (c *Conn) Done() <-chan struct{} { return c.done }
 
 // Err returns why the connection ended, or nil.
--- a/process/member/table.go
+++ b/process/member/table.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// applyGossip records updates of another host. It returns the hosts to toCheck on
-// a new connection: no host is declared gone on gossip alone. Contact within
+// applyGossip records updates of another host. It returns the hosts to check on a
+// new connection: no host is declared gone on gossip alone. Contact within
 // recent outweighs a report that the host is unresponsive.
 func (t *table) applyGossip(updates []memberUpdate, now time.Time, recent time.Duration) (toCheck []string) {
 	t.update(func() bool {
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -17,7 +17,7 @@
 	// Call sends a request and returns the payload of the response. Failures are
 	// ErrUnreachable, ErrNoResponse or ErrRefused.
 	Call(ctx context.Context, m Method, payload []byte) ([]byte, error)
-	// Done is closed when the connection ends.
+	// Done returns a channel that is closed when the connection ends.
 	Done() <-chan struct{}
 	// Err returns why the connection ended; nil while it is open.
 	Err() error
--- a/process/report/report.go
+++ b/process/report/report.go
@@ -35,7 +35,7 @@
 	Slots   int      // requests that it executes concurrently
 	Models  []string // loaded models, as model/adapter@version
 	Role    string
-	Leaving bool // the server is shutting down and takes no new work
+	Leaving bool // the server is leaving and must not get new requests
 }
 
 // Prober polls backend servers. Implementations are safe for concurrent use.
@@ -297,9 +297,9 @@
 	if errors.Is(err, ErrNoConnection) {
 		rec.failedConnects++
 	}
-	dead := rec.failedConnects >= limit
+	down := rec.failedConnects >= limit
 	p.mu.Unlock()
-	if dead {
+	if down {
 		p.updateStatus(rec, func(s *serverStatus) { s.Down = true })
 	}
 }
--- a/process/server/load.go
+++ b/process/server/load.go
@@ -59,7 +59,7 @@
 	return float64(n + s.report.otherRequests.Load()), float64(n)
 }
 
-// ReportAge returns the age of the last report at now, in unix nanoseconds.
+// ReportAge returns the age of the last report at now, a time in unix nanoseconds.
 // Without a report it is the time since 1970.
 func (s *State) ReportAge(now int64) time.Duration {
 	return time.Duration(now - s.report.receivedAt.Load())
--- a/process/server/server.go
+++ b/process/server/server.go
@@ -70,7 +70,7 @@
 // FirstSeen returns when this entry host created the state of the server.
 func (s *State) FirstSeen() time.Time { return time.Unix(0, s.firstSeen.Load()) }
 
-// Age returns the time from FirstSeen to now, in unix nanoseconds.
+// Age returns the time from FirstSeen to now, a time in unix nanoseconds.
 func (s *State) Age(now int64) time.Duration { return time.Duration(now - s.firstSeen.Load()) }
 
 // Registry holds the states by server name and address. It is safe for
--- a/process/server/server_test.go
+++ b/process/server/server_test.go
@@ -23,7 +23,7 @@
 	g.Expect(s.EstimatedRequests(start.Add(time.Hour))).To(BeNumerically("~", 1, .1))
 }
 
-// Guards against a long ejection of a server that is back, because the ejection
+// Guards against errors for a minute after a server is back, because its ejection
 // periods had doubled. A load report newer than the last failure ends the
 // ejection at once; an older one does not.
 func TestNewReportEndsEjectionOfDisconnectedServer(t *testing.T) {
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -57,8 +57,8 @@
 	AdjustPool func(*table.Pool)                                        // changes each pool before its picker is created; may be nil
 }
 
-// Build compiles rel. It returns table.ValidationErrors if the tables are invalid; the active snapshot
-// is not affected.
+// Build compiles rel. It returns table.ValidationErrors if the tables are invalid; the active
+// snapshot is not affected.
 func Build(rel release.Release, opts Options) (*Snapshot, error) {
 	t, err := table.DecodeRows(rel.Rows)
 	if err != nil {
