--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -83,8 +83,8 @@
 }
 
 const (
-	// latePriority is the engine priority of a stream that already misses its target
-	// latency. The engine processes its prompt after those that can still meet theirs.
+	// latePriority is the engine priority of a stream that can no longer meet its target
+	// latency. The engine processes its prompt after those that still can.
 	latePriority = 8
 	// unsetPriority leaves the priority to the engine.
 	unsetPriority = -1
@@ -108,8 +108,8 @@
 const minUnresponsiveTime = 500 * time.Millisecond
 
 // serverAtFault reports whether the failure of an attempt started at startedAt counts
-// against the server. It does not if the client has disconnected or the attempt was cut
-// short by the deadline.
+// against the server. It does not if the client has disconnected, or if the deadline ended
+// the attempt before minUnresponsiveTime.
 func (x *exchange) serverAtFault(startedAt time.Time) bool {
 	now := x.opts.Clock.Now()
 	return x.r.Context().Err() == nil && (now.Before(x.deadline) || now.Sub(startedAt) >= minUnresponsiveTime)
--- a/request/gateway/buffered.go
+++ b/request/gateway/buffered.go
@@ -131,7 +131,8 @@
 const firstByteLatencyShare = 0.75
 
 // firstByteTimeout returns how long to wait for a response head before the request is
-// retried on another server. 0: until the deadline, as no retry is allowed.
+// retried on another server. 0: until the deadline, as no retry is allowed or the route has
+// no target latency.
 func (x *exchange) firstByteTimeout(hist *attemptHistory) time.Duration {
 	if !x.retryable() || hist.possibleRuns+1 >= x.route.MaxAttempts {
 		return 0
--- a/request/gateway/prefilltime.go
+++ b/request/gateway/prefilltime.go
@@ -20,9 +20,9 @@
 	// Bounds of the estimate: a regression over few streams can have any slope.
 	minPrefillTimePerToken = 5 * time.Microsecond
 	maxPrefillTimePerToken = 200 * time.Microsecond
-	// regressionWeight is the weight of the latest stream. The wait for the prefill of
-	// other prompts varies more than the prefill itself, which averages out over a few
-	// hundred streams.
+	// regressionWeight is the weight of the latest stream. The time to the first event
+	// includes the wait for the prefill of other prompts, which varies more than the
+	// prefill itself. These variations average out over a few hundred streams.
 	regressionWeight = 0.01
 	// initialTokenStdDev is the standard deviation of prompt lengths, in tokens, with
 	// which initialPrefillTimePerToken enters the regression.
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -37,8 +37,8 @@
 }
 
 // sharedPrefix returns the ID of the longest prompt prefix that other requests share, and
-// its length in tokens, earlier parts included. The last part is left out, as it belongs to
-// this request or its session.
+// its length in tokens, earlier parts included. The last of several parts is left out, as it
+// belongs to this request or its session.
 func (x *exchange) sharedPrefix() (part string, tokens int) {
 	n := len(x.client.PromptParts)
 	if !x.route.PrefixAffinity || n == 0 {
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -135,12 +135,12 @@
 // requests moves to other failure domains.
 func (x *exchange) predictedDomain() string {
 	q := x.balanceQuery(nil)
-	share := 2 * x.opts.Rand.Float64()
+	factor := 2 * x.opts.Rand.Float64()
 	costs := map[string]time.Duration{} // by failure domain, which many servers share
 	q.QueueingCost = func(domain string) time.Duration {
 		cost, known := costs[domain]
 		if !known {
-			cost = time.Duration(share * float64(min(x.opts.Pool.ExpectedWait(domain), maxQueueWait)) / queueCostDivisor)
+			cost = time.Duration(factor * float64(min(x.opts.Pool.ExpectedWait(domain), maxQueueWait)) / queueCostDivisor)
 			costs[domain] = cost
 		}
 		return cost
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -118,10 +118,10 @@
 	}
 }
 
-// Time without an event after which a stream that can be resumed on another server is.
-// The first event comes after the prompts of this and other requests have been processed.
-// Later events come every few milliseconds, so that an event after a gap of eventTimeout
-// would already be late.
+// If no event arrives within these times, a stream that can be resumed on another server is
+// resumed there. The first event comes after the prompts of this and other requests have been
+// processed. Later events come every few milliseconds, so that an event after a gap of
+// eventTimeout would already be late.
 const (
 	firstEventTimeout = 1200 * time.Millisecond
 	eventTimeout      = 700 * time.Millisecond
--- a/request/gateway/streamduration.go
+++ b/request/gateway/streamduration.go
@@ -22,8 +22,8 @@
 var initialStreamDuration = streamDuration{toFirstEvent: 150 * time.Millisecond, afterFirstEvent: time.Second}
 
 const (
-	streamDurationWeight = 0.1 // weight of the latest stream
-	maxTrackedRoutes     = 4096
+	streamDurationWeight = 0.1  // weight of the latest stream
+	maxTrackedRoutes     = 4096 // once reached, all estimates are dropped
 	// longStreamFactor scales the mean so that it covers most streams of a route, which
 	// differ in length.
 	longStreamFactor = 1.4
