--- a/edge/readers_test.go
+++ b/edge/readers_test.go
@@ -15,11 +15,11 @@
 
 // newIdleHost returns a host that is not running, with a processor share, and with other
 // hosts of its region in its mesh.
-func newIdleHost(t *testing.T, share float64, others ...peer.Identity) *Host {
+func newIdleHost(t *testing.T, cores float64, others ...peer.Identity) *Host {
 	t.Helper()
 	p := newTestPlatform(t)
 	set := p.settings("front-1")
-	set.CPUCores = share
+	set.CPUCores = cores
 	h, err := New(Options{Settings: set, LogOutput: io.Discard})
 	NewWithT(t).Expect(err).NotTo(HaveOccurred())
 	t.Cleanup(h.closeListeners)
--- a/edge/regions.go
+++ b/edge/regions.go
@@ -22,9 +22,10 @@
 
 // shouldSplitByRegion decides whether each region coordinates its own stage work or one
 // host does so for all. If all regions have enough servers the work is split, so that no
-// results or messages cross regions and no host has to track all work. wasSplit is the
-// last decision. counts holds, for each service that runs stages, the number of servers
-// by region, including regions without servers.
+// results or messages cross regions and no host has to track all work. Once split, it stays
+// split while each service has minServersToStaySplit servers, whatever their regions.
+// wasSplit is the last decision. counts holds, for each service that runs stages, the number
+// of servers by region, including regions without servers.
 func shouldSplitByRegion(wasSplit bool, counts []map[string]int) bool {
 	for _, regions := range counts {
 		total, fewest := 0, minRegionServersToSplit
