--- a/entryhost/cross_domain_loads.go
+++ b/entryhost/cross_domain_loads.go
@@ -15,38 +15,38 @@
 // get older and traffic stays the same. Pickers treat the load of a server with
 // an outdated report as unknown.
 type crossDomainPoller struct {
-	prober            report.Prober
-	clock             clock.Clock
-	servers           func() []*server.State
-	requestsPerSecond int
+	prober         report.Prober
+	clock          clock.Clock
+	servers        func() []*server.State
+	pollsPerSecond int
 }
 
 // Run polls the servers in turn until ctx ends, and returns nil.
-func (o *crossDomainPoller) Run(ctx context.Context) error {
+func (p *crossDomainPoller) Run(ctx context.Context) error {
 	var remaining []*server.State // of the current pass over all servers
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-o.clock.After(time.Second / time.Duration(o.requestsPerSecond)):
+		case <-p.clock.After(time.Second / time.Duration(p.pollsPerSecond)):
 		}
 		if len(remaining) == 0 {
-			remaining = o.servers()
+			remaining = p.servers()
 			continue
 		}
-		o.fetch(ctx, remaining[0])
+		p.poll(ctx, remaining[0])
 		remaining = remaining[1:]
 	}
 }
 
-// fetch polls one server and stores its report. If the poll fails, the last
+// poll polls one server and stores its report. If the poll fails, the last
 // report stays.
-func (o *crossDomainPoller) fetch(ctx context.Context, s *server.State) {
-	r, err := o.prober.Poll(ctx, s.Address, false)
+func (p *crossDomainPoller) poll(ctx context.Context, s *server.State) {
+	r, err := p.prober.Poll(ctx, s.Address, false)
 	if err != nil {
 		return
 	}
 	s.SetLoad(&server.Load{
-		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: o.clock.Now(),
+		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: p.clock.Now(),
 	})
 }
--- a/entryhost/cross_domain_loads_test.go
+++ b/entryhost/cross_domain_loads_test.go
@@ -32,10 +32,10 @@
 	reg := server.NewRegistry()
 	a, b := reg.Get("a", "10.0.0.1:80", c.Now()), reg.Get("b", "10.0.0.2:80", c.Now())
 	p := &recordingProber{make(chan string, 10)}
-	o := &crossDomainPoller{prober: p, clock: c, requestsPerSecond: 4, servers: func() []*server.State { return []*server.State{a, b} }}
+	poller := &crossDomainPoller{prober: p, clock: c, pollsPerSecond: 4, servers: func() []*server.State { return []*server.State{a, b} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
-	go func() { done <- o.Run(ctx) }()
+	go func() { done <- poller.Run(ctx) }()
 	step := func() {
 		g.Eventually(c.Waiters).Should(Equal(1))
 		c.Advance(250 * time.Millisecond)
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -177,10 +177,10 @@
 	g, gctx := errgroup.WithContext(running)
 	g.Go(func() error { return serve(h.callersServer, h.listeners[0]) })
 	g.Go(func() error { return serve(h.adminServer, h.listeners[1]) })
-	for _, a := range h.tasks {
+	for _, t := range h.tasks {
 		g.Go(func() error {
-			if err := a.run(gctx); err != nil {
-				return fmt.Errorf("%s: %w", a.name, err)
+			if err := t.run(gctx); err != nil {
+				return fmt.Errorf("%s: %w", t.name, err)
 			}
 			return nil
 		})
--- a/entryhost/lossy_proxy_test.go
+++ b/entryhost/lossy_proxy_test.go
@@ -31,22 +31,22 @@
 	return &lossyProxy{Listener: l}
 }
 
-func (m *lossyProxy) run(to string) {
-	m.target = to
+func (p *lossyProxy) run(to string) {
+	p.target = to
 	for {
-		in, err := m.Accept()
+		in, err := p.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", m.target)
+		out, err := net.Dial("tcp", p.target)
 		if err != nil {
 			_ = in.Close()
 			continue
 		}
 		dropped := &atomic.Bool{}
-		m.mu.Lock()
-		m.dropFlags = append(m.dropFlags, dropped)
-		m.mu.Unlock()
+		p.mu.Lock()
+		p.dropFlags = append(p.dropFlags, dropped)
+		p.mu.Unlock()
 		go forward(in, out, dropped)
 		go forward(out, in, dropped)
 	}
@@ -67,13 +67,13 @@
 
 // dropConnections stops forwarding on all present connections and returns their
 // number.
-func (m *lossyProxy) dropConnections() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, dropped := range m.dropFlags {
+func (p *lossyProxy) dropConnections() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	for _, dropped := range p.dropFlags {
 		dropped.Store(true)
 	}
-	return len(m.dropFlags)
+	return len(p.dropFlags)
 }
 
 var _ = Describe("a connection between entry hosts whose state a middlebox has lost", func() {
