--- a/internal/faultrun/environment_test.go
+++ b/internal/faultrun/environment_test.go
@@ -70,11 +70,11 @@
 	killed context.Context
 }
 
-func (m *killableStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
-	if m.killed.Err() != nil {
+func (s *killableStore) Put(ctx context.Context, key string, value []byte, expect uint64) (uint64, error) {
+	if s.killed.Err() != nil {
 		return 0, objectapi.ErrUnavailable
 	}
-	return m.Store.Put(ctx, key, value, expect)
+	return s.Store.Put(ctx, key, value, expect)
 }
 
 // hangTimeout is a deadline that only a hanging request exceeds, so that a busy
