--- a/internal/faultrun/at_most_once_test.go
+++ b/internal/faultrun/at_most_once_test.go
@@ -43,8 +43,8 @@
 
 // Guards against a double booking after the entry host is killed while the
 // booking runs. The caller sends the same key to another host. With claims in
-// memory only, that host books again; the claim stored on the platform tells
-// it that the booking may have run.
+// memory only, that host books again; the claim stored on the platform shows
+// that the booking may have run.
 func TestKilledHostsBookingIsNotRepeated(t *testing.T) {
 	for _, baseline := range []bool{true, false} {
 		g := NewWithT(t)
--- a/internal/soak/environment_test.go
+++ b/internal/soak/environment_test.go
@@ -58,7 +58,7 @@
 	mu         sync.Mutex
 	cmd        *exec.Cmd
 	exited     chan struct{} // closed when the host has no process
-	stopping   bool          // the process was told to exit, by SIGTERM or SIGKILL
+	stopping   bool          // SIGTERM or SIGKILL was sent to the process
 	paused     bool          // by SIGSTOP: the process does not act on other signals
 	processes  []*exec.Cmd   // all processes of this host, so that they can be ended by id
 }
