--- a/process/stages/admission_test.go
+++ b/process/stages/admission_test.go
@@ -83,13 +83,13 @@
 	}
 }
 
-// Twice the service's capacity arrives for four seconds. Requests that start in time must
+// Almost twice the service's capacity arrives for four seconds. Requests that start in time must
 // stay in time, instead of all being slightly late. The others are served afterwards, since
 // their deadline is later.
 func TestOverloadMakesOnlySomeRequestsLate(t *testing.T) {
 	l := newAdmissionSim(t, map[string]Service{"s": newTestService()})
 	n := 0
-	for range 40 { // 75 requests of four items a second
+	for range 40 { // 70 requests of four items a second
 		for range 7 {
 			l.enqueue(fmt.Sprint(n), float64(1+n%3), 4, 1500*time.Millisecond, 15*time.Second)
 			n++
--- a/process/stages/messages.go
+++ b/process/stages/messages.go
@@ -16,7 +16,7 @@
 	methodHello          peer.Method = "stages.hello"
 )
 
-// runRequest asks another host to run stage work. Times are relative to now because the
+// runRequest requests stage work from another host. Times are relative to now because the
 // clocks of two hosts differ. Structs are encoded as arrays, so the order of fields is
 // the format.
 type runRequest struct {
