--- a/process/batcher/queue_test.go
+++ b/process/batcher/queue_test.go
@@ -148,8 +148,8 @@
 	b.g.Expect(calls[0].Items).To(HaveLen(14))
 }
 
-// The next call must be sent a round trip before the running call ends, so that the server
-// finds it in its queue and is not idle.
+// The next call must be sent a round trip and sendLead before the running call ends, so that
+// the server finds it in its queue and is not idle.
 func TestNextCallIsSentBeforeServerIsFree(t *testing.T) {
 	b := newHarness(t, testOptions, map[string]string{"a": "x"})
 	latency := func(*directory.Server) time.Duration { return 20 * time.Millisecond }
@@ -266,7 +266,7 @@
 }
 
 // A call fails after two seconds without a response. Its duration is unknown, but at least
-// two seconds, so the server must count as slow and the next job wait for the other server.
+// two seconds, so the server must count as slow by that much, and the other server must not.
 func TestUnresponsiveServerCountsAsSlow(t *testing.T) {
 	b := newHarness(t, testOptions, map[string]string{"a": "x", "b": "x"})
 	b.submit("1", 14, 10*time.Second, "x")
--- a/process/batcher/wait_test.go
+++ b/process/batcher/wait_test.go
@@ -47,9 +47,9 @@
 				b.g.Expect(b.nextCalls()).To(HaveLen(1))
 				return
 			}
-			calls, again := b.q.NextCalls(b.now)
+			calls, wakeAt := b.q.NextCalls(b.now)
 			b.g.Expect(calls).To(BeEmpty())
-			b.g.Expect(again).To(BeTemporally("<=", b.now.Add(maxBatchWait)))
+			b.g.Expect(wakeAt).To(BeTemporally("<=", b.now.Add(maxBatchWait)))
 			b.now = b.now.Add(maxBatchWait)
 			b.g.Expect(b.nextCalls()).To(HaveLen(1))
 		})
