--- a/process/follow/age_test.go
+++ b/process/follow/age_test.go
@@ -17,13 +17,13 @@
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	type result struct {
-		a   Response[string]
-		err error
+		resp Response[string]
+		err  error
 	}
 	done := make(chan result, 1)
 	go func() {
-		a, err := r.source.Watch(context.Background(), 5, time.Second)
-		done <- result{a, err}
+		resp, err := r.source.Watch(context.Background(), 5, time.Second)
+		done <- result{resp, err}
 	}()
 	r.g.Eventually(r.now.Waiters, "30s", "1ms").Should(Equal(1))
 	r.now.Advance(600 * time.Millisecond)
@@ -31,7 +31,7 @@
 	r.now.Advance(400 * time.Millisecond)
 	got := <-done
 	r.g.Expect(got.err).NotTo(HaveOccurred())
-	r.g.Expect(got.a.Age).To(Equal(-600 * time.Millisecond))
+	r.g.Expect(got.resp.Age).To(Equal(-600 * time.Millisecond))
 }
 
 // The platform has lost its history while hundreds of servers are listed. Guards against
@@ -43,12 +43,12 @@
 	r.reader.listed = false // as after ErrHistoryGone
 	r.api.value, r.api.rev = "2", 9
 	r.g.Expect(r.step(r.reader)).To(Succeed())
-	a, err := r.source.Watch(t.Context(), 5, 0)
+	resp, err := r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Objects).To(Equal([]Object[string]{object("a", 9, "2")}))
-	a, err = r.source.Watch(t.Context(), 9, 0)
+	r.g.Expect(resp.Objects).To(Equal([]Object[string]{object("a", 9, "2")}))
+	resp, err = r.source.Watch(t.Context(), 9, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Objects).To(BeEmpty())
+	r.g.Expect(resp.Objects).To(BeEmpty())
 }
 
 // Guards against changes between two lists that other hosts would miss: objects that are
@@ -72,9 +72,9 @@
 	slow := &suspendingClock{Manual: r.now}
 	r.reader.opts.Clock = slow
 	r.source.MaxAge = time.Hour
-	a, err := r.source.Watch(t.Context(), 5, 0)
+	resp, err := r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Age).To(Equal(slow.readings[0].Sub(confirmed)), "the age when the request arrived")
+	r.g.Expect(resp.Age).To(Equal(slow.readings[0].Sub(confirmed)), "the age when the request arrived")
 }
 
 // suspendingClock is the clock of a process that is suspended for 5 s after each reading.
@@ -96,9 +96,9 @@
 	r := newPeerFixture(t)
 	watched := make(chan error, 1)
 	go func() {
-		a, err := r.source.Watch(context.Background(), 5, time.Second)
-		if len(a.Objects) > 0 {
-			t.Errorf("objects before a change: %v", a.Objects)
+		resp, err := r.source.Watch(context.Background(), 5, time.Second)
+		if len(resp.Objects) > 0 {
+			t.Errorf("objects before a change: %v", resp.Objects)
 		}
 		watched <- err
 	}()
--- a/process/follow/compress_test.go
+++ b/process/follow/compress_test.go
@@ -17,12 +17,12 @@
 type largeSource struct{ *api }
 
 func (m largeSource) List(ctx context.Context, after string) (Response[string], error) {
-	a, err := m.api.List(ctx, after)
+	resp, err := m.api.List(ctx, after)
 	for i := range 3000 {
-		a.Objects = append(a.Objects, object(fmt.Sprintf("server-%04d", i), Revision(i), fmt.Sprintf("service=recipe-model address=10.0.%d.%d:8540 domain=khomas-a state=ready", i/250, i%250)))
+		resp.Objects = append(resp.Objects, object(fmt.Sprintf("server-%04d", i), Revision(i), fmt.Sprintf("service=recipe-model address=10.0.%d.%d:8540 domain=khomas-a state=ready", i/250, i%250)))
 	}
-	a.Objects = append(a.Objects, Object[string]{Name: "unreadable", Err: errors.New("no such state")})
-	return a, err
+	resp.Objects = append(resp.Objects, Object[string]{Name: "unreadable", Err: errors.New("no such state")})
+	return resp, err
 }
 
 // Guards against a reader whose network link is saturated for seconds while the hosts of
@@ -35,26 +35,26 @@
 	reader := newFollower(largeSource{&api{value: "1", rev: 5}}, now)
 	reader.Serve(w, "k")
 	g.Expect(reader.step(t.Context())).To(Succeed())
-	ask := func(q peerRequest) []byte {
+	sendRequest := func(q peerRequest) []byte {
 		payload, err := peer.Marshal(q)
 		g.Expect(err).NotTo(HaveOccurred())
 		response, err := w.handlers[peerMethod("k")](t.Context(), peer.Identity{}, payload)
 		g.Expect(err).NotTo(HaveOccurred())
 		return response
 	}
-	plain, small := ask(peerRequest{List: true}), ask(peerRequest{List: true, AcceptsCompressed: true})
+	plain, small := sendRequest(peerRequest{List: true}), sendRequest(peerRequest{List: true, AcceptsCompressed: true})
 	g.Expect(len(small)).To(BeNumerically("<", len(plain)/5))
 	first := &reader.history.compressed.bytes[0]
-	ask(peerRequest{List: true, AcceptsCompressed: true})
+	sendRequest(peerRequest{List: true, AcceptsCompressed: true})
 	g.Expect(&reader.history.compressed.bytes[0]).To(BeIdenticalTo(first), "produced once")
 
-	relay := &PeerSource[string]{Kind: "k", Link: w, Clock: now, MaxAge: maxAge, APIUnresponsive: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
-	a, err := relay.List(t.Context(), "")
+	source := &PeerSource[string]{Kind: "k", Link: w, Clock: now, MaxAge: maxAge, APIUnresponsive: func() bool { return false }, Readers: func() []string { return []string{"reader"} }}
+	resp, err := source.List(t.Context(), "")
 	g.Expect(err).NotTo(HaveOccurred())
 	g.Expect(w.responseBytes.Load()).To(BeNumerically("<", len(plain)/5))
-	g.Expect(a.Objects).To(HaveLen(3002))
-	g.Expect(a.Objects).To(ContainElement(object("a", 5, "1")))
-	g.Expect(a.Objects).To(ContainElement(Object[string]{Name: "unreadable", Err: errors.New("no such state")}))
+	g.Expect(resp.Objects).To(HaveLen(3002))
+	g.Expect(resp.Objects).To(ContainElement(object("a", 5, "1")))
+	g.Expect(resp.Objects).To(ContainElement(Object[string]{Name: "unreadable", Err: errors.New("no such state")}))
 }
 
 // Guards against a starting host that gets a list from before a change.
@@ -66,9 +66,9 @@
 		r.g.Expect(err).NotTo(HaveOccurred())
 		r.api.value, r.api.rev = value, r.api.rev+1
 		r.g.Expect(r.step(r.reader)).To(Succeed())
-		a, err := r.source.List(t.Context(), "")
+		resp, err := r.source.List(t.Context(), "")
 		r.g.Expect(err).NotTo(HaveOccurred())
-		r.g.Expect(a.Objects[0].Value).To(Equal(value))
+		r.g.Expect(resp.Objects[0].Value).To(Equal(value))
 	}
 }
 
--- a/process/follow/initiallist_test.go
+++ b/process/follow/initiallist_test.go
@@ -18,13 +18,13 @@
 	r := newPeerFixture(t)
 	responses := make(chan Response[string], hosts)
 	for range hosts {
-		relay := *r.source
+		source := *r.source
 		go func() {
-			a, err := relay.List(context.Background(), "")
+			resp, err := source.List(context.Background(), "")
 			if err != nil {
 				t.Errorf("list through the reader: %v", err)
 			}
-			responses <- a
+			responses <- resp
 		}()
 	}
 	r.g.Expect(r.step(r.reader)).To(Succeed())
@@ -40,10 +40,10 @@
 	r := newPeerFixture(t)
 	requests, seen := 0, []string{}
 	r.reader.opts.OnChange = func(map[string]Object[string], string) {
-		a, err := r.source.List(t.Context(), "")
+		resp, err := r.source.List(t.Context(), "")
 		r.g.Expect(err).NotTo(HaveOccurred())
-		r.g.Expect(a.Age).To(BeZero())
-		requests, seen = r.api.count(), append(seen, a.Objects[0].Value)
+		r.g.Expect(resp.Age).To(BeZero())
+		requests, seen = r.api.count(), append(seen, resp.Objects[0].Value)
 	}
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.g.Expect(requests).To(Equal(1), "the reader's own list")
--- a/process/follow/peersource_test.go
+++ b/process/follow/peersource_test.go
@@ -115,19 +115,19 @@
 	r := newPeerFixture(t)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	calls := r.api.count()
-	a, err := r.source.List(t.Context(), "")
+	resp, err := r.source.List(t.Context(), "")
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Objects).To(Equal([]Object[string]{object("a", 5, "1")}))
-	r.g.Expect(a.AsOf).To(BeEquivalentTo(5))
+	r.g.Expect(resp.Objects).To(Equal([]Object[string]{object("a", 5, "1")}))
+	r.g.Expect(resp.AsOf).To(BeEquivalentTo(5))
 
 	r.api.value, r.api.rev = "2", 6
 	r.now.Advance(300 * time.Millisecond)
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	r.now.Advance(200 * time.Millisecond)
-	a, err = r.source.Watch(t.Context(), 5, 0)
+	resp, err = r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Objects[0].Value).To(Equal("2"))
-	r.g.Expect(a.Age).To(Equal(200*time.Millisecond), "as old as the reader's copy")
+	r.g.Expect(resp.Objects[0].Value).To(Equal("2"))
+	r.g.Expect(resp.Age).To(Equal(200*time.Millisecond), "as old as the reader's copy")
 	r.g.Expect(r.api.count()).To(Equal(calls+1), "the reader's own request")
 }
 
@@ -155,9 +155,9 @@
 func TestUnreachableReaderIsSkipped(t *testing.T) {
 	r := newPeerFixture(t)
 	r.link.err = errors.New("down")
-	a, err := r.source.List(t.Context(), "")
+	resp, err := r.source.List(t.Context(), "")
 	r.g.Expect(err).NotTo(HaveOccurred())
-	r.g.Expect(a.Objects).To(HaveLen(1))
+	r.g.Expect(resp.Objects).To(HaveLen(1))
 	r.g.Expect(r.api.count()).To(Equal(1))
 }
 
@@ -199,14 +199,14 @@
 	r.api.value, r.api.rev = "2", 6 // not seen by the reader
 	got := make(chan Response[string], 1)
 	go func() {
-		a, _ := r.source.Watch(context.Background(), 5, time.Hour)
-		got <- a
+		resp, _ := r.source.Watch(context.Background(), 5, time.Hour)
+		got <- resp
 	}()
 	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(1))
 	r.now.Advance(101 * time.Millisecond)
-	var a Response[string]
-	r.g.Eventually(got, "10s").Should(Receive(&a))
-	r.g.Expect(a.Objects).To(HaveLen(1), "from the platform")
+	var resp Response[string]
+	r.g.Eventually(got, "10s").Should(Receive(&resp))
+	r.g.Expect(resp.Objects).To(HaveLen(1), "from the platform")
 }
 
 // The reader has lost the platform. The other hosts turn to the next one in order, which
@@ -374,25 +374,25 @@
 	_, err := r.source.Watch(t.Context(), 5, 0)
 	r.g.Expect(err).To(HaveOccurred())
 	type result struct {
-		a   Response[string]
-		err error
+		resp Response[string]
+		err  error
 	}
 	done := make(chan result, 1)
 	go func() {
-		a, err := r.source.Watch(t.Context(), 5, time.Hour)
-		done <- result{a, err}
+		resp, err := r.source.Watch(t.Context(), 5, time.Hour)
+		done <- result{resp, err}
 	}()
 	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(1))
 	r.g.Expect(r.step(r.reader)).To(Succeed())
 	var got result
 	r.g.Eventually(done, "10s").Should(Receive(&got))
 	r.g.Expect(got.err).NotTo(HaveOccurred())
-	r.g.Expect(got.a.Age).To(BeZero())
+	r.g.Expect(got.resp.Age).To(BeZero())
 	// From then on a watch waits for changes again: immediate responses without changes
 	// would keep both hosts busy.
 	go func() {
-		a, err := r.source.Watch(t.Context(), 5, time.Hour)
-		done <- result{a, err}
+		resp, err := r.source.Watch(t.Context(), 5, time.Hour)
+		done <- result{resp, err}
 	}()
 	r.g.Eventually(r.now.Waiters, "10s").Should(Equal(2), "besides the wait that the confirmation ended")
 	r.g.Expect(done).NotTo(Receive())
--- a/process/follow/readers_test.go
+++ b/process/follow/readers_test.go
@@ -34,12 +34,12 @@
 func TestThirdReaderReplacesFirstTwo(t *testing.T) {
 	r := newPeerFixture(t)
 	third := newFollower(r.api, r.now)
-	link := &memoryLink{handlers: map[peer.Method]peer.Handler{}}
-	third.Serve(link, "k")
+	thirdLink := &memoryLink{handlers: map[peer.Method]peer.Handler{}}
+	third.Serve(thirdLink, "k")
 	second := newFollower(r.api, r.now)
-	away := &memoryLink{handlers: map[peer.Method]peer.Handler{}}
-	second.Serve(away, "k")
-	r.source.Link = linksByHost{"reader": r.link, "second": away, "third": link}
+	secondLink := &memoryLink{handlers: map[peer.Method]peer.Handler{}}
+	second.Serve(secondLink, "k")
+	r.source.Link = linksByHost{"reader": r.link, "second": secondLink, "third": thirdLink}
 	r.source.Readers = func() []string { return []string{"reader", "second", "third"} }
 	for _, f := range []*Follower[string]{r.reader, second, third} {
 		r.g.Expect(r.step(f)).To(Succeed())
