--- a/process/coldstart/coldstart_test.go
+++ b/process/coldstart/coldstart_test.go
@@ -113,9 +113,9 @@
 	d.SetEvacuated([]string{"x"}, start)
 	g.Expect(d.View().Servers("s")).To(BeEmpty())
 	d.SetEvacuated(nil, start.Add(time.Minute))
-	again := d.View().Server("e")
-	g.Expect(limiter.Allow(again, limit, start.Add(time.Minute))).To(BeFalse())
-	g.Expect(limiter.Allow(again, limit, start.Add(time.Minute+coldTime))).To(BeTrue())
+	server := d.View().Server("e")
+	g.Expect(limiter.Allow(server, limit, start.Add(time.Minute))).To(BeFalse())
+	g.Expect(limiter.Allow(server, limit, start.Add(time.Minute+coldTime))).To(BeTrue())
 }
 
 // Guards against limiting servers of services that take any rate while they are cold.
