--- a/process/balance/balance_test.go
+++ b/process/balance/balance_test.go
@@ -104,16 +104,16 @@
 func TestShortSharedPrefixesStayInRegion(t *testing.T) {
 	g := NewWithT(t)
 	fleet := servers(4)
-	away := 0
+	inOtherRegions := 0
 	for i := range 60 {
 		q := Query{Servers: fleet, OneWayLatency: latencyFrom("x"), AffinityKey: fmt.Sprint(i), PrefixTokens: 200, PrefillTimePerToken: prefillTimePerToken, Now: now}
 		g.Expect(Choose(q).Domain).To(Equal("x"))
 		q.PrefixTokens = 5000
 		if Choose(q).Domain != "x" {
-			away++
+			inOtherRegions++
 		}
 	}
-	g.Expect(away).To(BeNumerically("~", 40, 10))
+	g.Expect(inOtherRegions).To(BeNumerically("~", 40, 10))
 }
 
 // Stage work is queued in the client's own region, as when clients send twice their usual
