--- a/connection/engineorder/engineorder.go
+++ b/connection/engineorder/engineorder.go
@@ -30,7 +30,7 @@
 }
 
 // Send implements order.Sender. It returns order.ErrStaleFence if the engine has seen a
-// higher fencing token.
+// higher fencing number.
 func (c *Client) Send(ctx context.Context, address string, o order.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -89,7 +89,7 @@
 	Kind    PoolKind `json:"kind" yaml:"kind"`
 	Model   Model    `json:"model,omitzero" yaml:"model,omitempty"`      // not for services
 	Role    string   `json:"role,omitempty" yaml:"role,omitempty"`       // role that the engines have to take
-	Fencing bool     `json:"fencing,omitempty" yaml:"fencing,omitempty"` // servers reject orders with stale fencing tokens
+	Fencing bool     `json:"fencing,omitempty" yaml:"fencing,omitempty"` // servers reject orders with stale fencing numbers
 	// Slots is the number of requests that one server executes concurrently.
 	Slots   int      `json:"slots" yaml:"slots"`
 	Servers []Server `json:"servers" yaml:"servers"`
