--- a/edge/edge.go
+++ b/edge/edge.go
@@ -20,6 +20,7 @@
 
 	"bilberrydale/connection/upstream"
 	"bilberrydale/platform"
+	"bilberrydale/process/apihealth"
 	"bilberrydale/process/budget"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
@@ -28,7 +29,6 @@
 	"bilberrydale/process/inforce"
 	"bilberrydale/process/meter"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/reach"
 	"bilberrydale/process/record"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/gateway"
@@ -72,7 +72,7 @@
 	// evacuationsListed is set after the first list of evacuations.
 	evacuationsListed atomic.Bool
 	coldStart         *coldstart.Limiter
-	platformMonitor   *reach.Monitor
+	platformMonitor   *apihealth.Monitor
 	configConfirmedAt atomic.Int64 // bootClock time in nanoseconds; 0: never confirmed
 	upstream          *upstream.Client
 	retryLimiter      *budget.RetryLimiter
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -6,10 +6,10 @@
 	"time"
 
 	"bilberrydale/platform"
+	"bilberrydale/process/apihealth"
 	"bilberrydale/process/directory"
 	"bilberrydale/process/follow"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/reach"
 	"bilberrydale/version/plan"
 )
 
@@ -84,7 +84,7 @@
 // createFollowers creates the followers of the platform's objects. Each reads through
 // one entry host of its region, which reads from the platform.
 func (h *Host) createFollowers() {
-	h.platformMonitor = reach.New(reach.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformAvailabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
+	h.platformMonitor = apihealth.New(apihealth.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformAvailabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
 	configWait, serversWait := h.configWatchWait(), h.serversWatchWait()
 	h.configFollower = follow.New(follow.Options[plan.Config]{
 		Source: relaySource(h, "config", configWait, platform.ConfigSource(h.store)), Clock: h.bootClock, Rand: h.rand,
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -11,9 +11,9 @@
 
 	"bilberrydale/connection/peerconn"
 	"bilberrydale/platform"
+	"bilberrydale/process/apihealth"
 	"bilberrydale/process/follow"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/reach"
 )
 
 // hostsListTimeout is how long a starting host waits for the list of entry hosts
@@ -93,7 +93,7 @@
 		if _, err := rand.Read(candidate[:]); err != nil {
 			return err
 		}
-		secret, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (string, error) {
+		secret, err := apihealth.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (string, error) {
 			return platform.EnsurePeerSecret(ctx, h.store, hex.EncodeToString(candidate[:]), h.settings.Bootstrap)
 		})
 		if err != nil {
@@ -101,7 +101,7 @@
 		}
 		h.peerSecret.Store(&secret)
 	}
-	_, err := reach.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (struct{}, error) {
+	_, err := apihealth.Call(ctx, h.platformMonitor, 0, func(ctx context.Context, _ bool) (struct{}, error) {
 		return struct{}{}, platform.RegisterHost(ctx, h.store, h.self, h.settings.Bootstrap)
 	})
 	return err
--- a/process/reach/reach.go
+++ b/process/apihealth/apihealth.go
@@ -1,11 +1,11 @@
-// Package reach detects outages of the platform's object API, and its recovery, on behalf
+// Package apihealth detects outages of the platform's object API, and its recovery, on behalf
 // of everything in a process that sends requests to the API.
 //
 // A request that is sent while the API does not respond is never answered, even after the
 // API has recovered. Without probes a process would therefore stay disconnected from the
 // platform until its requests time out, and a process that started during an outage would
 // serve nothing for seconds after the API's recovery.
-package reach
+package apihealth
 
 import (
 	"context"
--- a/process/reach/reach_test.go
+++ b/process/apihealth/apihealth_test.go
@@ -1,4 +1,4 @@
-package reach
+package apihealth
 
 import (
 	"context"
--- a/process/follow/monitored_test.go
+++ b/process/follow/monitored_test.go
@@ -8,8 +8,8 @@
 
 	. "github.com/onsi/gomega"
 
+	"bilberrydale/process/apihealth"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/reach"
 )
 
 // noWatchSource responds to lists and leaves watches without a response, as a store does that
@@ -27,7 +27,7 @@
 func TestUnansweredWatchIsFollowedByList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := NewWithT(t)
-		r := reach.New(reach.Options{
+		r := apihealth.New(apihealth.Options{
 			Probe: func(context.Context) error { return nil }, Clock: clock.System{}, Rand: clock.NewSeeded(1),
 			FullProbeRate: func() bool { return true }, OnChange: func(bool, time.Duration) {},
 		})
