--- a/edge/edge.go
+++ b/edge/edge.go
@@ -25,9 +25,9 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/follow"
 	"bilberrydale/process/inforce"
 	"bilberrydale/process/meter"
+	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/record"
 	"bilberrydale/process/stages"
@@ -64,11 +64,11 @@
 	store          *platform.StoreClient
 	plan           inforce.Value[plan.Plan]
 	directory      *directory.Directory
-	configFollower *follow.Follower[plan.Config]
-	serverFollower *follow.Follower[directory.Entry]
-	hostFollower   *follow.Follower[peer.Identity]
+	configFollower *objectwatch.Follower[plan.Config]
+	serverFollower *objectwatch.Follower[directory.Entry]
+	hostFollower   *objectwatch.Follower[peer.Identity]
 	// evacuationFollower is nil if the platform does not support evacuations.
-	evacuationFollower *follow.Follower[platform.Evacuation]
+	evacuationFollower *objectwatch.Follower[platform.Evacuation]
 	// evacuationsListed is set after the first list of evacuations.
 	evacuationsListed atomic.Bool
 	coldStart         *coldstart.Limiter
@@ -89,7 +89,7 @@
 	hostsListed      chan struct{} // closed after the first list of entry hosts
 	// listedHosts holds the platform's last list of entry hosts by name; nil before
 	// the first list.
-	listedHosts atomic.Pointer[map[string]follow.Object[peer.Identity]]
+	listedHosts atomic.Pointer[map[string]objectwatch.Object[peer.Identity]]
 
 	listeners       struct{ clients, ready, peers, metrics net.Listener }
 	clientServer    *http.Server
--- a/edge/evacuations.go
+++ b/edge/evacuations.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"bilberrydale/platform"
-	"bilberrydale/process/follow"
+	"bilberrydale/process/objectwatch"
 )
 
 // evacuationsWaitShare is the wait time of the watch on evacuations, as a share of the
@@ -19,7 +19,7 @@
 		return
 	}
 	wait := watchWait(h.settings.MaxEvacuationDelay, evacuationsWaitShare)
-	h.evacuationFollower = follow.New(follow.Options[platform.Evacuation]{
+	h.evacuationFollower = objectwatch.New(objectwatch.Options[platform.Evacuation]{
 		Source: relaySource(h, "evacuations", wait, platform.EvacuationSource(h.store)), Clock: h.bootClock, Rand: h.rand,
 		WatchWait: wait, ResponseTimeout: responseTimeout, OnChange: h.evacuationsChanged,
 		OnConfirmed: func(time.Time) {},
@@ -31,7 +31,7 @@
 
 // evacuationsChanged applies the platform's current list of evacuated failure domains to
 // the directory and the batchers, and logs the changes.
-func (h *Host) evacuationsChanged(objects map[string]follow.Object[platform.Evacuation], trigger string) {
+func (h *Host) evacuationsChanged(objects map[string]objectwatch.Object[platform.Evacuation], trigger string) {
 	before := h.directory.View()
 	domains := make([]string, 0, len(objects))
 	for domain := range objects {
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -8,7 +8,7 @@
 	"bilberrydale/platform"
 	"bilberrydale/process/apihealth"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/follow"
+	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
 	"bilberrydale/version/plan"
 )
@@ -74,7 +74,7 @@
 
 // hostSource returns the source of the list of entry hosts. The first list may be some
 // seconds old, except at the first start of the whole system, when it would be empty.
-func (h *Host) hostSource() follow.Source[peer.Identity] {
+func (h *Host) hostSource() objectwatch.Source[peer.Identity] {
 	if h.settings.Bootstrap {
 		return platform.HostSource(h.store)
 	}
@@ -86,21 +86,21 @@
 func (h *Host) createFollowers() {
 	h.platformMonitor = apihealth.New(apihealth.Options{Probe: h.store.Probe, Clock: h.bootClock, Rand: h.rand, OnChange: h.platformAvailabilityChanged, FullProbeRate: func() bool { return len(h.readers()) == 0 }})
 	configWait, serversWait := h.configWatchWait(), h.serversWatchWait()
-	h.configFollower = follow.New(follow.Options[plan.Config]{
+	h.configFollower = objectwatch.New(objectwatch.Options[plan.Config]{
 		Source: relaySource(h, "config", configWait, platform.ConfigSource(h.store)), Clock: h.bootClock, Rand: h.rand,
 		WatchWait: configWait, ResponseTimeout: responseTimeout, OnChange: h.configChanged,
 		OnConfirmed: h.confirmConfig,
 		OnLost:      func(err error) { h.logDependencyLost("configuration", err) },
 		OnRegained:  func(d time.Duration) { h.logDependencyRegained("configuration", d) },
 	})
-	h.serverFollower = follow.New(follow.Options[directory.Entry]{
+	h.serverFollower = objectwatch.New(objectwatch.Options[directory.Entry]{
 		Source: relaySource(h, "servers", serversWait, platform.ServerSource(h.store)), Clock: h.bootClock, Rand: h.rand,
 		WatchWait: serversWait, ResponseTimeout: responseTimeout, CoalesceDelay: h.serversCoalesceDelay(), OnChange: h.serversChanged,
 		OnConfirmed: func(time.Time) {},
 		OnLost:      func(err error) { h.logDependencyLost("list of backend servers", err) },
 		OnRegained:  func(d time.Duration) { h.logDependencyRegained("list of backend servers", d) },
 	})
-	h.hostFollower = follow.New(follow.Options[peer.Identity]{
+	h.hostFollower = objectwatch.New(objectwatch.Options[peer.Identity]{
 		Source: relaySource(h, "hosts", hostsWatchWait, h.hostSource()), Clock: h.bootClock, Rand: h.rand,
 		WatchWait: hostsWatchWait, ResponseTimeout: responseTimeout, CoalesceDelay: hostsCoalesceDelay, OnChange: h.hostsChanged,
 		OnConfirmed: func(time.Time) {}, OnLost: func(err error) { h.logDependencyLost("list of entry hosts", err) },
@@ -119,9 +119,9 @@
 // relaySource returns a source that reads objects of a kind through the readers of the
 // region, or directly from the platform where there is no reader. wait is the wait
 // time of the watch.
-func relaySource[T any](h *Host, kind string, wait time.Duration, direct follow.Source[T]) follow.Source[T] {
-	return &follow.PeerSource[T]{
-		Kind: kind, Link: h.mesh, Direct: follow.Monitored(h.platformMonitor, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
+func relaySource[T any](h *Host, kind string, wait time.Duration, direct objectwatch.Source[T]) objectwatch.Source[T] {
+	return &objectwatch.PeerSource[T]{
+		Kind: kind, Link: h.mesh, Direct: objectwatch.Monitored(h.platformMonitor, direct), Clock: h.bootClock, MaxAge: 2*wait + relayMargin,
 		APIUnresponsive: h.platformMonitor.Unresponsive, Readers: h.readers,
 	}
 }
@@ -179,7 +179,7 @@
 
 // configChanged activates a newer configuration. A configuration that cannot be decoded,
 // or is older than the active one, is logged and ignored.
-func (h *Host) configChanged(objects map[string]follow.Object[plan.Config], trigger string) {
+func (h *Host) configChanged(objects map[string]objectwatch.Object[plan.Config], trigger string) {
 	o, ok := objects[platform.ConfigObjectName]
 	if !ok {
 		return
--- a/edge/host_test.go
+++ b/edge/host_test.go
@@ -12,7 +12,7 @@
 
 	"bilberrydale/platform"
 	"bilberrydale/platform/platformtest"
-	"bilberrydale/process/follow"
+	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
 	"bilberrydale/version/plan"
 )
@@ -242,7 +242,7 @@
 	h.batchers.mu.Lock() // blocks the configuration of the batchers
 	go func() {
 		defer close(done)
-		h.configChanged(map[string]follow.Object[plan.Config]{platform.ConfigObjectName: {Value: c}}, "test")
+		h.configChanged(map[string]objectwatch.Object[plan.Config]{platform.ConfigObjectName: {Value: c}}, "test")
 	}()
 	g.Consistently(func() int64 { return h.plan.Load().Version }, "200ms").Should(BeEquivalentTo(5))
 	h.batchers.mu.Unlock()
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -12,7 +12,7 @@
 	"bilberrydale/connection/peerconn"
 	"bilberrydale/platform"
 	"bilberrydale/process/apihealth"
-	"bilberrydale/process/follow"
+	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
 )
 
@@ -110,8 +110,8 @@
 // hostsChanged applies the platform's current list of entry hosts. It passes them to the
 // mesh, forgets hosts that are no longer listed, and restores this host's own entry if
 // another host has removed it.
-func (h *Host) hostsChanged(objects map[string]follow.Object[peer.Identity], trigger string) {
-	listed := make(map[string]follow.Object[peer.Identity], len(objects))
+func (h *Host) hostsChanged(objects map[string]objectwatch.Object[peer.Identity], trigger string) {
+	listed := make(map[string]objectwatch.Object[peer.Identity], len(objects))
 	for name, o := range objects {
 		if o.Err != nil {
 			h.log.Warn("entry host", "outcome", "entry left out", "name", name, "err", o.Err)
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -5,14 +5,14 @@
 
 	"bilberrydale/process/balance"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/follow"
+	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/stages"
 )
 
 // serversChanged replaces the directory's backend servers by the platform's current
 // list. Entries that cannot be decoded are logged and skipped. trigger is the
 // operation that returned the change: "list" or "watch".
-func (h *Host) serversChanged(objects map[string]follow.Object[directory.Entry], trigger string) {
+func (h *Host) serversChanged(objects map[string]objectwatch.Object[directory.Entry], trigger string) {
 	before := h.directory.View()
 	entries := make([]directory.Entry, 0, len(objects))
 	for name, o := range objects {
--- a/process/follow/follow.go
+++ b/process/objectwatch/objectwatch.go
@@ -1,8 +1,8 @@
-// Package follow maintains a local copy of all objects of one kind in the platform's
+// Package objectwatch maintains a local copy of all objects of one kind in the platform's
 // object API. A Follower lists the objects, watches for changes, and lists again when the
-// API no longer keeps the changes that it needs. Hosts can follow through another host of
-// their region, a reader, in place of the API.
-package follow
+// API no longer keeps the changes that it needs. Hosts can list and watch through another
+// host of their region, a reader, in place of the API.
+package objectwatch
 
 import (
 	"context"
@@ -241,7 +241,7 @@
 }
 
 // diff returns the changes between two copies; deletions get the given revision. Hosts
-// that follow through this one receive these changes after this host had to list again, in
+// that watch through this one receive these changes after this host had to list again, in
 // place of the whole list.
 func diff[T any](before, after map[string]Object[T], revision Revision) []Object[T] {
 	var out []Object[T]
--- a/process/follow/readers_test.go
+++ b/process/objectwatch/readers_test.go
@@ -1,4 +1,4 @@
-package follow
+package objectwatch
 
 import (
 	"context"
