--- a/edge/edge.go
+++ b/edge/edge.go
@@ -24,8 +24,8 @@
 	"bilberrydale/process/budget"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
+	"bilberrydale/process/current"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/meter"
 	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
@@ -62,7 +62,7 @@
 	meter     *meter.Meter
 
 	store          *platform.StoreClient
-	plan           inforce.Value[plan.Plan]
+	plan           current.Value[plan.Plan]
 	directory      *directory.Directory
 	configFollower *objectwatch.Follower[plan.Config]
 	serverFollower *objectwatch.Follower[directory.Entry]
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -18,8 +18,8 @@
 
 	"bilberrydale/platform"
 	"bilberrydale/process/clock"
+	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/server"
 	"bilberrydale/process/telemetry"
@@ -37,7 +37,7 @@
 
 	store    objectapi.Store
 	registry *server.Registry
-	inForce  inforce.Value[snapshot.Snapshot]
+	inForce  current.Value[snapshot.Snapshot]
 	gate     drain.Gate
 	tracer   trace.Tracer
 
--- a/internal/faultrun/environment_test.go
+++ b/internal/faultrun/environment_test.go
@@ -20,8 +20,8 @@
 	"bilberrydale/process/admission"
 	"bilberrydale/process/claim"
 	"bilberrydale/process/clock"
+	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
@@ -164,7 +164,7 @@
 }
 
 func (env *environment) handler(h *host) http.Handler {
-	inForce := &inforce.Value[snapshot.Snapshot]{}
+	inForce := &current.Value[snapshot.Snapshot]{}
 	rows, err := table.EncodeRows(env.tables())
 	if err != nil {
 		env.t.Fatal(err)
--- a/process/inforce/value.go
+++ b/process/current/value.go
@@ -1,7 +1,7 @@
-// Package inforce holds the active version of a value, such as a configuration:
+// Package current holds the active version of a value, such as a configuration:
 // it is replaced rarely and read by every request with one atomic load
 // (read-copy-update).
-package inforce
+package current
 
 import "sync/atomic"
 
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -22,8 +22,8 @@
 	"bilberrydale/process/admission"
 	"bilberrydale/process/claim"
 	"bilberrydale/process/clock"
+	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/kind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/request/pipeline"
@@ -59,7 +59,7 @@
 // Handler is the http.Handler for callers. A process creates one; its fields must not
 // change after the first request.
 type Handler struct {
-	InForce    *inforce.Value[snapshot.Snapshot]
+	InForce    *current.Value[snapshot.Snapshot]
 	Runner     *pipeline.Runner
 	Admission  admission.Admitter
 	Claims     claim.Claims
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -21,8 +21,8 @@
 	"bilberrydale/process/admission"
 	"bilberrydale/process/claim"
 	"bilberrydale/process/clock"
+	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/kind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
@@ -72,7 +72,7 @@
 		Profile: &admission.Profile{},
 	}
 	h := &Handler{
-		InForce: &inforce.Value[snapshot.Snapshot]{}, Admission: admission.AlwaysAdmit{}, Claims: claim.NewMemory(), Quarantine: quarantine.AllowAll{},
+		InForce: &current.Value[snapshot.Snapshot]{}, Admission: admission.AlwaysAdmit{}, Claims: claim.NewMemory(), Quarantine: quarantine.AllowAll{},
 		Gate: &drain.Gate{}, Clock: clock.System{}, Log: log.New(io.Discard), Tracer: noop.NewTracerProvider().Tracer(""),
 		Headers: DefaultHeaders(), Limits: DefaultLimits(), Counters: &Counters{},
 		Runner: &pipeline.Runner{
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -15,8 +15,8 @@
 	"bilberrydale/connection/upstream"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
+	"bilberrydale/process/current"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/inforce"
 	"bilberrydale/process/kind"
 	"bilberrydale/process/residency"
 	"bilberrydale/process/stages"
@@ -28,7 +28,7 @@
 type Options struct {
 	Domain        string                            // failure domain of this entry host
 	OneWayLatency func(domain string) time.Duration // one-way network latency to a failure domain
-	Plan          *inforce.Value[plan.Plan]
+	Plan          *current.Value[plan.Plan]
 	Directory     *directory.Directory
 	Upstream      *upstream.Client
 	Headers       wire.Headers // header format of the platform
