--- a/edge/edge.go
+++ b/edge/edge.go
@@ -26,10 +26,10 @@
 	"bilberrydale/process/coldstart"
 	"bilberrydale/process/current"
 	"bilberrydale/process/directory"
+	"bilberrydale/process/logging"
 	"bilberrydale/process/meter"
 	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/record"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/gateway"
 	"bilberrydale/version/plan"
@@ -56,7 +56,7 @@
 	bootClock clock.Clock // for the age of platform data; advances during system suspend
 	rand      clock.Rand
 
-	logWriter *record.AsyncWriter
+	logWriter *logging.AsyncWriter
 	log       *log.Logger
 	logLimits logLimits
 	meter     *meter.Meter
@@ -110,10 +110,10 @@
 	settings := opts.Settings
 	h := &Host{
 		opts: opts, settings: settings, clock: clock.System{}, bootClock: clock.Boot{}, rand: clock.SystemRand{},
-		logWriter: record.NewAsyncWriter(opts.LogOutput), meter: meter.New(), store: platform.NewStoreClient(settings.StoreAddress),
+		logWriter: logging.NewAsyncWriter(opts.LogOutput), meter: meter.New(), store: platform.NewStoreClient(settings.StoreAddress),
 		directory: directory.New(), stopRequested: make(chan struct{}), hostsListed: make(chan struct{}),
 	}
-	h.log = record.NewLogger(h.logWriter, settings.Host)
+	h.log = logging.NewLogger(h.logWriter, settings.Host)
 	h.logLimits = newLogLimits()
 	h.store.OnCall(h.countPlatformCall)
 	h.upstream = upstream.New(upstream.Options{
--- a/edge/logging.go
+++ b/edge/logging.go
@@ -8,7 +8,7 @@
 	"bilberrydale/platform"
 	"bilberrydale/process/batcher"
 	"bilberrydale/process/kind"
-	"bilberrydale/process/record"
+	"bilberrydale/process/logging"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/gateway"
 )
@@ -22,10 +22,10 @@
 )
 
 // logLimits limits the rate of lines about requests and stage work.
-type logLimits struct{ ordinary, failures *record.Limiter }
+type logLimits struct{ ordinary, failures *logging.Limiter }
 
 func newLogLimits() logLimits {
-	return logLimits{&record.Limiter{PerSecond: ordinaryLinesPerSecond}, &record.Limiter{PerSecond: failureLinesPerSecond}}
+	return logLimits{&logging.Limiter{PerSecond: ordinaryLinesPerSecond}, &logging.Limiter{PerSecond: failureLinesPerSecond}}
 }
 
 // allow reports whether a line may be written at time now. Lines that are refused are
--- a/process/record/record.go
+++ b/process/logging/logging.go
@@ -1,7 +1,7 @@
-// Package record provides structured logging to an output that may be slow. Lines are
+// Package logging provides structured logging to an output that may be slow. Lines are
 // buffered in a bounded queue; lines that do not fit are counted and dropped, so that
 // logging never blocks a request.
-package record
+package logging
 
 import (
 	"context"
--- a/process/record/record_test.go
+++ b/process/logging/logging_test.go
@@ -1,4 +1,4 @@
-package record
+package logging
 
 import (
 	"bytes"
