--- a/edge/edge.go
+++ b/edge/edge.go
@@ -27,7 +27,7 @@
 	"bilberrydale/process/current"
 	"bilberrydale/process/directory"
 	"bilberrydale/process/logging"
-	"bilberrydale/process/meter"
+	"bilberrydale/process/metrics"
 	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/stages"
@@ -59,7 +59,7 @@
 	logWriter *logging.AsyncWriter
 	log       *log.Logger
 	logLimits logLimits
-	meter     *meter.Meter
+	meter     *metrics.Meter
 
 	store          *platform.StoreClient
 	plan           current.Value[plan.Plan]
@@ -110,7 +110,7 @@
 	settings := opts.Settings
 	h := &Host{
 		opts: opts, settings: settings, clock: clock.System{}, bootClock: clock.Boot{}, rand: clock.SystemRand{},
-		logWriter: logging.NewAsyncWriter(opts.LogOutput), meter: meter.New(), store: platform.NewStoreClient(settings.StoreAddress),
+		logWriter: logging.NewAsyncWriter(opts.LogOutput), meter: metrics.New(), store: platform.NewStoreClient(settings.StoreAddress),
 		directory: directory.New(), stopRequested: make(chan struct{}), hostsListed: make(chan struct{}),
 	}
 	h.log = logging.NewLogger(h.logWriter, settings.Host)
--- a/process/meter/meter.go
+++ b/process/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package meter holds the metrics of a process, which are counters, gauges and latency
+// Package metrics holds the metrics of a process, which are counters, gauges and latency
 // histograms, and writes them as text in lines of the form "name value".
-package meter
+package metrics
 
 import (
 	"expvar"
--- a/process/meter/meter_test.go
+++ b/process/metrics/metrics_test.go
@@ -1,4 +1,4 @@
-package meter
+package metrics
 
 import (
 	"bytes"
