--- a/connection/serverprobe/serverprobe.go
+++ b/connection/serverprobe/serverprobe.go
@@ -12,7 +12,7 @@
 	"net/http"
 	"time"
 
-	"bilberrydale/process/report"
+	"bilberrydale/process/loadreport"
 )
 
 // Options configure a Client; zero values get the defaults.
@@ -26,7 +26,7 @@
 	maxReportBytes = 64 << 10
 )
 
-// Client implements report.Prober. It is safe for concurrent use.
+// Client implements loadreport.Prober. It is safe for concurrent use.
 type Client struct {
 	path             string
 	timeout          time.Duration
@@ -61,14 +61,14 @@
 	Leaving bool     `json:"leaving"`
 }
 
-// Poll implements report.Prober. It returns report.ErrNoReport if the server responds
-// without a valid report, and report.ErrNoConnection if no connection could be opened.
-func (c *Client) Poll(ctx context.Context, address string, fresh bool) (report.Report, error) {
+// Poll implements loadreport.Prober. It returns loadreport.ErrNoReport if the server responds
+// without a valid report, and loadreport.ErrNoConnection if no connection could be opened.
+func (c *Client) Poll(ctx context.Context, address string, fresh bool) (loadreport.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+c.path, nil)
 	if err != nil {
-		return report.Report{}, fmt.Errorf("load report: %w", err)
+		return loadreport.Report{}, fmt.Errorf("load report: %w", err)
 	}
 	client := c.keepAlive
 	if fresh {
@@ -76,29 +76,29 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return report.Report{}, wrapDialError(err)
+		return loadreport.Report{}, wrapDialError(err)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReportBytes))
 	if err != nil {
-		return report.Report{}, err
+		return loadreport.Report{}, err
 	}
 	var r reportBody
 	if resp.StatusCode != http.StatusOK || json.Unmarshal(data, &r) != nil {
-		return report.Report{}, report.ErrNoReport
+		return loadreport.Report{}, loadreport.ErrNoReport
 	}
-	return report.Report(r), nil
+	return loadreport.Report(r), nil
 }
 
-// wrapDialError adds report.ErrNoConnection to errors of opening a connection.
+// wrapDialError adds loadreport.ErrNoConnection to errors of opening a connection.
 func wrapDialError(err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
-		return fmt.Errorf("%w: %w", report.ErrNoConnection, err)
+		return fmt.Errorf("%w: %w", loadreport.ErrNoConnection, err)
 	}
 	return err
 }
 
-// CloseIdleConnections implements report.Prober. It is called after a poll on a reused
+// CloseIdleConnections implements loadreport.Prober. It is called after a poll on a reused
 // connection got no response, since the other idle connections may be dead as well.
 func (c *Client) CloseIdleConnections() { c.keepAlive.CloseIdleConnections() }
--- a/entryhost/cross_domain_loads.go
+++ b/entryhost/cross_domain_loads.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/report"
+	"bilberrydale/process/loadreport"
 	"bilberrydale/process/server"
 )
 
@@ -15,7 +15,7 @@
 // get older and traffic stays the same. Pickers treat the load of a server with
 // an outdated report as unknown.
 type crossDomainPoller struct {
-	prober         report.Prober
+	prober         loadreport.Prober
 	clock          clock.Clock
 	servers        func() []*server.State
 	pollsPerSecond int
--- a/entryhost/cross_domain_loads_test.go
+++ b/entryhost/cross_domain_loads_test.go
@@ -8,20 +8,20 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/report"
+	"bilberrydale/process/loadreport"
 	"bilberrydale/process/server"
 )
 
 // recordingProber sends the address of each poll on polled.
 type recordingProber struct{ polled chan string }
 
-// Poll implements report.Prober.
-func (p *recordingProber) Poll(_ context.Context, address string, _ bool) (report.Report, error) {
+// Poll implements loadreport.Prober.
+func (p *recordingProber) Poll(_ context.Context, address string, _ bool) (loadreport.Report, error) {
 	p.polled <- address
-	return report.Report{Running: 5, Queued: 2, Slots: 8}, nil
+	return loadreport.Report{Running: 5, Queued: 2, Slots: 8}, nil
 }
 
-// CloseIdleConnections implements report.Prober.
+// CloseIdleConnections implements loadreport.Prober.
 func (*recordingProber) CloseIdleConnections() {}
 
 // Guards against polls at a rate that grows with the number of servers: the cost
--- a/entryhost/membership.go
+++ b/entryhost/membership.go
@@ -12,10 +12,10 @@
 	"bilberrydale/connection/peerconn"
 	"bilberrydale/connection/serverprobe"
 	"bilberrydale/process/lease"
+	"bilberrydale/process/loadreport"
 	"bilberrydale/process/member"
 	"bilberrydale/process/order"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/report"
 )
 
 // membershipComponents track the other entry hosts and send orders to the engines
@@ -25,7 +25,7 @@
 	view member.View
 
 	monitor      *member.Monitor
-	reportPoller *report.Poller
+	reportPoller *loadreport.Poller
 	elector      *lease.Elector
 	orderManager *order.Manager
 	modelCache   atomic.Pointer[releaseModels]
@@ -96,7 +96,7 @@
 	})
 	mesh.OnConnect(monitor.RecordAlive)
 	h.membership.monitor, h.membership.view = monitor, monitor
-	h.membership.reportPoller = report.New(report.Options{
+	h.membership.reportPoller = loadreport.New(loadreport.Options{
 		Link: mesh, View: monitor, Monitor: monitor, Clock: h.clock, Rand: h.rand,
 		Prober: serverprobe.New(serverprobe.Options{}), Targets: h.reportTargets, ListHosts: h.store.Hosts,
 	})
@@ -106,15 +106,15 @@
 }
 
 // reportTargets returns the backend servers of all pools of the release in force.
-func (h *Host) reportTargets() []report.Target {
+func (h *Host) reportTargets() []loadreport.Target {
 	snap := h.inForce.Load()
 	if snap == nil {
 		return nil
 	}
-	var out []report.Target
+	var out []loadreport.Target
 	for _, p := range snap.Pools {
 		for _, s := range p.Picker.Servers() {
-			out = append(out, report.Target{State: s.State, Domain: s.Domain})
+			out = append(out, loadreport.Target{State: s.State, Domain: s.Domain})
 		}
 	}
 	return out
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -16,9 +16,9 @@
 	objects "bilberrydale/internal/standin/platform"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/lease"
+	"bilberrydale/process/loadreport"
 	"bilberrydale/process/member"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/report"
 	"bilberrydale/process/server"
 )
 
@@ -53,7 +53,7 @@
 type host struct {
 	mesh     *peer.Mesh
 	monitor  *member.Monitor
-	poller   *report.Poller
+	poller   *loadreport.Poller
 	elector  *lease.Elector
 	registry *server.Registry
 	domain   string
@@ -150,9 +150,9 @@
 	}})
 	h.monitor = member.New(member.Options{Link: h.mesh, Clock: sys, Rand: rnd, Seeds: func() []string { return seeds }})
 	h.mesh.OnConnect(h.monitor.RecordAlive)
-	h.poller = report.New(report.Options{
+	h.poller = loadreport.New(loadreport.Options{
 		Link: h.mesh, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd,
-		Prober: serverprobe.New(serverprobe.Options{}), ListHosts: f.store.Hosts, Targets: func() []report.Target { return f.targets(h) },
+		Prober: serverprobe.New(serverprobe.Options{}), ListHosts: f.store.Hosts, Targets: func() []loadreport.Target { return f.targets(h) },
 	})
 	h.elector = lease.NewElector(lease.Options{
 		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
@@ -177,10 +177,10 @@
 	return h
 }
 
-func (f *fleet) targets(h *host) []report.Target {
-	out := make([]report.Target, 0, len(f.servers))
+func (f *fleet) targets(h *host) []loadreport.Target {
+	out := make([]loadreport.Target, 0, len(f.servers))
 	for _, s := range f.servers {
-		out = append(out, report.Target{State: h.registry.Get(s.name, s.address, time.Unix(1, 0)), Domain: s.domain})
+		out = append(out, loadreport.Target{State: h.registry.Get(s.name, s.address, time.Unix(1, 0)), Domain: s.domain})
 	}
 	return out
 }
--- a/process/report/report.go
+++ b/process/loadreport/loadreport.go
@@ -1,7 +1,7 @@
-// Package report polls the load reports of the backend servers, each server
+// Package loadreport polls the load reports of the backend servers, each server
 // from two hosts of its failure domain, shares the results between the entry
 // hosts, and keeps new work away from servers that are leaving or dead.
-package report
+package loadreport
 
 import (
 	"context"
--- a/process/report/report_test.go
+++ b/process/loadreport/loadreport_test.go
@@ -1,4 +1,4 @@
-package report_test
+package loadreport_test
 
 import (
 	"context"
@@ -15,11 +15,11 @@
 
 	"bilberrydale/connection/serverprobe"
 	"bilberrydale/process/clock"
+	"bilberrydale/process/loadreport"
 	"bilberrydale/process/member"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
-	"bilberrydale/process/report"
 	"bilberrydale/process/server"
 )
 
@@ -30,14 +30,14 @@
 
 var (
 	errTimeout = errors.New("no answer in time")
-	errRefused = fmt.Errorf("%w: %w", report.ErrNoConnection, syscall.ECONNREFUSED)
+	errRefused = fmt.Errorf("%w: %w", loadreport.ErrNoConnection, syscall.ECONNREFUSED)
 )
 
 // fakeServers are the backend servers of all hosts. Poll errors are set by
 // address.
 type fakeServers struct {
 	mu          sync.Mutex
-	reports     map[string]report.Report
+	reports     map[string]loadreport.Report
 	keptConnErr map[string]error            // on kept connections
 	allConnErr  map[string]error            // on every connection
 	hostConnErr map[string]map[string]error // on every connection of one host
@@ -49,18 +49,18 @@
 	host string
 }
 
-func (p fakeProber) Poll(_ context.Context, address string, fresh bool) (report.Report, error) {
+func (p fakeProber) Poll(_ context.Context, address string, fresh bool) (loadreport.Report, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.polls[p.host]++
 	if err := p.allConnErr[address]; err != nil {
-		return report.Report{}, err
+		return loadreport.Report{}, err
 	}
 	if err := p.hostConnErr[p.host][address]; err != nil {
-		return report.Report{}, err
+		return loadreport.Report{}, err
 	}
 	if err := p.keptConnErr[address]; err != nil && !fresh {
-		return report.Report{}, err
+		return loadreport.Report{}, err
 	}
 	return p.reports[address], nil
 }
@@ -88,14 +88,14 @@
 
 type entryHost struct {
 	registry *server.Registry
-	poller   *report.Poller
+	poller   *loadreport.Poller
 	monitor  *member.Monitor
 }
 
 func newDeployment(t *testing.T, domains, hosts, servers int) *deployment {
 	s := &deployment{
 		fakeServers: &fakeServers{
-			reports: map[string]report.Report{}, keptConnErr: map[string]error{}, allConnErr: map[string]error{},
+			reports: map[string]loadreport.Report{}, keptConnErr: map[string]error{}, allConnErr: map[string]error{},
 			hostConnErr: map[string]map[string]error{}, polls: map[string]int{},
 		},
 		g: NewWithT(t), net: peertest.NewNetwork(), hosts: map[string]*entryHost{},
@@ -116,22 +116,22 @@
 	h := &entryHost{registry: server.NewRegistry()}
 	sys, rnd := clock.System{}, clock.NewSeeded(uint64(len(s.hosts)+1))
 	h.monitor = member.New(member.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
-	h.poller = report.New(report.Options{
+	h.poller = loadreport.New(loadreport.Options{
 		Link: link, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd, Prober: fakeProber{s.fakeServers, name}, Interval: interval,
 		ListHosts: func(context.Context) ([]objectapi.Host, error) {
 			s.mu.Lock()
 			defer s.mu.Unlock()
 			return s.hostList, s.hostListErr
 		},
-		Targets: func() []report.Target {
-			var out []report.Target
+		Targets: func() []loadreport.Target {
+			var out []loadreport.Target
 			for d := range domains {
 				for i := range servers {
 					n := fmt.Sprintf("s%d-%d", d, i)
 					if _, left := s.delisted.Load(n); left {
 						continue
 					}
-					out = append(out, report.Target{State: h.registry.Get(n, n+":1", time.Unix(1, 0)), Domain: fmt.Sprint("d", d)})
+					out = append(out, loadreport.Target{State: h.registry.Get(n, n+":1", time.Unix(1, 0)), Domain: fmt.Sprint("d", d)})
 				}
 			}
 			return out
@@ -169,9 +169,9 @@
 	s.hostListErr = objectapi.ErrUnavailable
 	s.mu.Unlock()
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
-	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{Leaving: true} })
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
-	s.withLock(func() { s.reports["s1-0:1"] = report.Report{} })
+	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{} })
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
 }
 
@@ -183,7 +183,7 @@
 	s.mu.Lock()
 	s.hostList = []objectapi.Host{{Name: "s0-0", Address: "s0-0:1", State: objectapi.HostLeaving}, {Name: "s1-0", State: objectapi.HostLive}}
 	s.mu.Unlock()
-	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
 	lists := s.hosts["h0-0"].poller.Counters.HostListReads.Load()
@@ -255,7 +255,7 @@
 // work.
 func TestLateJoiningHostLearnsOfLeavingServers(t *testing.T) {
 	s := newDeployment(t, 2, 2, 1)
-	s.withLock(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	sent := s.hosts["h1-0"].monitor.Counters.Sent.Load()
 	s.g.Eventually(s.hosts["h1-0"].monitor.Counters.Sent.Load, eventuallyTimeout).Should(BeNumerically(">", sent+60), "the status has spread")
@@ -267,14 +267,14 @@
 // again at the same address. Its old status must not keep it unusable.
 func TestRelistedServerIsUsable(t *testing.T) {
 	s := newDeployment(t, 1, 3, 1)
-	s.withLock(func() { s.reports["s0-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{Leaving: true} })
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
 	s.delisted.Store("s0-0", true)
 	for _, h := range s.hosts {
 		before := h.poller.Counters.Rounds.Load()
 		s.g.Eventually(h.poller.Counters.Rounds.Load, eventuallyTimeout).Should(BeNumerically(">", before+2), "the tables are applied")
 	}
-	s.withLock(func() { s.reports["s0-0:1"] = report.Report{} })
+	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{} })
 	s.delisted.Delete("s0-0")
 	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
 }
@@ -296,7 +296,7 @@
 		}
 	}
 	pairs(s.net.Partition)
-	s.withLock(func() { s.reports["s1-0:1"] = report.Report{Leaving: true} })
+	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{Leaving: true} })
 	for i := range 3 {
 		name := fmt.Sprint("h1-", i)
 		s.g.Eventually(func() bool { return s.serverState(name, "s1-0").Usable() }, eventuallyTimeout, interval).Should(BeFalse(), name)
@@ -314,7 +314,7 @@
 	s := newDeployment(t, 1, 5, 3)
 	s.withLock(func() {
 		for i := range 3 {
-			s.reports[fmt.Sprintf("s0-%d:1", i)] = report.Report{Running: i, Queued: 7, Slots: 8, Models: []string{"m@2"}, Role: "decode"}
+			s.reports[fmt.Sprintf("s0-%d:1", i)] = loadreport.Report{Running: i, Queued: 7, Slots: 8, Models: []string{"m@2"}, Role: "decode"}
 		}
 	})
 	for name := range s.hosts {
@@ -338,15 +338,15 @@
 	for _, fresh := range []bool{false, true} {
 		r, err := c.Poll(context.Background(), address, fresh)
 		g.Expect(err).NotTo(HaveOccurred())
-		g.Expect(r).To(Equal(report.Report{Running: 3, Queued: 1, Slots: 8, Models: []string{"m"}, Role: "r", Leaving: true}))
+		g.Expect(r).To(Equal(loadreport.Report{Running: 3, Queued: 1, Slots: 8, Models: []string{"m"}, Role: "r", Leaving: true}))
 	}
 	c.CloseIdleConnections()
 	srv.Close()
 	_, err := c.Poll(context.Background(), address, true)
 	g.Expect(err).To(MatchError(syscall.ECONNREFUSED))
-	g.Expect(err).To(MatchError(report.ErrNoConnection))
+	g.Expect(err).To(MatchError(loadreport.ErrNoConnection))
 	plain := httptest.NewServer(http.NotFoundHandler())
 	defer plain.Close()
 	_, err = c.Poll(context.Background(), plain.Listener.Addr().String(), true)
-	g.Expect(err).To(MatchError(report.ErrNoReport))
+	g.Expect(err).To(MatchError(loadreport.ErrNoReport))
 }
--- a/process/report/share.go
+++ b/process/loadreport/share.go
@@ -1,4 +1,4 @@
-package report
+package loadreport
 
 import (
 	"context"
