--- a/edge/edge.go
+++ b/edge/edge.go
@@ -21,7 +21,6 @@
 	"bilberrydale/connection/upstream"
 	"bilberrydale/platform"
 	"bilberrydale/process/apihealth"
-	"bilberrydale/process/budget"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
 	"bilberrydale/process/current"
@@ -30,6 +29,7 @@
 	"bilberrydale/process/metrics"
 	"bilberrydale/process/objectwatch"
 	"bilberrydale/process/peer"
+	"bilberrydale/process/retrylimit"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/gateway"
 	"bilberrydale/version/plan"
@@ -75,7 +75,7 @@
 	platformMonitor   *apihealth.Monitor
 	configConfirmedAt atomic.Int64 // bootClock time in nanoseconds; 0: never confirmed
 	upstream          *upstream.Client
-	retryLimiter      *budget.RetryLimiter
+	retryLimiter      *retrylimit.RetryLimiter
 	batchers          *batchers
 	stages            *stages.Pool
 	gateway           *gateway.Gateway
@@ -129,7 +129,7 @@
 	h.createFollowers()
 	h.batchers = newBatchers(h)
 	h.stages = stages.NewPool(h.mesh, h.clock, stages.NewCoordinator(h.batchers.get, h.stageTarget, h.clock, h), h.stageRegion, h)
-	h.retryLimiter = budget.New(budget.Options{
+	h.retryLimiter = retrylimit.New(retrylimit.Options{
 		Ratio: settings.RetryRatio, Window: settings.RetryWindow, Slack: settings.RetrySlack, Clock: h.clock,
 		Hosts: func() int { return len(h.mesh.Peers()) + 1 + maxUnlistedHosts },
 	})
--- a/process/budget/budget.go
+++ b/process/retrylimit/retrylimit.go
@@ -1,7 +1,7 @@
-// Package budget bounds the retries of requests to backend servers. The bound applies to a
+// Package retrylimit bounds the retries of requests to backend servers. The bound applies to a
 // service across all entry hosts. Instead of coordinating, each host uses a share such that
 // the shares together cannot exceed the bound.
-package budget
+package retrylimit
 
 import (
 	"sync"
--- a/process/budget/budget_test.go
+++ b/process/retrylimit/retrylimit_test.go
@@ -1,4 +1,4 @@
-package budget
+package retrylimit
 
 import (
 	"testing"
