--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -9,7 +9,7 @@
 
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/limit"
+	"bilberrydale/process/retrybudget"
 	"bilberrydale/process/server"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
@@ -94,10 +94,10 @@
 
 // useRetryBudgets gives the host a retry budget for each pool.
 func (hp *HostPolicy) useRetryBudgets() {
-	budgets := map[string]*limit.RetryBudget{}
-	budgetOf := func(pool string) *limit.RetryBudget {
+	budgets := map[string]*retrybudget.RetryBudget{}
+	budgetOf := func(pool string) *retrybudget.RetryBudget {
 		if budgets[pool] == nil {
-			budgets[pool] = limit.NewRetryBudget(limit.DefaultRetryBudget())
+			budgets[pool] = retrybudget.NewRetryBudget(retrybudget.DefaultRetryBudget())
 		}
 		return budgets[pool]
 	}
--- a/process/limit/retry.go
+++ b/process/retrybudget/retry.go
@@ -1,7 +1,7 @@
-// Package limit limits retries and hedged attempts. They help when few requests need them
-// but aggravate an overload when many do, so they are limited to a fraction of the preceding
-// first attempts.
-package limit
+// Package retrybudget limits the retries and hedged attempts at a pool. They help when few
+// requests need them but aggravate an overload when many do, so they are limited to a
+// fraction of the preceding first attempts.
+package retrybudget
 
 import "sync/atomic"
 
--- a/process/limit/retry_test.go
+++ b/process/retrybudget/retry_test.go
@@ -1,4 +1,4 @@
-package limit
+package retrybudget
 
 import (
 	"testing"
--- a/request/pipeline/options.go
+++ b/request/pipeline/options.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"bilberrydale/process/limit"
+	"bilberrydale/process/retrybudget"
 )
 
 // Options limit retries and set the timeouts of attempts.
@@ -25,7 +25,7 @@
 
 // DefaultOptions returns the default options.
 func DefaultOptions() Options {
-	budget := limit.DefaultRetryBudget()
+	budget := retrybudget.DefaultRetryBudget()
 	return Options{
 		MaxAttempts: 3, RetryRatio: budget.Ratio, RetryBurst: budget.Burst, MinStallTimeout: 100 * time.Millisecond,
 		InitialIdleTimeout: time.Second, ProbeTimeout: 300 * time.Millisecond, LateResultTimeout: 10 * time.Second,
