--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -12,12 +12,12 @@
 	"syscall"
 	"time"
 
-	"bilberrydale/process/background"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/member"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/server"
+	"bilberrydale/process/taskgroup"
 )
 
 // Errors of a poll. Compare with errors.Is.
@@ -117,7 +117,7 @@
 	rounds        int
 	incarnations  map[string]uint64 // of the hosts that are not gone
 	hostJoined    atomic.Bool       // a host joined since statuses were last repeated
-	tasks         background.Group
+	tasks         taskgroup.Group
 }
 
 // serverRecord is the state of a Poller for one backend server.
--- a/process/member/monitor.go
+++ b/process/member/monitor.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"bilberrydale/process/background"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/peer"
+	"bilberrydale/process/taskgroup"
 )
 
 // Methods that a Monitor registers on its link.
@@ -97,7 +97,7 @@
 	opts            Options
 	attachments     []attachment
 	wake            chan struct{}
-	tasks           background.Group
+	tasks           taskgroup.Group
 	pull            pullState
 	seedMu          sync.Mutex
 	nextSeedContact time.Time
--- a/process/background/background.go
+++ b/process/taskgroup/taskgroup.go
@@ -1,5 +1,5 @@
-// Package background runs goroutines that must end with the component that starts them.
-package background
+// Package taskgroup runs goroutines that must end with the component that starts them.
+package taskgroup
 
 import "sync"
 
--- a/process/background/background_test.go
+++ b/process/taskgroup/taskgroup_test.go
@@ -1,4 +1,4 @@
-package background_test
+package taskgroup_test
 
 import (
 	"sync"
@@ -7,7 +7,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/background"
+	"bilberrydale/process/taskgroup"
 )
 
 // Handlers call Go while the group closes. Their functions must neither race with the wait
@@ -15,7 +15,7 @@
 func TestGoDuringCloseDoesNotOutliveGroup(t *testing.T) {
 	g := NewWithT(t)
 	for range 200 {
-		var group background.Group
+		var group taskgroup.Group
 		var closed atomic.Bool
 		var late, started, ran atomic.Int64
 		var handlers sync.WaitGroup
@@ -43,7 +43,7 @@
 
 func TestGoAfterCloseStartsNothing(t *testing.T) {
 	g := NewWithT(t)
-	var group background.Group
+	var group taskgroup.Group
 	group.Close()
 	g.Expect(group.Go(func() { t.Error("function was run") })).To(BeFalse())
 }
