--- a/entryhost/lossy_proxy_test.go
+++ b/entryhost/lossy_proxy_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/ginkgo/v2"
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 )
 
 // lossyProxy forwards connections to an address and can lose the state of the
@@ -87,8 +87,8 @@
 		proxy := newLossyProxy()
 		go proxy.run(e1.membership.listener.Addr().String())
 		e2, _ := env.startPeer("e2", proxy.Addr().String())
-		peerState := func(h *Host, of string) func() member.State {
-			return func() member.State {
+		peerState := func(h *Host, of string) func() membership.State {
+			return func() membership.State {
 				p, ok := h.membership.view.Lookup(of)
 				if !ok {
 					return -1
@@ -96,12 +96,12 @@
 				return p.State
 			}
 		}
-		Eventually(peerState(e2, "e1"), 10*time.Second).Should(Equal(member.Alive))
-		Eventually(peerState(e1, "e2"), 10*time.Second).Should(Equal(member.Alive))
+		Eventually(peerState(e2, "e1"), 10*time.Second).Should(Equal(membership.Alive))
+		Eventually(peerState(e1, "e2"), 10*time.Second).Should(Equal(membership.Alive))
 		var gone atomic.Int64
 		for h, of := range map[*Host]string{e1: "e2", e2: "e1"} {
 			h.membership.view.OnChange(func() {
-				if p, _ := h.membership.view.Lookup(of); p.State == member.Gone {
+				if p, _ := h.membership.view.Lookup(of); p.State == membership.Gone {
 					gone.Add(1)
 				}
 			})
@@ -114,8 +114,8 @@
 		Eventually(checks, 15*time.Second).Should(BeNumerically(">", 0))
 		received := e1.membership.monitor.Counters.Received.Load()
 		Eventually(e1.membership.monitor.Counters.Received.Load, 15*time.Second).Should(BeNumerically(">", received+3))
-		Eventually(peerState(e2, "e1"), 10*time.Second).Should(Equal(member.Alive))
-		Eventually(peerState(e1, "e2"), 10*time.Second).Should(Equal(member.Alive))
+		Eventually(peerState(e2, "e1"), 10*time.Second).Should(Equal(membership.Alive))
+		Eventually(peerState(e1, "e2"), 10*time.Second).Should(Equal(membership.Alive))
 		Expect(gone.Load()).To(BeZero())
 	})
 })
--- a/entryhost/membership.go
+++ b/entryhost/membership.go
@@ -13,7 +13,7 @@
 	"bilberrydale/connection/serverprobe"
 	"bilberrydale/process/lease"
 	"bilberrydale/process/loadreport"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/order"
 	"bilberrydale/process/peer"
 )
@@ -22,9 +22,9 @@
 // of the failure domain.
 type membershipComponents struct {
 	link peer.Link
-	view member.View
+	view membership.View
 
-	monitor      *member.Monitor
+	monitor      *membership.Monitor
 	reportPoller *loadreport.Poller
 	elector      *lease.Elector
 	orderManager *order.Manager
@@ -90,7 +90,7 @@
 // of backend server reports.
 func (h *Host) wireMonitor(mesh *peer.Mesh) {
 	seeds := h.opts.seedAddresses()
-	monitor := member.New(member.Options{
+	monitor := membership.New(membership.Options{
 		Link: mesh, Clock: h.clock, Rand: h.rand, Draining: h.gate.Closed,
 		Seeds: func() []string { return append(h.membership.reportPoller.Seeds(), seeds...) },
 	})
--- a/entryhost/membership_test.go
+++ b/entryhost/membership_test.go
@@ -9,7 +9,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/internal/standin/engine"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/version/table"
 )
 
@@ -40,8 +40,8 @@
 		address := e1.membership.listener.Addr().String()
 		e2, _ := env.startPeer("e2", address)
 		e3, stop := env.startPeer("e3", address)
-		peerState := func(h *Host, of string) func() member.State {
-			return func() member.State {
+		peerState := func(h *Host, of string) func() membership.State {
+			return func() membership.State {
 				p, ok := h.membership.view.Lookup(of)
 				if !ok {
 					return -1
@@ -53,13 +53,13 @@
 			h  *Host
 			of string
 		}{{e1, "e2"}, {e1, "e3"}, {e2, "e1"}, {e2, "e3"}, {e3, "e1"}, {e3, "e2"}} {
-			Eventually(peerState(pair.h, pair.of), 10*time.Second).Should(Equal(member.Alive))
+			Eventually(peerState(pair.h, pair.of), 10*time.Second).Should(Equal(membership.Alive))
 		}
 		e2.Drain()
 		Eventually(func() bool { p, _ := e1.membership.view.Lookup("e2"); return p.Draining }, 10*time.Second).Should(BeTrue())
 		stop()
-		Eventually(peerState(e1, "e3"), 10*time.Second).Should(Equal(member.Gone))
-		Eventually(peerState(e2, "e3"), 10*time.Second).Should(Equal(member.Gone))
+		Eventually(peerState(e1, "e3"), 10*time.Second).Should(Equal(membership.Gone))
+		Eventually(peerState(e2, "e3"), 10*time.Second).Should(Equal(membership.Gone))
 	})
 
 	// A release names a new model version. A pool switches to it only when enough
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -9,7 +9,7 @@
 	"bilberrydale/connection/engineorder"
 	"bilberrydale/internal/settings"
 	"bilberrydale/process/lease"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/order"
 	"bilberrydale/version/snapshot"
 	"bilberrydale/version/table"
@@ -54,13 +54,15 @@
 
 // wireOrders adds the lease of the failure domain and, for its holder, the sending
 // of orders to the domain's engines.
-func (h *Host) wireOrders(monitor *member.Monitor) {
+func (h *Host) wireOrders(monitor *membership.Monitor) {
 	self := h.membership.link.Self()
 	p, ttl := &h.membership, h.opts.Membership.LeaseTTL
 	p.elector = lease.NewElector(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: h.rand, Key: lease.KeyPrefix + h.opts.Domain, Host: h.opts.Name,
-		IsCandidate: func() bool { return !h.gate.Closed() && member.IsOwner(monitor, self, "lease", leaseCandidateCount) },
-		TTL:         ttl, Margin: ttl / leaseMarginDivisor, MaxOrderDuration: ttl / maxOrderDivisor,
+		IsCandidate: func() bool {
+			return !h.gate.Closed() && membership.IsOwner(monitor, self, "lease", leaseCandidateCount)
+		},
+		TTL: ttl, Margin: ttl / leaseMarginDivisor, MaxOrderDuration: ttl / maxOrderDivisor,
 	})
 	p.orderManager = order.New(order.Options{
 		Lease: p.elector, Clock: h.clock, Sender: engineorder.New(), OrdersPerSecond: h.opts.Membership.OrdersPerSecond,
@@ -174,13 +176,13 @@
 func (h *Host) membershipStatus() any {
 	p := &h.membership
 	fence, held := p.elector.Held(h.clock.Now())
-	states := map[member.State]int{}
+	states := map[membership.State]int{}
 	for _, peer := range p.view.Peers() {
 		states[peer.State]++
 	}
 	hb, rep, ord := &p.monitor.Counters, &p.reportPoller.Counters, &p.orderManager.Counters
 	return map[string]any{
-		"alive": states[member.Alive], "suspect": states[member.Suspect], "gone": states[member.Gone],
+		"alive": states[membership.Alive], "suspect": states[membership.Suspect], "gone": states[membership.Gone],
 		"heartbeats_sent": hb.Sent.Load(), "heartbeats_received": hb.Received.Load(), "heartbeats_failed": hb.Failed.Load(),
 		"checks": hb.Checks.Load(), "judged_gone": hb.DeclaredGone.Load(), "pulls": hb.Pulls.Load(),
 		"polls": rep.Polls.Load(), "host_list_reads": rep.HostListReads.Load(), "loads_shared": rep.LoadsShared.Load(), "loads_shared_bytes": rep.LoadsSharedBytes.Load(),
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -12,7 +12,7 @@
 	"bilberrydale/connection/backend"
 	"bilberrydale/internal/settings"
 	"bilberrydale/process/claim"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
@@ -55,20 +55,20 @@
 	}
 }
 
-// reachableLink is a peer.Link that leaves out peers with the state member.Gone. A
+// reachableLink is a peer.Link that leaves out peers with the state membership.Gone. A
 // call to such a peer waits for a response until it times out: as the owner of a
 // shard, the peer would delay each claim there, and many of them would hold up
 // messages to the peers that are alive.
 type reachableLink struct {
 	peer.Link
-	view member.View
+	view membership.View
 }
 
 // Peers implements peer.Link.
 func (l reachableLink) Peers() []peer.Identity {
 	return slices.DeleteFunc(slices.Clone(l.Link.Peers()), func(id peer.Identity) bool {
 		p, ok := l.view.Lookup(id.Host)
-		return ok && p.State == member.Gone
+		return ok && p.State == membership.Gone
 	})
 }
 
--- a/internal/memberbench/bench_test.go
+++ b/internal/memberbench/bench_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 )
 
 // The steady state is measured over measuredHeartbeats of each host, which take
@@ -147,7 +147,7 @@
 	f.waitFor("killed host", func() bool {
 		gone := 0
 		for _, h := range f.hosts[1:] {
-			if p, _ := h.monitor.Lookup(killedHost.mesh.Self().Host); p.State == member.Gone {
+			if p, _ := h.monitor.Lookup(killedHost.mesh.Self().Host); p.State == membership.Gone {
 				gone++
 			}
 		}
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -17,7 +17,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/lease"
 	"bilberrydale/process/loadreport"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/server"
 )
@@ -52,7 +52,7 @@
 
 type host struct {
 	mesh     *peer.Mesh
-	monitor  *member.Monitor
+	monitor  *membership.Monitor
 	poller   *loadreport.Poller
 	elector  *lease.Elector
 	registry *server.Registry
@@ -110,7 +110,7 @@
 		f.waitFor("all hosts known", func() bool {
 			alive := 0
 			for _, p := range h.monitor.Peers() {
-				if p.State == member.Alive {
+				if p.State == membership.Alive {
 					alive++
 				}
 			}
@@ -148,7 +148,7 @@
 		}
 		return c, nil
 	}})
-	h.monitor = member.New(member.Options{Link: h.mesh, Clock: sys, Rand: rnd, Seeds: func() []string { return seeds }})
+	h.monitor = membership.New(membership.Options{Link: h.mesh, Clock: sys, Rand: rnd, Seeds: func() []string { return seeds }})
 	h.mesh.OnConnect(h.monitor.RecordAlive)
 	h.poller = loadreport.New(loadreport.Options{
 		Link: h.mesh, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd,
@@ -156,7 +156,7 @@
 	})
 	h.elector = lease.NewElector(lease.Options{
 		Store: f.store, Clock: sys, Rand: rnd, Key: lease.KeyPrefix + domain, Host: name,
-		IsCandidate: func() bool { return member.IsOwner(h.monitor, self, "lease", 2) },
+		IsCandidate: func() bool { return membership.IsOwner(h.monitor, self, "lease", 2) },
 	})
 	listener := &peerconn.Server{Options: conns, Dispatch: h.mesh.Dispatch, OnAccept: func(c peer.Conn) { h.mesh.AddAccepted(c) }}
 	ctx, cancel := context.WithCancel(context.Background())
--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/server"
@@ -57,8 +57,8 @@
 // Options configure a Poller. Zero durations and counts get the defaults.
 type Options struct {
 	Link    peer.Link
-	View    member.View
-	Monitor *member.Monitor // its heartbeats carry server statuses; may be nil
+	View    membership.View
+	Monitor *membership.Monitor // its heartbeats carry server statuses; may be nil
 	Clock   clock.Clock
 	Rand    clock.Rand
 	Prober  Prober
@@ -172,12 +172,12 @@
 		p.repeatStatuses()
 	}
 	self := p.opts.Link.Self()
-	hosts := member.HostsInDomain(p.opts.View, self, self.Domain)
+	hosts := membership.HostsInDomain(p.opts.View, self, self.Domain)
 	now := p.opts.Clock.Now()
 	for _, rec := range p.duePolls(self, hosts, now) {
 		p.tasks.Go(func() { p.poll(ctx, rec) })
 	}
-	if p.opts.ListHosts != nil && member.IsOwner(p.opts.View, self, "platform host list", p.opts.Owners) {
+	if p.opts.ListHosts != nil && membership.IsOwner(p.opts.View, self, "platform host list", p.opts.Owners) {
 		p.tasks.Go(func() { p.readHostList(ctx) })
 	}
 	p.tasks.Go(func() { p.shareLoads(ctx, hosts, now) })
@@ -217,7 +217,7 @@
 		owned := false
 		rec.primaryOwner = false
 		if rec.target.Domain == self.Domain {
-			rank := member.RankIndex(address, self.Host, hosts)
+			rank := membership.RankIndex(address, self.Host, hosts)
 			rec.primaryOwner = rank == 0
 			owned = rec.primaryOwner || (rank < p.opts.Owners && p.rounds%standbyPollRounds == 0)
 		}
--- a/process/loadreport/loadreport_test.go
+++ b/process/loadreport/loadreport_test.go
@@ -16,7 +16,7 @@
 	"bilberrydale/connection/serverprobe"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/loadreport"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
@@ -89,7 +89,7 @@
 type entryHost struct {
 	registry *server.Registry
 	poller   *loadreport.Poller
-	monitor  *member.Monitor
+	monitor  *membership.Monitor
 }
 
 func newDeployment(t *testing.T, domains, hosts, servers int) *deployment {
@@ -115,7 +115,7 @@
 	link := s.net.Join(peer.Identity{Host: name, Incarnation: 1, Domain: domain, Address: name})
 	h := &entryHost{registry: server.NewRegistry()}
 	sys, rnd := clock.System{}, clock.NewSeeded(uint64(len(s.hosts)+1))
-	h.monitor = member.New(member.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
+	h.monitor = membership.New(membership.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
 	h.poller = loadreport.New(loadreport.Options{
 		Link: link, View: h.monitor, Monitor: h.monitor, Clock: sys, Rand: rnd, Prober: fakeProber{s.fakeServers, name}, Interval: interval,
 		ListHosts: func(context.Context) ([]objectapi.Host, error) {
@@ -235,7 +235,7 @@
 // as down. The polls of the third host succeed, so it keeps using the server.
 func TestFailedProbesOfOtherHostsAreVerified(t *testing.T) {
 	s := newDeployment(t, 1, 3, 1)
-	ranked := member.Rank("s0-0:1", []string{"h0-0", "h0-1", "h0-2"})
+	ranked := membership.Rank("s0-0:1", []string{"h0-0", "h0-1", "h0-2"})
 	refused := map[string]error{"s0-0:1": errRefused}
 	s.withLock(func() { s.hostConnErr[ranked[0]], s.hostConnErr[ranked[1]] = refused, refused })
 	for _, owner := range ranked[:2] {
@@ -302,7 +302,7 @@
 		s.g.Eventually(func() bool { return s.serverState(name, "s1-0").Usable() }, eventuallyTimeout, interval).Should(BeFalse(), name)
 		s.g.Expect(s.serverState(name, "s0-0").Usable()).To(BeTrue(), "a partition says nothing about a server")
 		outside := s.hosts[fmt.Sprint("h0-", i)]
-		s.g.Eventually(func() member.State { p, _ := outside.monitor.Lookup(name); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
+		s.g.Eventually(func() membership.State { p, _ := outside.monitor.Lookup(name); return p.State }, eventuallyTimeout).Should(Equal(membership.Gone))
 		s.g.Expect(s.serverState(fmt.Sprint("h0-", i), "s1-0").Usable()).To(BeTrue())
 	}
 	pairs(s.net.Heal)
--- a/process/loadreport/status.go
+++ b/process/loadreport/status.go
@@ -7,7 +7,7 @@
 	"net"
 	"time"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 )
@@ -246,7 +246,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, h := range p.opts.View.Peers() {
-		if h.State == member.Gone {
+		if h.State == membership.Gone {
 			continue
 		}
 		next[h.Host] = h.Incarnation
--- a/process/member/member.go
+++ b/process/membership/membership.go
@@ -1,7 +1,7 @@
-// Package member tracks which entry hosts are alive, by heartbeats and gossip
+// Package membership tracks which entry hosts are alive, by heartbeats and gossip
 // between the hosts. A host declares another one gone only after its own new
 // connections to it failed.
-package member
+package membership
 
 import "bilberrydale/process/peer"
 
--- a/process/member/member_test.go
+++ b/process/membership/membership_test.go
@@ -1,4 +1,4 @@
-package member_test
+package membership_test
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
 )
@@ -32,7 +32,7 @@
 }
 
 type host struct {
-	*member.Monitor
+	*membership.Monitor
 	stop func()
 }
 
@@ -44,10 +44,10 @@
 
 // start runs one host with the given seed hosts. The name of a host that is
 // running or was stopped makes it a restart: the incarnation is higher.
-func (f *fleet) start(name, domain string, attach func(*member.Monitor), seeds ...string) *host {
+func (f *fleet) start(name, domain string, attach func(*membership.Monitor), seeds ...string) *host {
 	f.lastIncarnation++
 	link := f.net.Join(peer.Identity{Host: name, Incarnation: f.lastIncarnation, Domain: domain, Region: "r", Address: address(name)})
-	m := member.New(member.Options{
+	m := membership.New(membership.Options{
 		Link: link, Clock: clock.System{}, Rand: clock.NewSeeded(f.lastIncarnation), Interval: interval, SeedInterval: 10 * interval,
 		Draining: func() bool { _, ok := f.draining.Load(name); return ok },
 		Seeds: func() []string {
@@ -89,8 +89,8 @@
 	delete(f.hosts, name)
 }
 
-func states(v member.View) map[string]member.State {
-	out := map[string]member.State{}
+func states(v membership.View) map[string]membership.State {
+	out := map[string]membership.State{}
 	for _, p := range v.Peers() {
 		out[p.Host] = p.State
 	}
@@ -99,7 +99,7 @@
 
 // expectState waits until every running host has all others of hosts in state
 // want.
-func (f *fleet) expectState(want member.State, hosts ...string) {
+func (f *fleet) expectState(want membership.State, hosts ...string) {
 	f.t.Helper()
 	for name, h := range f.hosts {
 		for _, other := range hosts {
@@ -133,7 +133,7 @@
 			f.net.Leave(name)
 		}
 		all := append(f.domain("a", 5, "a-0"), f.domain("b", 4, "a-0")...)
-		f.expectState(member.Alive, all...)
+		f.expectState(membership.Alive, all...)
 		for _, h := range f.hosts {
 			for _, p := range h.Peers() {
 				f.g.Eventually(func() uint64 { x, _ := h.Lookup(p.Host); return x.Incarnation }, eventuallyTimeout).Should(BeNumerically(">", f.lastIncarnation-9))
@@ -149,11 +149,11 @@
 func TestStaleConnectionDoesNotMakePeerGone(t *testing.T) {
 	f := newFleet(t)
 	f.domain("a", 2, "a-0")
-	f.expectState(member.Alive, "a-0", "a-1")
+	f.expectState(membership.Alive, "a-0", "a-1")
 	var gone atomic.Int64
 	h := f.hosts["a-0"]
 	h.OnChange(func() {
-		if p, _ := h.Lookup("a-1"); p.State == member.Gone {
+		if p, _ := h.Lookup("a-1"); p.State == membership.Gone {
 			gone.Add(1)
 		}
 	})
@@ -161,7 +161,7 @@
 		checks := h.Counters.Checks.Load()
 		f.net.BreakConnection("a-0", "a-1")
 		f.g.Eventually(h.Counters.Checks.Load, eventuallyTimeout).Should(BeNumerically(">", checks))
-		f.expectState(member.Alive, "a-1")
+		f.expectState(membership.Alive, "a-1")
 	}
 	f.g.Expect(gone.Load()).To(BeZero())
 }
@@ -173,11 +173,11 @@
 func TestKilledHostIsGoneOnAllHostsUntilRestart(t *testing.T) {
 	f := newFleet(t)
 	names := f.domain("a", 9, "a-0")
-	f.expectState(member.Alive, names...)
+	f.expectState(membership.Alive, names...)
 	f.kill("a-4")
-	f.expectState(member.Gone, "a-4")
+	f.expectState(membership.Gone, "a-4")
 	f.start("a-4", "a", nil, "a-0")
-	f.expectState(member.Alive, "a-4")
+	f.expectState(membership.Alive, "a-4")
 }
 
 // A failure domain is partitioned from another one for a while. Each side keeps
@@ -186,22 +186,22 @@
 func TestPartitionedDomainIsGoneUntilHealed(t *testing.T) {
 	f := newFleet(t)
 	as, bs := f.domain("a", 3, "a-0"), f.domain("b", 3, "a-0")
-	f.expectState(member.Alive, append(as, bs...)...)
+	f.expectState(membership.Alive, append(as, bs...)...)
 	f.forEachPair(as, bs, f.net.Partition)
 	for _, a := range as {
 		for _, b := range bs {
-			f.g.Eventually(func() member.State { p, _ := f.hosts[a].Lookup(b); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
-			f.g.Eventually(func() member.State { p, _ := f.hosts[b].Lookup(a); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
+			f.g.Eventually(func() membership.State { p, _ := f.hosts[a].Lookup(b); return p.State }, eventuallyTimeout).Should(Equal(membership.Gone))
+			f.g.Eventually(func() membership.State { p, _ := f.hosts[b].Lookup(a); return p.State }, eventuallyTimeout).Should(Equal(membership.Gone))
 		}
 		for _, other := range as {
 			if a != other {
 				p, _ := f.hosts[a].Lookup(other)
-				f.g.Expect(p.State).NotTo(Equal(member.Gone))
+				f.g.Expect(p.State).NotTo(Equal(membership.Gone))
 			}
 		}
 	}
 	f.forEachPair(as, bs, f.net.Heal)
-	f.expectState(member.Alive, append(as, bs...)...)
+	f.expectState(membership.Alive, append(as, bs...)...)
 }
 
 // One host cannot reach a peer that all others reach, and gossips that it is
@@ -210,18 +210,18 @@
 func TestOneUnreachableLinkDoesNotMakePeerGoneElsewhere(t *testing.T) {
 	f := newFleet(t)
 	names := f.domain("a", 4, "a-0")
-	f.expectState(member.Alive, names...)
+	f.expectState(membership.Alive, names...)
 	gone := atomic.Int64{}
 	for _, n := range []string{"a-2", "a-3"} {
 		h := f.hosts[n]
 		h.OnChange(func() {
-			if p, _ := h.Lookup("a-1"); p.State == member.Gone {
+			if p, _ := h.Lookup("a-1"); p.State == membership.Gone {
 				gone.Add(1)
 			}
 		})
 	}
 	f.net.Partition("a-0", "a-1")
-	f.g.Eventually(func() member.State { p, _ := f.hosts["a-0"].Lookup("a-1"); return p.State }, eventuallyTimeout).Should(Equal(member.Gone))
+	f.g.Eventually(func() membership.State { p, _ := f.hosts["a-0"].Lookup("a-1"); return p.State }, eventuallyTimeout).Should(Equal(membership.Gone))
 	received := f.hosts["a-2"].Counters.Received.Load()
 	f.g.Eventually(f.hosts["a-2"].Counters.Received.Load, eventuallyTimeout).Should(BeNumerically(">", received+20))
 	f.g.Expect(gone.Load()).To(BeZero())
@@ -230,14 +230,14 @@
 func TestDrainingAndAttachmentsSpread(t *testing.T) {
 	f := newFleet(t)
 	var got sync.Map
-	f.start("a-0", "a", func(m *member.Monitor) {
+	f.start("a-0", "a", func(m *membership.Monitor) {
 		m.Attach("release", func() []byte { return []byte("42") }, func(peer.Identity, []byte) {})
 	}, "a-1")
-	f.start("a-1", "a", func(m *member.Monitor) {
+	f.start("a-1", "a", func(m *membership.Monitor) {
 		m.Attach("release", func() []byte { return nil }, func(from peer.Identity, data []byte) { got.Store(from.Host, string(data)) })
 	}, "a-0")
 	f.domain("b", 2, "a-0")
-	f.expectState(member.Alive, "a-0", "a-1", "b-0", "b-1")
+	f.expectState(membership.Alive, "a-0", "a-1", "b-0", "b-1")
 	f.g.Eventually(func() any { v, _ := got.Load("a-0"); return v }, eventuallyTimeout).Should(Equal("42"))
 	f.draining.Store("a-0", true)
 	for name, h := range f.hosts {
@@ -245,5 +245,5 @@
 			f.g.Eventually(func() bool { p, _ := h.Lookup("a-0"); return p.Draining }, eventuallyTimeout).Should(BeTrue(), name)
 		}
 	}
-	f.g.Expect(states(f.hosts["b-0"])).To(HaveKeyWithValue("a-0", member.Alive))
+	f.g.Expect(states(f.hosts["b-0"])).To(HaveKeyWithValue("a-0", membership.Alive))
 }
--- a/process/member/table.go
+++ b/process/membership/table.go
@@ -1,4 +1,4 @@
-package member
+package membership
 
 import (
 	"encoding/binary"
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -37,7 +37,7 @@
 	return &Network{links: map[string]*Link{}, faults: map[[2]string]fault{}, bytes: map[string]int64{}, calls: map[string]int64{}}
 }
 
-// Link implements peer.Link and member.Transport for one host of a Network.
+// Link implements peer.Link and membership.Transport for one host of a Network.
 type Link struct {
 	net      *Network
 	self     peer.Identity
--- a/process/release/distributor.go
+++ b/process/release/distributor.go
@@ -10,15 +10,15 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/sync/errgroup"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 )
 
 // DistributorOptions configure a Distributor; zero values get defaults.
 type DistributorOptions struct {
 	Follower *Follower
-	Link     peer.Link   // nil: the host has no peers
-	View     member.View // nil: every peer of the link counts as alive
+	Link     peer.Link       // nil: the host has no peers
+	View     membership.View // nil: every peer of the link counts as alive
 	// Watchers is the number of hosts per failure domain that watch the
 	// platform; default 2.
 	Watchers int
--- a/process/release/distributor_bench_test.go
+++ b/process/release/distributor_bench_test.go
@@ -14,7 +14,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 )
 
@@ -258,7 +258,7 @@
 			fl := benchFleet(b, n, DefaultActivationDelay)
 			var all [][]time.Duration
 			for i := range b.N {
-				name := fl.hostsOf("d0")[0].distributor.rankedHosts(member.Alive)[0]
+				name := fl.hostsOf("d0")[0].distributor.rankedHosts(membership.Alive)[0]
 				fl.kill(name, false)
 				rel, acceptedAt := fl.publishServerChange(i + 1)
 				fl.awaitInForce(rel)
--- a/process/release/distributor_test.go
+++ b/process/release/distributor_test.go
@@ -10,7 +10,7 @@
 	. "github.com/onsi/gomega"
 
 	standin "bilberrydale/internal/standin/platform"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 )
 
@@ -108,7 +108,7 @@
 	fl := newFleet(g)
 	fl.start(t, 1, 6)
 	fl.awaitInForce(fl.publish("pools/a", "0"))
-	for _, name := range fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)[:DefaultWatchers] {
+	for _, name := range fl.hosts["d0-0"].distributor.rankedHosts(membership.Alive)[:DefaultWatchers] {
 		fl.hosts[name].link.fail()
 	}
 	fl.awaitInForce(fl.publish("pools/a", "1"))
@@ -122,7 +122,7 @@
 	fl.syncInterval, fl.watcherTimeout = time.Hour, time.Hour
 	fl.start(t, 1, 16)
 	fl.awaitInForce(fl.publish("pools/a", "0"))
-	return fl, fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)
+	return fl, fl.hosts["d0-0"].distributor.rankedHosts(membership.Alive)
 }
 
 // A watcher and a host in the middle of the notice tree are killed while the
@@ -211,7 +211,7 @@
 	fl.awaitInForce(newest)
 	fl.objects.Restore(backup)
 
-	watcher := fl.hosts[fl.hosts["d0-0"].distributor.rankedHosts(member.Alive)[0]]
+	watcher := fl.hosts[fl.hosts["d0-0"].distributor.rankedHosts(membership.Alive)[0]]
 	g.Eventually(watcher.follower.Err, 5*time.Second).Should(MatchError(ErrPlatformBehind))
 	p := newPublisher(fl.objects, 1)
 	g.Eventually(func() error {
--- a/process/release/fleet_test.go
+++ b/process/release/fleet_test.go
@@ -14,7 +14,7 @@
 
 	standin "bilberrydale/internal/standin/platform"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
@@ -126,20 +126,20 @@
 	link *peertest.Link
 }
 
-func (v fleetView) Peers() []member.Peer {
+func (v fleetView) Peers() []membership.Peer {
 	v.fl.mu.Lock()
 	defer v.fl.mu.Unlock()
-	var out []member.Peer
+	var out []membership.Peer
 	for _, p := range v.link.Peers() {
-		out = append(out, member.Peer{Identity: p})
+		out = append(out, membership.Peer{Identity: p})
 	}
 	for _, p := range v.fl.staleMembers {
-		out = append(out, member.Peer{Identity: p})
+		out = append(out, membership.Peer{Identity: p})
 	}
 	return out
 }
 
-func (v fleetView) Lookup(string) (member.Peer, bool) { return member.Peer{}, false }
+func (v fleetView) Lookup(string) (membership.Peer, bool) { return membership.Peer{}, false }
 func (v fleetView) OnChange(f func()) {
 	v.fl.mu.Lock()
 	defer v.fl.mu.Unlock()
--- a/process/release/notice.go
+++ b/process/release/notice.go
@@ -7,7 +7,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"golang.org/x/sync/errgroup"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 )
 
@@ -74,7 +74,7 @@
 			d.follower.backoff(ctx, &failures)
 		}
 		if len(sources) == 0 {
-			sources = d.localPeers(member.Suspect)
+			sources = d.localPeers(membership.Suspect)
 			d.shufflePeers(sources)
 		}
 		if len(sources) == 0 {
@@ -145,7 +145,7 @@
 // are merely slow, and dead ones are skipped by notifyChildren.
 func (d *Distributor) noticeTree(root string) []string {
 	hosts := []string{root}
-	for _, h := range d.rankedHosts(member.Suspect) {
+	for _, h := range d.rankedHosts(membership.Suspect) {
 		if h != root {
 			hosts = append(hosts, h)
 		}
--- a/process/release/watcher.go
+++ b/process/release/watcher.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 	"golang.org/x/sync/errgroup"
 
-	"bilberrydale/process/member"
+	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 )
 
@@ -25,7 +25,7 @@
 
 // livePeers returns the other entry hosts whose membership state is at most
 // maxState.
-func (d *Distributor) livePeers(maxState member.State) []peer.Identity {
+func (d *Distributor) livePeers(maxState membership.State) []peer.Identity {
 	if d.opts.View == nil {
 		return d.opts.Link.Peers()
 	}
@@ -39,7 +39,7 @@
 }
 
 // localPeers returns the live peers of this failure domain, without this host.
-func (d *Distributor) localPeers(maxState member.State) []peer.Identity {
+func (d *Distributor) localPeers(maxState membership.State) []peer.Identity {
 	var out []peer.Identity
 	for _, p := range d.livePeers(maxState) {
 		if p.Domain == d.opts.Link.Self().Domain {
@@ -53,7 +53,7 @@
 // one, ordered by rendezvous hashing. All hosts with the same membership
 // compute the same order without communication, and a host that joins or leaves
 // does not change the order of the others.
-func (d *Distributor) rankedHosts(maxState member.State) []string {
+func (d *Distributor) rankedHosts(maxState membership.State) []string {
 	self := d.opts.Link.Self()
 	hosts := []string{self.Host}
 	for _, p := range d.localPeers(maxState) {
@@ -111,7 +111,7 @@
 // shouldWatch reports whether this host should watch the platform; watching
 // says whether it does now.
 func (d *Distributor) shouldWatch(ctx context.Context, watching bool) bool {
-	hosts := d.rankedHosts(member.Alive)
+	hosts := d.rankedHosts(membership.Alive)
 	for i, h := range hosts {
 		if h == d.opts.Link.Self().Host && i < d.opts.Watchers {
 			return true
@@ -162,7 +162,7 @@
 // the platform is unreachable. It reports false if there is no live peer.
 func (d *Distributor) pickSyncPeer() (peer.Identity, bool) {
 	var local, remote []peer.Identity
-	for _, p := range d.livePeers(member.Alive) {
+	for _, p := range d.livePeers(membership.Alive) {
 		if p.Domain == d.opts.Link.Self().Domain {
 			local = append(local, p)
 		} else {
