--- a/edge/logging.go
+++ b/edge/logging.go
@@ -7,7 +7,7 @@
 
 	"bilberrydale/platform"
 	"bilberrydale/process/batcher"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/logging"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/gateway"
@@ -53,7 +53,7 @@
 	if r.Attempts > 1 {
 		h.meter.Add("repeats", int64(r.Attempts-1))
 	}
-	failed := r.Kind != "" && r.Kind != kind.Cancelled
+	failed := r.Kind != "" && r.Kind != errkind.Cancelled
 	if !h.logLimits.allow(failed, h.clock.Now()) {
 		return
 	}
--- a/entryhost/callers.go
+++ b/entryhost/callers.go
@@ -8,7 +8,7 @@
 
 	"github.com/google/uuid"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/request/entry"
 )
 
@@ -45,11 +45,11 @@
 	if id == "" || len(id) > h.opts.MaxKeyBytes {
 		id = uuid.NewString()
 	}
-	e := kind.New(kind.Overloaded, "%d requests are in this entry host", h.opts.MaxInFlight)
+	e := errkind.New(errkind.Overloaded, "%d requests are in this entry host", h.opts.MaxInFlight)
 	// With an idempotency key, an earlier attempt of the request may have run
 	// here or on another host; it is certain only that this attempt did not.
 	e.EarlierAttempt = r.Header.Get(h.opts.Headers.Key) != ""
-	info := kind.Lookup(e.Kind)
+	info := errkind.Lookup(e.Kind)
 	header := w.Header()
 	header.Set(h.opts.Headers.RequestID, id)
 	header.Set("Content-Type", "application/problem+json")
--- a/entryhost/policy_test.go
+++ b/entryhost/policy_test.go
@@ -11,7 +11,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/admission"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/request/entry"
 	"bilberrydale/version/table"
 )
@@ -59,13 +59,13 @@
 		Eventually(h.ready, 5*time.Second).Should(BeTrue())
 		var problem entry.Problem
 		var resp *http.Response
-		Eventually(func() kind.Ran {
+		Eventually(func() errkind.Ran {
 			var body []byte
 			resp, body = sendToHost(h, "/v1/two", "", `{}`)
 			Expect(json.Unmarshal(body, &problem)).To(Succeed())
 			return problem.Ran
-		}, 10*time.Second).Should(Equal(kind.RanNo))
-		Expect(problem.Kind).To(Equal(kind.NoBackend))
+		}, 10*time.Second).Should(Equal(errkind.RanNo))
+		Expect(problem.Kind).To(Equal(errkind.NoBackend))
 		seconds, err := strconv.Atoi(resp.Header.Get("Retry-After"))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(seconds).To(BeNumerically(">=", 2))
--- a/process/admission/admission.go
+++ b/process/admission/admission.go
@@ -7,7 +7,7 @@
 import (
 	"time"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 // Profile describes a route for admission. It is compiled once for each
@@ -85,7 +85,7 @@
 	// Admit returns nil, or a refusal whose RetryAfter is a wait after which the
 	// request is expected to be admitted. After nil the caller calls Done
 	// exactly once.
-	Admit(now time.Time, r *Request) *kind.Error
+	Admit(now time.Time, r *Request) *errkind.Error
 	// StageStart and StageDone are called before and after each stage of an
 	// admitted request; ok is false if the stage failed.
 	StageStart(now time.Time, r *Request, stage int)
@@ -98,7 +98,7 @@
 type AlwaysAdmit struct{}
 
 // Admit implements Admitter.
-func (AlwaysAdmit) Admit(time.Time, *Request) *kind.Error { return nil }
+func (AlwaysAdmit) Admit(time.Time, *Request) *errkind.Error { return nil }
 
 // StageStart implements Admitter.
 func (AlwaysAdmit) StageStart(time.Time, *Request, int) {}
--- a/process/admission/admission_test.go
+++ b/process/admission/admission_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 var start = time.Unix(1_000_000, 0)
@@ -39,7 +39,7 @@
 	}}
 }
 
-func (f *fixture) request(p *Profile, account string, id uint64) *kind.Error {
+func (f *fixture) request(p *Profile, account string, id uint64) *errkind.Error {
 	r := &Request{Profile: p, Account: account, ArrivedAt: f.now, Deadline: f.now.Add(5 * time.Second), Fingerprint: id}
 	err := f.Admit(f.now, r)
 	if err == nil {
@@ -138,7 +138,7 @@
 		if err == nil {
 			continue
 		}
-		g.Expect(err.Ran()).To(Equal(kind.RanNo))
+		g.Expect(err.Ran()).To(Equal(errkind.RanNo))
 		g.Expect(err.RetryDelay()).To(BeNumerically(">=", time.Second))
 		if err.RetryDelay() > hosts[0].opts.RotationPeriod {
 			continue
@@ -174,8 +174,8 @@
 	f.advance(f.opts.DownDelay + 200*time.Millisecond)
 	err := f.request(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
-	g.Expect(err.Kind).To(Equal(kind.NoBackend))
-	g.Expect(err.Ran()).To(Equal(kind.RanNo))
+	g.Expect(err.Kind).To(Equal(errkind.NoBackend))
+	g.Expect(err.Ran()).To(Equal(errkind.RanNo))
 	g.Expect(err.RetryDelay()).To(BeNumerically(">=", minWait))
 	other := &Profile{Route: "other", Worth: 1, Stages: []Stage{{Pool: "first", Budget: time.Second}}}
 	g.Expect(f.request(other, "a", 1)).To(BeNil(), "a route that does not use the pool is not affected")
@@ -199,7 +199,7 @@
 	f.advance(time.Second)
 	err := f.request(p, "a", 1)
 	g.Expect(err).NotTo(BeNil())
-	g.Expect(err.Kind).To(Equal(kind.Overloaded))
+	g.Expect(err.Kind).To(Equal(errkind.Overloaded))
 	g.Expect(f.request(newProfile("chat", Interactive, 1), "a", 1)).To(BeNil())
 }
 
--- a/process/admission/controller.go
+++ b/process/admission/controller.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"bilberrydale/process/clock"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/estimate"
-	"bilberrydale/process/kind"
 )
 
 // Options configure a Controller. Loads are in requests per slot.
@@ -140,7 +140,7 @@
 }
 
 // Admit implements Admitter.
-func (c *Controller) Admit(now time.Time, r *Request) *kind.Error {
+func (c *Controller) Admit(now time.Time, r *Request) *errkind.Error {
 	rs := c.route(r.Profile, now)
 	rs.lastUsed.Store(now.UnixNano())
 	if d := c.decide(now, r, rs, true); d.Reason != Admitted {
--- a/process/admission/decide.go
+++ b/process/admission/decide.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 // Reason is the reason of a decision. Its text is part of refusals and of the
@@ -63,15 +63,15 @@
 }
 
 // toError returns the error of a refusal.
-func (d *Decision) toError() *kind.Error {
-	k := kind.Overloaded
+func (d *Decision) toError() *errkind.Error {
+	k := errkind.Overloaded
 	switch d.Reason {
 	case OverShare:
-		k = kind.AccountLimit
+		k = errkind.AccountLimit
 	case PoolDown:
-		k = kind.NoBackend
+		k = errkind.NoBackend
 	}
-	return &kind.Error{Kind: k, Detail: d.detail, RetryAfter: d.RetryAfter}
+	return &errkind.Error{Kind: k, Detail: d.detail, RetryAfter: d.RetryAfter}
 }
 
 // cannotFinishRetryAfter is the RetryAfter of a request whose estimated end is
--- a/process/kind/kind.go
+++ b/process/errkind/errkind.go
@@ -1,7 +1,7 @@
-// Package kind defines the error kinds of the request path and the table that
+// Package errkind defines the error kinds of the request path and the table that
 // maps each kind to the response that a caller gets. Every refusal and failure
 // is reported to callers as one of these kinds.
-package kind
+package errkind
 
 import (
 	"errors"
--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -7,14 +7,14 @@
 
 	"bilberrydale/connection/backend"
 	"bilberrydale/process/claim"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/request/pipeline"
 )
 
 // acquireClaim claims the request's key for this entry host and waits for an earlier
 // request with the same key that runs here. done is set if the response of an earlier
 // request was sent instead.
-func (c *callerRequest) acquireClaim() (done bool, err *kind.Error) {
+func (c *callerRequest) acquireClaim() (done bool, err *errkind.Error) {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.admitted.Deadline)
 	defer cancel()
 	for {
@@ -28,19 +28,19 @@
 				c.replayResponse(res.Response)
 				return true, nil
 			}
-			e := kind.New(kind.OutcomeUnknown, "the request ran; its answer is no longer kept")
+			e := errkind.New(errkind.OutcomeUnknown, "the request ran; its answer is no longer kept")
 			e.ExecutionConfirmed = true
 			return false, e
 		case claim.Running:
 			if res.Wait == nil {
-				e := kind.New(kind.InProgress, "another entry host runs this key")
+				e := errkind.New(errkind.InProgress, "another entry host runs this key")
 				e.RetryAfter = res.RetryAfter
 				return false, e
 			}
 			select {
 			case <-res.Wait:
 			case <-ctx.Done():
-				return false, kind.New(kind.InProgress, "the first attempt has not finished")
+				return false, errkind.New(errkind.InProgress, "the first attempt has not finished")
 			}
 		default:
 			return false, claimError(res)
@@ -49,20 +49,20 @@
 }
 
 // claimError returns the error for a claim that was not granted.
-func claimError(res claim.Result) *kind.Error {
-	var e *kind.Error
+func claimError(res claim.Result) *errkind.Error {
+	var e *errkind.Error
 	switch res.State {
 	case claim.BodyMismatch:
-		e = kind.New(kind.KeyReused, "send a new key with a new body")
+		e = errkind.New(errkind.KeyReused, "send a new key with a new body")
 	case claim.Unavailable:
-		e = kind.New(kind.ClaimUnavailable, "the claim could not be made")
+		e = errkind.New(errkind.ClaimUnavailable, "the claim could not be made")
 	case claim.UnknownTicket:
-		e = kind.New(kind.UnknownTicket, "the entry host that minted the ticket has ended, or did not mint it")
+		e = errkind.New(errkind.UnknownTicket, "the entry host that minted the ticket has ended, or did not mint it")
 		if res.RetryAfter > 0 {
-			e = kind.New(kind.ClaimUnavailable, "the entry host that minted the ticket cannot be reached")
+			e = errkind.New(errkind.ClaimUnavailable, "the entry host that minted the ticket cannot be reached")
 		}
 	default:
-		e = kind.New(kind.OutcomeUnknown, "an earlier attempt with this key may have run")
+		e = errkind.New(errkind.OutcomeUnknown, "an earlier attempt with this key may have run")
 	}
 	e.RetryAfter = res.RetryAfter
 	return e
@@ -87,7 +87,7 @@
 
 // settleClaim records the outcome of the request in the claim store. Its context outlives
 // the request's, so that the outcome is recorded even if the caller has disconnected.
-func (c *callerRequest) settleClaim(res *pipeline.Result, err *kind.Error) {
+func (c *callerRequest) settleClaim(res *pipeline.Result, err *errkind.Error) {
 	if !c.claimed {
 		return
 	}
@@ -98,7 +98,7 @@
 		c.Claims.Finish(ctx, c.claimKey, completeResponse(res.ContentType, res.Body))
 	case !res.NonRepeatableMayHaveRun:
 		c.releaseClaim(ctx, err.Dispatched)
-	case err.Kind == kind.BackendRefused:
+	case err.Kind == errkind.BackendRefused:
 		// The service has responded, so a resend gets the same response.
 		c.Claims.Finish(ctx, c.claimKey, c.problemResponse(err))
 	default:
@@ -107,7 +107,7 @@
 }
 
 // problemResponse returns an error response in the form that is stored for resends.
-func (c *callerRequest) problemResponse(e *kind.Error) claim.Response {
+func (c *callerRequest) problemResponse(e *errkind.Error) claim.Response {
 	p := c.problem(e, e.Ran())
 	body, _ := json.Marshal(p) // cannot fail
 	return claim.Response{Status: p.Status, Header: map[string]string{"Content-Type": problemMediaType}, Body: body}
@@ -150,7 +150,7 @@
 func (c *callerRequest) mintTicket() {
 	text, err := c.Claims.MintTicket(c.r.Context(), c.r.Header.Get(c.Headers.Account))
 	if err != nil || text == "" {
-		c.writeError(kind.New(kind.ClaimUnavailable, "no ticket can be minted here"))
+		c.writeError(errkind.New(errkind.ClaimUnavailable, "no ticket can be minted here"))
 		return
 	}
 	body, _ := json.Marshal(Ticket{Ticket: text}) // cannot fail
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -24,7 +24,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/request/pipeline"
 	"bilberrydale/version/snapshot"
@@ -112,7 +112,7 @@
 	w.Header().Set(h.Headers.RequestID, c.id)
 	defer c.recoverPanic()
 	if !h.Gate.Enter() {
-		c.writeError(kind.New(kind.Draining, "%s is shutting down", h.Runner.Host))
+		c.writeError(errkind.New(errkind.Draining, "%s is shutting down", h.Runner.Host))
 		return
 	}
 	defer h.Gate.Exit()
@@ -128,9 +128,9 @@
 // mayHaveRunEarlier reports whether an earlier request with the same key may have run. Before
 // the claim is granted, this may be a resend whose first request ran on another entry host,
 // so the error must not say "not run".
-func (c *callerRequest) mayHaveRunEarlier(e *kind.Error) bool {
+func (c *callerRequest) mayHaveRunEarlier(e *errkind.Error) bool {
 	repeatable := c.route != nil && c.route.Repeatable
-	return c.key != "" && !repeatable && !c.neverRan && e.Kind != kind.KeyReused
+	return c.key != "" && !repeatable && !c.neverRan && e.Kind != errkind.KeyReused
 }
 
 // recoverPanic keeps a panic in one request from ending the process and with it all other
@@ -151,11 +151,11 @@
 	if c.responseStarted {
 		panic(http.ErrAbortHandler)
 	}
-	c.writeError(&kind.Error{Kind: kind.Internal, Detail: "the entry host failed on this request", Dispatched: true})
+	c.writeError(&errkind.Error{Kind: errkind.Internal, Detail: "the entry host failed on this request", Dispatched: true})
 }
 
 // serve handles the request and writes its response, unless it returns an error.
-func (c *callerRequest) serve() *kind.Error {
+func (c *callerRequest) serve() *errkind.Error {
 	if err := c.readRequest(); err != nil {
 		return err
 	}
@@ -165,7 +165,7 @@
 	}
 	fp := quarantine.Fingerprint(c.claimKey.Body)
 	if v, wait := c.Quarantine.Check(fp); v == quarantine.Refused {
-		e := kind.New(kind.Quarantined, "fingerprint %016x", uint64(fp))
+		e := errkind.New(errkind.Quarantined, "fingerprint %016x", uint64(fp))
 		e.RetryAfter = wait
 		return e
 	}
@@ -196,22 +196,22 @@
 }
 
 // readRequest reads the headers and the body and checks their sizes.
-func (c *callerRequest) readRequest() *kind.Error {
+func (c *callerRequest) readRequest() *errkind.Error {
 	h := c.r.Header
 	c.account = h.Get(c.Headers.Account)
 	if len(c.account) > c.Limits.Account {
-		return kind.New(kind.BadRequest, "header %s is over %d bytes", c.Headers.Account, c.Limits.Account)
+		return errkind.New(errkind.BadRequest, "header %s is over %d bytes", c.Headers.Account, c.Limits.Account)
 	}
 	if len(c.key) > c.Limits.Key {
-		return kind.New(kind.BadRequest, "header %s is over %d bytes", c.Headers.Key, c.Limits.Key)
+		return errkind.New(errkind.BadRequest, "header %s is over %d bytes", c.Headers.Key, c.Limits.Key)
 	}
 	body, err := io.ReadAll(http.MaxBytesReader(c.w, c.r.Body, c.Limits.Body))
 	if err != nil {
 		var tooLarge *http.MaxBytesError
 		if errors.As(err, &tooLarge) {
-			return kind.New(kind.TooLarge, "the body is over %d bytes", c.Limits.Body)
+			return errkind.New(errkind.TooLarge, "the body is over %d bytes", c.Limits.Body)
 		}
-		return kind.New(kind.BadRequest, "the body could not be read: %w", err)
+		return errkind.New(errkind.BadRequest, "the body could not be read: %w", err)
 	}
 	c.body = body
 	return nil
@@ -219,20 +219,20 @@
 
 // matchRoute loads the active snapshot, which the request keeps to its end, finds the route
 // and sets the deadline.
-func (c *callerRequest) matchRoute(now time.Time) *kind.Error {
+func (c *callerRequest) matchRoute(now time.Time) *errkind.Error {
 	c.snap = c.InForce.Load()
 	if c.snap == nil {
-		return kind.New(kind.NotReady, "no release in force")
+		return errkind.New(errkind.NotReady, "no release in force")
 	}
 	c.route = c.snap.Route(c.r.Method, c.r.URL.Path, c.r.Header)
 	if c.route == nil {
-		return kind.New(kind.NoRoute, "%s %s", c.r.Method, c.r.URL.Path)
+		return errkind.New(errkind.NoRoute, "%s %s", c.r.Method, c.r.URL.Path)
 	}
 	timeout := c.route.Deadline.Std()
 	if text := c.r.Header.Get(c.Headers.Timeout); text != "" {
 		d, err := time.ParseDuration(text)
 		if err != nil || d <= 0 {
-			return kind.New(kind.BadRequest, "header %s: %q is not a duration such as 2s", c.Headers.Timeout, text)
+			return errkind.New(errkind.BadRequest, "header %s: %q is not a duration such as 2s", c.Headers.Timeout, text)
 		}
 		timeout = min(timeout, d)
 	}
@@ -256,7 +256,7 @@
 
 // runPipeline executes the stages, settles the claim and writes the response, unless it
 // returns an error.
-func (c *callerRequest) runPipeline(fp quarantine.Fingerprint) *kind.Error {
+func (c *callerRequest) runPipeline(fp quarantine.Fingerprint) *errkind.Error {
 	req := &pipeline.Request{
 		ID: c.backendRequestID, Account: c.account, Key: c.key, Snapshot: c.snap,
 		Method: c.r.Method, URI: c.r.URL.RequestURI(), ContentType: c.r.Header.Get("Content-Type"), Body: c.body,
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -23,7 +23,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
 	"bilberrydale/request/pipeline"
@@ -145,11 +145,11 @@
 	g := NewWithT(t)
 	h := newHandler(&countingClient{})
 	h.Gate.Close()
-	for key, want := range map[string]kind.Ran{"k": kind.RanUnknown, "": kind.RanNo} {
+	for key, want := range map[string]errkind.Ran{"k": errkind.RanUnknown, "": errkind.RanNo} {
 		var p Problem
 		w := send(h, map[string]string{"Idempotency-Key": key}, "{}")
 		g.Expect(json.Unmarshal(w.Body.Bytes(), &p)).To(Succeed())
-		g.Expect(p.Kind).To(Equal(kind.Draining))
+		g.Expect(p.Kind).To(Equal(errkind.Draining))
 		g.Expect(p.Ran).To(Equal(want), "key %q", key)
 		g.Expect(w.Header().Get("Retry-After")).To(Equal("1"))
 	}
@@ -159,13 +159,13 @@
 // after a stage was dispatched.
 func TestEveryKindHasStatusAndTitle(t *testing.T) {
 	g := NewWithT(t)
-	for _, k := range kind.All() {
-		a := kind.Lookup(k)
+	for _, k := range errkind.All() {
+		a := errkind.Lookup(k)
 		g.Expect(a.Status).To(BeNumerically(">=", 400), string(k))
 		g.Expect(a.Title).NotTo(BeEmpty(), string(k))
-		e := kind.New(k, "x")
+		e := errkind.New(k, "x")
 		e.Dispatched = true
-		g.Expect(e.Ran()).NotTo(Equal(kind.RanNo), string(k))
+		g.Expect(e.Ran()).NotTo(Equal(errkind.RanNo), string(k))
 		g.Expect(e.RetryDelay() > 0).To(Equal(a.Retry), string(k))
 	}
 }
@@ -186,10 +186,10 @@
 			return
 		}
 		var p Problem
-		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil || kind.Lookup(p.Kind).Status != w.Code {
+		if err := json.Unmarshal(w.Body.Bytes(), &p); err != nil || errkind.Lookup(p.Kind).Status != w.Code {
 			t.Fatalf("status %d with %q", w.Code, w.Body)
 		}
-		if p.Ran == kind.RanNo && b.calls.Load() > 0 {
+		if p.Ran == errkind.RanNo && b.calls.Load() > 0 {
 			t.Fatalf("%s says not run after %d calls", p.Kind, b.calls.Load())
 		}
 	})
--- a/request/entry/record.go
+++ b/request/entry/record.go
@@ -6,14 +6,14 @@
 	"go.opentelemetry.io/otel/codes"
 	"go.opentelemetry.io/otel/trace"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/telemetry"
 )
 
 // recordError records an error response on the span and in the log. A log line costs more
 // than refusing a request does, so lines are rate-limited: a host under overload must stay
 // able to refuse any number of requests.
-func (c *callerRequest) recordError(e *kind.Error, ran kind.Ran) {
+func (c *callerRequest) recordError(e *errkind.Error, ran errkind.Ran) {
 	if span := c.span(); span.IsRecording() {
 		span.SetAttributes(attribute.String("error.kind", string(e.Kind)), attribute.String("error.ran", string(ran)))
 		span.SetStatus(codes.Error, e.Detail)
--- a/request/entry/response.go
+++ b/request/entry/response.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 
 	"bilberrydale/connection/backend"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 // Counters count responses for expvar.
@@ -29,14 +29,14 @@
 
 // Problem is the body of every error response (RFC 9457).
 type Problem struct {
-	Type       string    `json:"type"`
-	Title      string    `json:"title"`
-	Status     int       `json:"status"`
-	Detail     string    `json:"detail,omitempty"`
-	Kind       kind.Kind `json:"kind"`
-	Ran        kind.Ran  `json:"ran"`
-	RequestID  string    `json:"request_id"`
-	RetryAfter float64   `json:"retry_after,omitempty"` // seconds
+	Type       string       `json:"type"`
+	Title      string       `json:"title"`
+	Status     int          `json:"status"`
+	Detail     string       `json:"detail,omitempty"`
+	Kind       errkind.Kind `json:"kind"`
+	Ran        errkind.Ran  `json:"ran"`
+	RequestID  string       `json:"request_id"`
+	RetryAfter float64      `json:"retry_after,omitempty"` // seconds
 }
 
 // wantsStream reports whether the response is to be streamed: the last stage streams and the
@@ -48,10 +48,10 @@
 
 // writeError logs and counts the error and sends it as the response. A stream that has
 // started is aborted with it.
-func (c *callerRequest) writeError(e *kind.Error) {
+func (c *callerRequest) writeError(e *errkind.Error) {
 	e.EarlierAttempt = c.mayHaveRunEarlier(e)
 	ran := e.Ran()
-	if ran == kind.RanNo {
+	if ran == errkind.RanNo {
 		c.Counters.Refused.Add(1)
 	} else {
 		c.Counters.Failed.Add(1)
@@ -72,8 +72,8 @@
 }
 
 // problem returns the response body for e.
-func (c *callerRequest) problem(e *kind.Error, ran kind.Ran) Problem {
-	a := kind.Lookup(e.Kind)
+func (c *callerRequest) problem(e *errkind.Error, ran errkind.Ran) Problem {
+	a := errkind.Lookup(e.Kind)
 	return Problem{
 		Type: "about:blank#" + string(e.Kind), Title: a.Title, Status: a.Status, Detail: e.Detail,
 		Kind: e.Kind, Ran: ran, RequestID: c.id, RetryAfter: e.RetryDelay().Seconds(),
--- a/request/gateway/buffered.go
+++ b/request/gateway/buffered.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bilberrydale/process/directory"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/version/plan"
 )
 
@@ -83,9 +83,9 @@
 	case hist.failedResponse != nil:
 		return x.writeBuffered(hist.failedResponse)
 	case x.mayHaveRun:
-		return &kind.Error{Kind: kind.BackendFailed, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
+		return &errkind.Error{Kind: errkind.BackendFailed, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
 	case hist.refusals > 0:
-		return &kind.Error{Kind: kind.Overloaded, Detail: hist.lastErrorText(), RetryAfter: x.jitter(refusedRetryAfter), Cause: hist.lastErr}
+		return &errkind.Error{Kind: errkind.Overloaded, Detail: hist.lastErrorText(), RetryAfter: x.jitter(refusedRetryAfter), Cause: hist.lastErr}
 	default:
 		return x.noUsableServer()
 	}
@@ -171,18 +171,18 @@
 	if impliesNotRun(r.status) {
 		// The client would take this status as proof that the request did not run,
 		// which the server has not confirmed.
-		return &kind.Error{Kind: kind.BackendFailed, Detail: "the server answered " + strconv.Itoa(r.status), Dispatched: true}
+		return &errkind.Error{Kind: errkind.BackendFailed, Detail: "the server answered " + strconv.Itoa(r.status), Dispatched: true}
 	}
 	h := x.w.Header()
 	x.setResponseHeaders(h, r.header)
 	h["Content-Length"] = []string{strconv.Itoa(len(r.body))}
 	x.headSent = true
-	x.logEntry.Status, x.logEntry.Ran = r.status, kind.RanYes
+	x.logEntry.Status, x.logEntry.Ran = r.status, errkind.RanYes
 	x.logEntry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
 	x.w.WriteHeader(r.status)
 	if _, err := x.w.Write(r.body); err != nil {
 		x.abort = true
-		return &kind.Error{Kind: kind.Cancelled, Detail: "the answer could not be written", Dispatched: true, Cause: err}
+		return &errkind.Error{Kind: errkind.Cancelled, Detail: "the answer could not be written", Dispatched: true, Cause: err}
 	}
 	return nil
 }
--- a/request/gateway/errors.go
+++ b/request/gateway/errors.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"bilberrydale/process/directory"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 // impliesNotRun reports whether clients take the status as proof that their request did not
@@ -20,15 +20,15 @@
 }
 
 // writeError writes the error response of a request that has no other response.
-func (x *exchange) writeError(e *kind.Error) {
-	advice := kind.Lookup(e.Kind)
+func (x *exchange) writeError(e *errkind.Error) {
+	advice := errkind.Lookup(e.Kind)
 	x.logEntry.Kind, x.logEntry.Ran, x.logEntry.Detail = e.Kind, e.Ran(), e.Detail
 	if x.headSent || x.abort {
 		x.abort = true
 		return
 	}
 	status := advice.Status
-	if impliesNotRun(status) && e.Ran() != kind.RanNo {
+	if impliesNotRun(status) && e.Ran() != errkind.RanNo {
 		// The status would claim that the request did not run, which is not certain.
 		status = http.StatusBadGateway
 	}
@@ -59,7 +59,7 @@
 // it.
 func (x *exchange) checkServable() error {
 	if x.allowed.Empty() {
-		return kind.New(kind.NoRegion, "route %s allows %v, account %s %v", x.route.Name, x.allowed.RouteRegions, x.account, x.allowed.AccountRegions)
+		return errkind.New(errkind.NoRegion, "route %s allows %v, account %s %v", x.route.Name, x.allowed.RouteRegions, x.account, x.allowed.AccountRegions)
 	}
 	now, candidates := x.opts.Clock.Now(), x.candidates()
 	if candidates.Empty() {
@@ -90,7 +90,7 @@
 	if x.allowed.Restricted() {
 		where = " in a permitted region"
 	}
-	e := kind.New(kind.NoBackend, "no server of %s%s %s", x.service, where, predicate)
+	e := errkind.New(errkind.NoBackend, "no server of %s%s %s", x.service, where, predicate)
 	e.RetryAfter = x.jitter(retryAfter)
 	return e
 }
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -17,7 +17,7 @@
 	"bilberrydale/process/coldstart"
 	"bilberrydale/process/current"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/residency"
 	"bilberrydale/process/stages"
 	"bilberrydale/request/wire"
@@ -80,8 +80,8 @@
 	Service             string
 	PlanVersion         int64 // configuration version
 	Status              int
-	Kind                kind.Kind // empty: the response of a backend server was relayed
-	Ran                 kind.Ran
+	Kind                errkind.Kind // empty: the response of a backend server was relayed
+	Ran                 errkind.Ran
 	Detail              string
 	Server              string // ID of the last backend server that the request was sent to
 	Attempts            int    // sends to backend servers
@@ -131,7 +131,7 @@
 	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClientRequest(r.Header)}
 	x.logEntry.ID = x.client.AttemptID
 	if err := x.serve(); err != nil {
-		x.writeError(kind.From(err))
+		x.writeError(errkind.From(err))
 	}
 	x.freeResults()
 	x.logEntry.Duration = g.opts.Clock.Now().Sub(x.start)
@@ -173,16 +173,16 @@
 func (x *exchange) admit() error {
 	p := x.opts.Plan.Load()
 	if p == nil {
-		return kind.New(kind.NotReady, "no configuration yet")
+		return errkind.New(errkind.NotReady, "no configuration yet")
 	}
 	x.plan, x.logEntry.PlanVersion = p, p.Version
 	x.route = p.Match(x.r.Host, x.r.URL.Path)
 	if x.route == nil {
-		return kind.New(kind.NoRoute, "no route for host %q and path %q", x.r.Host, x.r.URL.Path)
+		return errkind.New(errkind.NoRoute, "no route for host %q and path %q", x.r.Host, x.r.URL.Path)
 	}
 	x.logEntry.Route = x.route.Name
 	if x.route.Kind == plan.Stream && x.opts.RefuseStreams() {
-		return &kind.Error{Kind: kind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetryAfter}
+		return &errkind.Error{Kind: errkind.Draining, Detail: "this host stops before a stream could end", RetryAfter: drainingRetryAfter}
 	}
 	x.priority = x.route.Priority
 	x.allowed.RouteRegions = x.route.Regions
@@ -190,7 +190,7 @@
 		return err
 	}
 	if x.client.AttemptID == "" {
-		return kind.New(kind.BadRequest, "the request has no id")
+		return errkind.New(errkind.BadRequest, "the request has no id")
 	}
 	timeout := x.route.Timeout
 	if d := x.client.Timeout; d > 0 && (timeout <= 0 || d < timeout) {
@@ -220,11 +220,11 @@
 	fresh, age := x.opts.KeysFresh()
 	x.logEntry.KeyAge = age
 	if !fresh {
-		return kind.New(kind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
+		return errkind.New(errkind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
 	}
 	a := x.plan.AccountByKey(x.client.APIKey)
 	if a == nil {
-		return kind.New(kind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
+		return errkind.New(errkind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
 	x.account, x.logEntry.Account = a.Name, a.Name
 	x.allowed.AccountRegions = a.Regions
@@ -241,7 +241,7 @@
 		limit = defaultMaxBodyBytes
 	}
 	if x.r.ContentLength > limit {
-		return kind.New(kind.TooLarge, "the body has %d bytes, over %d", x.r.ContentLength, limit)
+		return errkind.New(errkind.TooLarge, "the body has %d bytes, over %d", x.r.ContentLength, limit)
 	}
 	if x.r.ContentLength == 0 {
 		return nil
@@ -249,10 +249,10 @@
 	body, err := io.ReadAll(io.LimitReader(x.r.Body, limit+1))
 	if err != nil {
 		x.abort = true
-		return &kind.Error{Kind: kind.Cancelled, Detail: "the body did not arrive", Cause: err}
+		return &errkind.Error{Kind: errkind.Cancelled, Detail: "the body did not arrive", Cause: err}
 	}
 	if int64(len(body)) > limit {
-		return kind.New(kind.TooLarge, "the body is over %d bytes", limit)
+		return errkind.New(errkind.TooLarge, "the body is over %d bytes", limit)
 	}
 	x.body = body
 	return nil
@@ -261,7 +261,7 @@
 // defaultMaxBodyBytes limits request bodies if the configuration sets no limit.
 const defaultMaxBodyBytes = 4 << 20 // 4 MiB
 
-// classifyError converts the error that ended a request into a *kind.Error, and marks the
+// classifyError converts the error that ended a request into a *errkind.Error, and marks the
 // response as aborted if the client has disconnected.
 func (x *exchange) classifyError(ctx context.Context, err error) error {
 	if err == nil {
@@ -269,25 +269,25 @@
 	}
 	if x.r.Context().Err() != nil {
 		x.abort = true
-		return &kind.Error{Kind: kind.Cancelled, Detail: "the client left", Dispatched: x.mayHaveRun, Cause: err}
+		return &errkind.Error{Kind: errkind.Cancelled, Detail: "the client left", Dispatched: x.mayHaveRun, Cause: err}
 	}
-	var known *kind.Error
+	var known *errkind.Error
 	if errors.As(err, &known) {
 		known.Dispatched = known.Dispatched || x.mayHaveRun
 		return known
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) && !x.mayHaveRun {
-		k := kind.Overloaded
+		k := errkind.Overloaded
 		if x.mayHaveRun {
-			k = kind.DeadlineExceeded
+			k = errkind.DeadlineExceeded
 		}
-		return &kind.Error{Kind: k, Detail: "the deadline has passed", Dispatched: x.mayHaveRun, Cause: err}
+		return &errkind.Error{Kind: k, Detail: "the deadline has passed", Dispatched: x.mayHaveRun, Cause: err}
 	}
-	k := kind.NoBackend
+	k := errkind.NoBackend
 	if x.mayHaveRun {
-		k = kind.BackendFailed
+		k = errkind.BackendFailed
 	}
-	return &kind.Error{Kind: k, Detail: err.Error(), Dispatched: x.mayHaveRun, Cause: err}
+	return &errkind.Error{Kind: k, Detail: err.Error(), Dispatched: x.mayHaveRun, Cause: err}
 }
 
 // freeResults releases the stage results that the request still holds.
--- a/request/gateway/placement_test.go
+++ b/request/gateway/placement_test.go
@@ -12,7 +12,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/coldstart"
 	"bilberrydale/process/directory"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/residency"
 	"bilberrydale/process/stages"
@@ -102,14 +102,14 @@
 	now := time.Unix(1000, 0)
 	dir := directory.New()
 	dir.Replace([]directory.Entry{{ID: "near", Service: "s", Region: "r0", Domain: "r0-a"}, {ID: "far", Service: "s", Region: "r1", Domain: "r1-a"}}, now)
-	refused := func(allowed residency.Set) kind.Kind {
+	refused := func(allowed residency.Set) errkind.Kind {
 		err := newExchange(dir, now, allowed).checkServable()
 		if err == nil {
 			return ""
 		}
-		e := kind.From(err)
+		e := errkind.From(err)
 		NewWithT(t).Expect(e.RetryDelay()).To(BeNumerically(">", 0))
-		NewWithT(t).Expect(e.Ran()).To(Equal(kind.RanNo))
+		NewWithT(t).Expect(e.Ran()).To(Equal(errkind.RanNo))
 		return e.Kind
 	}
 	only := func(route, account []string) residency.Set {
@@ -117,13 +117,13 @@
 	}
 	g := NewWithT(t)
 	g.Expect(refused(only([]string{"r1"}, nil))).To(BeEmpty())
-	g.Expect(refused(only([]string{"r1"}, []string{"r0"}))).To(Equal(kind.NoRegion))
-	g.Expect(refused(only(nil, []string{"r2"}))).To(Equal(kind.NoBackend), "no server there")
+	g.Expect(refused(only([]string{"r1"}, []string{"r0"}))).To(Equal(errkind.NoRegion))
+	g.Expect(refused(only(nil, []string{"r2"}))).To(Equal(errkind.NoBackend), "no server there")
 	dir.View().Server("far").RecordFailure(now)
-	g.Expect(refused(only([]string{"r1"}, nil))).To(Equal(kind.NoBackend), "the servers of its region have failed")
+	g.Expect(refused(only([]string{"r1"}, nil))).To(Equal(errkind.NoBackend), "the servers of its region have failed")
 	g.Expect(refused(only(nil, nil))).To(BeEmpty(), "another region can serve it")
 	dir.SetEvacuated([]string{"r0-a", "r1-a"}, now)
-	g.Expect(refused(only(nil, nil))).To(Equal(kind.NoBackend), "all are evacuated")
+	g.Expect(refused(only(nil, nil))).To(Equal(errkind.NoBackend), "all are evacuated")
 }
 
 // Guards against sending a cold server more than this host's share: the next request uses
@@ -150,7 +150,7 @@
 	x.allowed.RouteRegions = []string{"r0"}
 	hist := &attemptHistory{tried: serverSet{}}
 	g.Expect(x.nextServer(context.Background(), hist)).To(BeNil())
-	e := kind.From(x.finish(hist))
-	g.Expect(e.Kind).To(Equal(kind.NoBackend))
-	g.Expect(e.Ran()).To(Equal(kind.RanNo))
+	e := errkind.From(x.finish(hist))
+	g.Expect(e.Kind).To(Equal(errkind.NoBackend))
+	g.Expect(e.Ran()).To(Equal(errkind.RanNo))
 }
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -7,7 +7,7 @@
 
 	"bilberrydale/process/balance"
 	"bilberrydale/process/batcher"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/stages"
 )
 
@@ -25,7 +25,7 @@
 	results, err := x.opts.Pool.Run(ctx, r)
 	x.logEntry.StageDuration = x.opts.Clock.Now().Sub(x.start)
 	if err != nil && errors.Is(context.Cause(ctx), errShutdown) {
-		return &kind.Error{Kind: kind.Draining, Detail: errShutdown.Error(), RetryAfter: drainingRetryAfter, Cause: err}
+		return &errkind.Error{Kind: errkind.Draining, Detail: errShutdown.Error(), RetryAfter: drainingRetryAfter, Cause: err}
 	}
 	if err != nil {
 		return x.stageError(err)
@@ -200,15 +200,15 @@
 	coldRetryAfter = 200 * time.Millisecond
 )
 
-// stageError converts an error of the stage work into a *kind.Error.
+// stageError converts an error of the stage work into a *errkind.Error.
 func (x *exchange) stageError(err error) error {
 	var stageErr *stages.Error
 	if !errors.As(err, &stageErr) {
 		return err
 	}
-	e := &kind.Error{Kind: kind.Overloaded, RetryAfter: x.jitter(overloadedRetryAfter), Detail: err.Error(), Cause: err}
+	e := &errkind.Error{Kind: errkind.Overloaded, RetryAfter: x.jitter(overloadedRetryAfter), Detail: err.Error(), Cause: err}
 	if stageErr.Reason == batcher.NoServer {
-		e.Kind, e.RetryAfter = kind.NoBackend, x.jitter(noServerRetryAfter)
+		e.Kind, e.RetryAfter = errkind.NoBackend, x.jitter(noServerRetryAfter)
 	}
 	if stageErr.RetryAfter > 0 {
 		e.RetryAfter = x.jitter(stageErr.RetryAfter)
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 )
 
 // maxStageReruns limits how often the stages of a request are rerun because results were
@@ -62,7 +62,7 @@
 // finishStream returns the error of a stream for which no further attempt is possible.
 func (x *exchange) finishStream(hist *attemptHistory) error {
 	if x.headSent {
-		return &kind.Error{Kind: kind.StreamCut, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
+		return &errkind.Error{Kind: errkind.StreamCut, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
 	}
 	return x.finish(hist)
 }
@@ -200,7 +200,7 @@
 func (x *exchange) writeHead(a *attempt) {
 	x.setResponseHeaders(x.w.Header(), a.response.Header)
 	x.headSent = true
-	x.logEntry.Status, x.logEntry.Ran = a.response.Status, kind.RanYes
+	x.logEntry.Status, x.logEntry.Ran = a.response.Status, errkind.RanYes
 	now := x.opts.Clock.Now()
 	x.logEntry.TimeToFirstByte = now.Sub(x.start)
 	x.firstEventAt = now
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -12,7 +12,7 @@
 	"go.opentelemetry.io/otel/trace"
 
 	"bilberrydale/connection/backend"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
 	"bilberrydale/version/pick"
@@ -32,13 +32,13 @@
 
 // newAttempt picks the server of the next attempt. It fails if the deadline has passed,
 // the request is in quarantine or no server is available.
-func (x *execution) newAttempt(ctx context.Context, st *snapshot.Stage, in []byte) (*attempt, *kind.Error) {
+func (x *execution) newAttempt(ctx context.Context, st *snapshot.Stage, in []byte) (*attempt, *errkind.Error) {
 	if err := x.contextError(ctx); err != nil {
 		return nil, err
 	}
 	verdict, wait := x.Quarantine.Check(x.req.Fingerprint)
 	if verdict == quarantine.Refused {
-		e := kind.New(kind.Quarantined, "fingerprint %016x", uint64(x.req.Fingerprint))
+		e := errkind.New(errkind.Quarantined, "fingerprint %016x", uint64(x.req.Fingerprint))
 		e.RetryAfter = wait
 		return nil, e
 	}
@@ -60,11 +60,11 @@
 // pickServer picks a server of the stage's pool. An isolated request gets a server on
 // which no other suspect runs, so that a crash can be attributed to it; it waits until
 // one is free.
-func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, pickAttempt *pick.Attempt, isolated bool) (*pick.Server, *kind.Error) {
+func (x *execution) pickServer(ctx context.Context, st *snapshot.Stage, pickAttempt *pick.Attempt, isolated bool) (*pick.Server, *errkind.Error) {
 	if !isolated {
 		srv, err := st.Pool.Picker.Pick(pickAttempt)
 		if err != nil {
-			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
+			return nil, errkind.New(errkind.NoBackend, "pool %s: %w", st.Pool.Name, err)
 		}
 		return srv, nil
 	}
@@ -77,7 +77,7 @@
 			return srv, nil
 		}
 		if err != nil && len(query.Exclude) == len(pickAttempt.Exclude) {
-			return nil, kind.New(kind.NoBackend, "pool %s: %w", st.Pool.Name, err)
+			return nil, errkind.New(errkind.NoBackend, "pool %s: %w", st.Pool.Name, err)
 		}
 		select {
 		case <-released:
@@ -239,21 +239,21 @@
 
 // classifyError returns the error that the caller gets if no further attempt is made
 // after err.
-func (x *execution) classifyError(ctx context.Context, st *snapshot.Stage, err error) *kind.Error {
+func (x *execution) classifyError(ctx context.Context, st *snapshot.Stage, err error) *errkind.Error {
 	if ctxErr := x.contextError(ctx); ctxErr != nil {
 		return ctxErr
 	}
 	var be *backend.Error
 	switch {
 	case !errors.As(err, &be):
-		return kind.New(kind.Cancelled, "stage %s: %w", st.Name, err)
+		return errkind.New(errkind.Cancelled, "stage %s: %w", st.Name, err)
 	case be.Delivery == backend.NotSent || be.NotStarted:
-		return kind.New(kind.NoBackend, "stage %s: %w", st.Name, err)
+		return errkind.New(errkind.NoBackend, "stage %s: %w", st.Name, err)
 	case be.Delivery == backend.Responded && be.Status < 500:
-		return kind.New(kind.BackendRefused, "stage %s: %w", st.Name, err)
+		return errkind.New(errkind.BackendRefused, "stage %s: %w", st.Name, err)
 	case !st.Repeatable:
-		return kind.New(kind.OutcomeUnknown, "stage %s: %w", st.Name, err)
+		return errkind.New(errkind.OutcomeUnknown, "stage %s: %w", st.Name, err)
 	default:
-		return kind.New(kind.BackendFailed, "stage %s: %w", st.Name, err)
+		return errkind.New(errkind.BackendFailed, "stage %s: %w", st.Name, err)
 	}
 }
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -6,7 +6,7 @@
 	"fmt"
 
 	"bilberrydale/connection/backend"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/version/snapshot"
 )
 
@@ -52,12 +52,12 @@
 // runOnce runs a non-repeatable stage. It is attempted again only if the previous attempt
 // is known not to have started. An attempt continues for Options.LateResultTimeout after
 // the deadline, so that its result can be recorded.
-func (x *execution) runOnce(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
-	var lastErr *kind.Error
+func (x *execution) runOnce(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *errkind.Error) {
+	var lastErr *errkind.Error
 	for {
 		a, attemptErr := x.newAttempt(ctx, st, in)
 		if attemptErr != nil {
-			if lastErr != nil && attemptErr.Kind == kind.NoBackend {
+			if lastErr != nil && attemptErr.Kind == errkind.NoBackend {
 				return nil, lastErr
 			}
 			return nil, attemptErr
@@ -87,7 +87,7 @@
 
 // awaitAttempt runs an attempt and waits until it ends, its connection is found dead, or
 // ctx ends. In the last two cases the attempt is detached.
-func (x *execution) awaitAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte) (attemptResult, *kind.Error) {
+func (x *execution) awaitAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte) (attemptResult, *errkind.Error) {
 	attemptCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), x.timeLeft()+x.Options.LateResultTimeout)
 	results := make(chan attemptResult, 1)
 	stalls := make(chan bool, 1)
@@ -109,7 +109,7 @@
 				continue
 			}
 			x.detachAttempt(st, results, cancel)
-			return attemptResult{}, kind.New(kind.OutcomeUnknown, "stage %s: %s makes no progress", st.Name, a.server.Name)
+			return attemptResult{}, errkind.New(errkind.OutcomeUnknown, "stage %s: %s makes no progress", st.Name, a.server.Name)
 		case <-ctx.Done():
 			x.detachAttempt(st, results, cancel)
 			return attemptResult{}, x.contextError(ctx)
--- a/request/pipeline/pause_test.go
+++ b/request/pipeline/pause_test.go
@@ -11,7 +11,7 @@
 	"bilberrydale/connection/backend"
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
 	"bilberrydale/version/pick"
@@ -59,8 +59,8 @@
 		Route:    &snapshot.Route{Stages: []snapshot.Stage{stage(0, "check", true), stage(1, "book", false)}},
 		Admitted: &admission.Request{Deadline: clk.Now().Add(time.Minute)},
 	})
-	g.Expect(err.Kind).To(Equal(kind.DeadlineExceeded))
-	g.Expect(err.Ran()).To(Equal(kind.RanUnknown))
+	g.Expect(err.Kind).To(Equal(errkind.DeadlineExceeded))
+	g.Expect(err.Ran()).To(Equal(errkind.RanUnknown))
 	g.Expect(res.NonRepeatableMayHaveRun).To(BeFalse())
 	g.Expect(b.calls).To(Equal([]string{"check"}))
 }
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -15,7 +15,7 @@
 	"bilberrydale/connection/backend"
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/server"
 	"bilberrydale/version/snapshot"
@@ -111,7 +111,7 @@
 
 // Run executes the stages in order and returns the complete response, or the error to
 // send to the caller. It ends at the request's deadline. The result is never nil.
-func (r *Runner) Run(ctx context.Context, req *Request) (*Result, *kind.Error) {
+func (r *Runner) Run(ctx context.Context, req *Request) (*Result, *errkind.Error) {
 	ctx, cancel := context.WithDeadline(ctx, req.Admitted.Deadline)
 	defer cancel()
 	x := &execution{Runner: r, req: req, contentType: req.ContentType}
@@ -131,14 +131,14 @@
 }
 
 // runStage executes one stage, retries included, and reports its duration to admission.
-func (x *execution) runStage(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
+func (x *execution) runStage(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *errkind.Error) {
 	start := x.Clock.Now()
 	x.Admission.StageStart(start, x.req.Admitted, st.Index)
 	x.triedServers = nil
 	x.pool(st).retryBudget.RecordFirstAttempt()
 	x.req.Admitted.StreamDuration = 0
 	var out []byte
-	var err *kind.Error
+	var err *errkind.Error
 	switch {
 	case st.Stream:
 		out, err = x.runStreamed(ctx, st, in)
@@ -162,17 +162,17 @@
 
 // contextError returns the error for a request whose deadline has passed or whose caller
 // has disconnected, and nil otherwise.
-func (x *execution) contextError(ctx context.Context) *kind.Error {
+func (x *execution) contextError(ctx context.Context) *errkind.Error {
 	switch err := ctx.Err(); {
 	case err == nil && x.timeLeft() > 0:
 		return nil
 	case err == nil:
 		// After a pause of the process, this code may run before the context's timer
 		// fires. It must not start work that the caller has already timed out.
-		return kind.New(kind.DeadlineExceeded, "the deadline passed")
+		return errkind.New(errkind.DeadlineExceeded, "the deadline passed")
 	case errors.Is(err, context.DeadlineExceeded):
-		return kind.New(kind.DeadlineExceeded, "the deadline passed")
+		return errkind.New(errkind.DeadlineExceeded, "the deadline passed")
 	default:
-		return kind.New(kind.Cancelled, "the caller went away")
+		return errkind.New(errkind.Cancelled, "the caller went away")
 	}
 }
--- a/request/pipeline/repeatable.go
+++ b/request/pipeline/repeatable.go
@@ -3,7 +3,7 @@
 import (
 	"context"
 
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/process/server"
 	"bilberrydale/version/snapshot"
 )
@@ -20,7 +20,7 @@
 	stalls       chan *attempt
 	probeResults chan probeResult
 	inFlight     int
-	lastErr      *kind.Error
+	lastErr      *errkind.Error
 }
 
 // probeResult is the result of probing the server of a stalled attempt.
@@ -30,7 +30,7 @@
 }
 
 // runRepeatable runs a repeatable stage with an unstreamed response.
-func (x *execution) runRepeatable(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
+func (x *execution) runRepeatable(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *errkind.Error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel() // ends the attempts that are still open
 	n := x.Options.MaxAttempts
@@ -68,7 +68,7 @@
 }
 
 // startNext starts another attempt.
-func (r *hedgedStage) startNext() *kind.Error {
+func (r *hedgedStage) startNext() *errkind.Error {
 	a, err := r.newAttempt(r.ctx, r.st, r.in)
 	if err != nil {
 		return err
@@ -87,14 +87,14 @@
 
 // handleFailure starts another attempt after a failed one if that is allowed. It returns
 // the error of the stage if no attempt is in flight any more.
-func (r *hedgedStage) handleFailure(o attemptResult) *kind.Error {
+func (r *hedgedStage) handleFailure(o attemptResult) *errkind.Error {
 	r.lastErr = r.classifyError(r.ctx, r.st, o.err)
 	if r.canRetryAfter(r.st, o.err) {
 		err := r.startNext()
 		if err == nil {
 			return nil
 		}
-		if err.Kind != kind.NoBackend {
+		if err.Kind != errkind.NoBackend {
 			r.lastErr = err
 		}
 	}
--- a/request/pipeline/streamed.go
+++ b/request/pipeline/streamed.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"bilberrydale/connection/backend"
-	"bilberrydale/process/kind"
+	"bilberrydale/process/errkind"
 	"bilberrydale/version/snapshot"
 )
 
@@ -36,7 +36,7 @@
 // runStreamed runs a streamed stage. If the connection is lost, it resumes on the same
 // server at the start of the last chunk, whose bytes must be repeated unchanged. It starts
 // over on another server only if no chunk has been sent to the caller.
-func (x *execution) runStreamed(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *kind.Error) {
+func (x *execution) runStreamed(ctx context.Context, st *snapshot.Stage, in []byte) ([]byte, *errkind.Error) {
 	s := &streamedStage{execution: x, st: st, in: in}
 	var a *attempt
 	for {
@@ -165,12 +165,12 @@
 }
 
 // finalError returns the error that the caller gets for a stream that ended with err.
-func (s *streamedStage) finalError(ctx context.Context, err error) *kind.Error {
+func (s *streamedStage) finalError(ctx context.Context, err error) *errkind.Error {
 	if ctxErr := s.contextError(ctx); ctxErr != nil {
 		return ctxErr
 	}
 	if s.offset > 0 && s.req.Sink != nil && !errors.Is(err, errSinkFailed) {
-		return kind.New(kind.StreamCut, "stage %s: %w", s.st.Name, err)
+		return errkind.New(errkind.StreamCut, "stage %s: %w", s.st.Name, err)
 	}
 	return s.classifyError(ctx, s.st, err)
 }
