--- a/connection/backend/backend.go
+++ b/connection/backend/backend.go
@@ -10,12 +10,12 @@
 	"fmt"
 	"time"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Call is one attempt of a stage on a backend server.
 type Call struct {
-	Server      *server.State
+	Server      *serverstate.State
 	Path        string
 	RequestID   string
 	Stage       string
@@ -69,9 +69,9 @@
 	// and an *Error otherwise.
 	Stream(ctx context.Context, c *Call, sink func(Chunk) error) error
 	// Probe checks the server's health on a new connection.
-	Probe(ctx context.Context, s *server.State) error
+	Probe(ctx context.Context, s *serverstate.State) error
 	// CloseIdleConnections closes all idle connections to the server.
-	CloseIdleConnections(s *server.State)
+	CloseIdleConnections(s *serverstate.State)
 }
 
 // Delivery is how far a failed call is known to have progressed.
--- a/connection/backend/exchange.go
+++ b/connection/backend/exchange.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // exchange is a request and its response on one connection.
@@ -60,7 +60,7 @@
 
 // detectLeaving reports a server whose response says for the first time that it is leaving.
 // A response is often the earliest sign, since it needs no load report, host list or peer.
-func (h *HTTPClient) detectLeaving(s *server.State, header http.Header) {
+func (h *HTTPClient) detectLeaving(s *serverstate.State, header http.Header) {
 	if h.opts.OnLeaving != nil && header.Get(h.opts.Headers.Leaving) == "true" && !s.Leaving() {
 		h.opts.OnLeaving(s)
 	}
--- a/connection/backend/headers_test.go
+++ b/connection/backend/headers_test.go
@@ -9,7 +9,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Checks that requests use the configured header names and not the defaults.
@@ -25,7 +25,7 @@
 		}
 	}))
 	defer srv.Close()
-	state := server.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
+	state := serverstate.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
 	h := NewHTTPClient(HTTPOptions{Headers: headers})
 	_, err := h.Do(context.Background(), &Call{
 		Server: state, Path: "/", RequestID: "r1", Stage: "a", Attempt: 2, Host: "e1", Account: "x", Key: "k",
--- a/connection/backend/http.go
+++ b/connection/backend/http.go
@@ -18,7 +18,7 @@
 	"go.opentelemetry.io/otel"
 	"go.opentelemetry.io/otel/propagation"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // HTTPOptions configure an HTTPClient; zero values get the defaults.
@@ -29,14 +29,14 @@
 	Headers          Headers       // default: DefaultHeaders
 	// OnLeaving is called when a response says that its server is leaving, unless that is
 	// already known. It should mark the server as leaving.
-	OnLeaving func(*server.State)
+	OnLeaving func(*serverstate.State)
 }
 
 // HTTPClient is a Client over net/http. Each backend server has a connection pool of its
 // own, so that the idle connections of one server can be closed separately.
 type HTTPClient struct {
 	opts    HTTPOptions
-	clients sync.Map // *server.State -> *http.Client
+	clients sync.Map // *serverstate.State -> *http.Client
 }
 
 // NewHTTPClient returns an HTTPClient.
@@ -59,7 +59,7 @@
 }
 
 // client returns the http.Client of the server and creates it on first use.
-func (h *HTTPClient) client(s *server.State) *http.Client {
+func (h *HTTPClient) client(s *serverstate.State) *http.Client {
 	if c, ok := h.clients.Load(s); ok {
 		return c.(*http.Client)
 	}
@@ -81,10 +81,10 @@
 }
 
 // CloseIdleConnections implements Client.
-func (h *HTTPClient) CloseIdleConnections(s *server.State) { h.client(s).CloseIdleConnections() }
+func (h *HTTPClient) CloseIdleConnections(s *serverstate.State) { h.client(s).CloseIdleConnections() }
 
 // Probe implements Client.
-func (h *HTTPClient) Probe(ctx context.Context, s *server.State) error {
+func (h *HTTPClient) Probe(ctx context.Context, s *serverstate.State) error {
 	c := h.newClient()
 	defer c.CloseIdleConnections()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+s.Address+"/health", nil)
--- a/connection/backend/http_test.go
+++ b/connection/backend/http_test.go
@@ -16,7 +16,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // rawServer is an HTTP server that counts the requests received. The test writes the
@@ -66,8 +66,8 @@
 	}
 }
 
-func (s *rawServer) state() *server.State {
-	return server.NewRegistry().Get("s", s.listener.Addr().String(), time.Now())
+func (s *rawServer) state() *serverstate.State {
+	return serverstate.NewRegistry().Get("s", s.listener.Addr().String(), time.Now())
 }
 
 // writeResponse writes a response with the ids of r.
@@ -87,7 +87,7 @@
 
 func contentLength(body string) string { return fmt.Sprintf("Content-Length: %d\r\n", len(body)) }
 
-func newCall(s *server.State, id string) *Call {
+func newCall(s *serverstate.State, id string) *Call {
 	return &Call{Server: s, Path: "/", RequestID: id, Stage: "book", Attempt: 1, Key: "key", Body: []byte("{}")}
 }
 
--- a/connection/backend/leaving_test.go
+++ b/connection/backend/leaving_test.go
@@ -9,7 +9,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Checks that the first response with the leaving header marks its server as leaving,
@@ -38,11 +38,11 @@
 			}))
 			defer srv.Close()
 			notifications := 0
-			h := NewHTTPClient(HTTPOptions{OnLeaving: func(s *server.State) {
+			h := NewHTTPClient(HTTPOptions{OnLeaving: func(s *serverstate.State) {
 				notifications++
 				s.SetLeaving(true)
 			}})
-			state := server.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
+			state := serverstate.NewRegistry().Get("s", srv.Listener.Addr().String(), time.Now())
 			for range 2 {
 				_, _ = h.Do(context.Background(), &Call{Server: state, Path: "/", RequestID: "r1", Stage: "a"})
 			}
--- a/entryhost/cross_domain_loads.go
+++ b/entryhost/cross_domain_loads.go
@@ -6,7 +6,7 @@
 
 	"bilberrydale/process/clock"
 	"bilberrydale/process/loadreport"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // crossDomainPoller polls the load reports of the few servers in other failure
@@ -17,13 +17,13 @@
 type crossDomainPoller struct {
 	prober         loadreport.Prober
 	clock          clock.Clock
-	servers        func() []*server.State
+	servers        func() []*serverstate.State
 	pollsPerSecond int
 }
 
 // Run polls the servers in turn until ctx ends, and returns nil.
 func (p *crossDomainPoller) Run(ctx context.Context) error {
-	var remaining []*server.State // of the current pass over all servers
+	var remaining []*serverstate.State // of the current pass over all servers
 	for {
 		select {
 		case <-ctx.Done():
@@ -41,12 +41,12 @@
 
 // poll polls one server and stores its report. If the poll fails, the last
 // report stays.
-func (p *crossDomainPoller) poll(ctx context.Context, s *server.State) {
+func (p *crossDomainPoller) poll(ctx context.Context, s *serverstate.State) {
 	r, err := p.prober.Poll(ctx, s.Address, false)
 	if err != nil {
 		return
 	}
-	s.SetLoad(&server.Load{
+	s.SetLoad(&serverstate.Load{
 		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: p.clock.Now(),
 	})
 }
--- a/entryhost/cross_domain_loads_test.go
+++ b/entryhost/cross_domain_loads_test.go
@@ -9,7 +9,7 @@
 
 	"bilberrydale/process/clock"
 	"bilberrydale/process/loadreport"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // recordingProber sends the address of each poll on polled.
@@ -29,10 +29,10 @@
 func TestCrossDomainPollerLimitsRate(t *testing.T) {
 	g := NewWithT(t)
 	c := clock.NewManual(time.Unix(1000, 0))
-	reg := server.NewRegistry()
+	reg := serverstate.NewRegistry()
 	a, b := reg.Get("a", "10.0.0.1:80", c.Now()), reg.Get("b", "10.0.0.2:80", c.Now())
 	p := &recordingProber{make(chan string, 10)}
-	poller := &crossDomainPoller{prober: p, clock: c, pollsPerSecond: 4, servers: func() []*server.State { return []*server.State{a, b} }}
+	poller := &crossDomainPoller{prober: p, clock: c, pollsPerSecond: 4, servers: func() []*serverstate.State { return []*serverstate.State{a, b} }}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- poller.Run(ctx) }()
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -21,7 +21,7 @@
 	"bilberrydale/process/current"
 	"bilberrydale/process/drain"
 	"bilberrydale/process/objectapi"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/process/telemetry"
 	"bilberrydale/version/snapshot"
 )
@@ -36,7 +36,7 @@
 	rand        clock.Rand
 
 	store    objectapi.Store
-	registry *server.Registry
+	registry *serverstate.Registry
 	inForce  current.Value[snapshot.Snapshot]
 	gate     drain.Gate
 	tracer   trace.Tracer
@@ -98,7 +98,7 @@
 		opts: opts, incarnation: uint64(time.Now().UnixNano()), log: logger,
 		clock: clock.System{}, rand: clock.SystemRand{}, flushSpans: flush, tracer: tracer,
 		store:    objectapi.NewClient(platform.NewObjectStore(platform.NewStoreClientForURL(opts.PlatformURL, opts.PlatformToken)), objectapi.ClientOptions{}),
-		registry: server.NewRegistry(),
+		registry: serverstate.NewRegistry(),
 	}
 	// The order matters: each step uses components that earlier steps created.
 	if err := h.wireMembership(); err != nil {
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -11,7 +11,7 @@
 	"bilberrydale/connection/serverprobe"
 	"bilberrydale/internal/settings"
 	"bilberrydale/process/admission"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
 )
@@ -125,8 +125,8 @@
 
 // crossDomainServers returns the servers in other failure domains that this host
 // may use.
-func (h *Host) crossDomainServers() []*server.State {
-	var out []*server.State
+func (h *Host) crossDomainServers() []*serverstate.State {
+	var out []*serverstate.State
 	h.forEachPicker(func(_ string, p *pick.LocalityPicker) { out = append(out, p.EligibleOutsideDomain()...) })
 	return out
 }
--- a/entryhost/releases_test.go
+++ b/entryhost/releases_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/internal/standin/platform"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/table"
 )
 
@@ -84,7 +84,7 @@
 
 		srv := env.tables.Pools[0].Servers[0]
 		Eventually(func() string {
-			h.registry.Get(srv.Name, srv.Address, time.Now()).SetLoad(&server.Load{Models: []string{"m@2"}, Received: time.Now()})
+			h.registry.Get(srv.Name, srv.Address, time.Now()).SetLoad(&serverstate.Load{Models: []string{"m@2"}, Received: time.Now()})
 			return fmt.Sprint(h.inForce.Load().Pools["model"].Model)
 		}, 5*time.Second).Should(Equal("m@2"))
 	})
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -15,7 +15,7 @@
 	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/quarantine"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/request/entry"
 	"bilberrydale/request/pipeline"
 )
@@ -77,7 +77,9 @@
 
 // markServerLeaving shares with the other entry hosts that a response marked its
 // backend server as leaving.
-func (h *Host) markServerLeaving(s *server.State) { h.membership.reportPoller.MarkLeaving(s.Address) }
+func (h *Host) markServerLeaving(s *serverstate.State) {
+	h.membership.reportPoller.MarkLeaving(s.Address)
+}
 
 // claimFlushTimeout bounds the last write of claim outcomes at shutdown.
 const claimFlushTimeout = 2 * time.Second
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -20,7 +20,7 @@
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/release"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/snapshot"
 	"bilberrydale/version/table"
@@ -42,7 +42,7 @@
 	return rel
 }
 
-func snapshotOptions(reg *server.Registry) snapshot.Options {
+func snapshotOptions(reg *serverstate.Registry) snapshot.Options {
 	return snapshot.Options{
 		Registry: reg, Now: startTime.Add(-time.Hour),
 		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
@@ -51,7 +51,7 @@
 	}
 }
 
-func buildSnapshot(tb testing.TB, s Size, reg *server.Registry) *snapshot.Snapshot {
+func buildSnapshot(tb testing.TB, s Size, reg *serverstate.Registry) *snapshot.Snapshot {
 	tb.Helper()
 	snap, err := snapshot.Build(newRelease(s.Tables()), snapshotOptions(reg))
 	if err != nil {
@@ -105,9 +105,9 @@
 
 // newHostState returns the state with busy running requests on each server.
 func newHostState(tb testing.TB, s Size, busy int) *hostState {
-	reg := server.NewRegistry()
+	reg := serverstate.NewRegistry()
 	h := &hostState{snap: buildSnapshot(tb, s, reg), controller: admission.NewController(admission.DefaultOptions(), clock.NewSeeded(1))}
-	reg.Each(func(st *server.State) { st.SetLoad(&server.Load{Running: busy, Received: startTime}) })
+	reg.Each(func(st *serverstate.State) { st.SetLoad(&serverstate.Load{Running: busy, Received: startTime}) })
 	for i := range s.Accounts {
 		h.accounts = append(h.accounts, s.Account(i))
 	}
@@ -207,7 +207,7 @@
 // release that changes one row.
 func BenchmarkInstall(b *testing.B) {
 	forEachSize(b, func(b *testing.B, s Size) {
-		reg := server.NewRegistry()
+		reg := serverstate.NewRegistry()
 		rel := newRelease(s.Tables())
 		b.ReportAllocs()
 		b.ResetTimer()
@@ -235,7 +235,7 @@
 	forEachSize(b, func(b *testing.B, s Size) {
 		for range b.N {
 			before := liveHeapBytes()
-			snap := buildSnapshot(b, s, server.NewRegistry())
+			snap := buildSnapshot(b, s, serverstate.NewRegistry())
 			withTables := liveHeapBytes()
 			h := newHostState(b, s, overload)
 			all := liveHeapBytes()
@@ -258,7 +258,7 @@
 				domain, region := s.FailureDomain(h)
 				reach := 0
 				for _, p := range tables.Pools {
-					reg := server.NewRegistry()
+					reg := serverstate.NewRegistry()
 					servers := make([]pick.Server, len(p.Servers))
 					for i, x := range p.Servers {
 						servers[i] = pick.Server{Server: x, State: reg.Get(x.Name, x.Address, startTime), Slots: p.Slots}
@@ -349,7 +349,7 @@
 func TestEligibleServersAreBounded(t *testing.T) {
 	g := NewWithT(t)
 	s := PlannedSize()
-	snap := buildSnapshot(t, s, server.NewRegistry())
+	snap := buildSnapshot(t, s, serverstate.NewRegistry())
 	reach := 0
 	for _, p := range snap.Pools {
 		reach += len(p.Picker.(*pick.LocalityPicker).Eligible())
--- a/internal/faultrun/environment_test.go
+++ b/internal/faultrun/environment_test.go
@@ -27,7 +27,7 @@
 	"bilberrydale/process/peer/peertest"
 	"bilberrydale/process/quarantine"
 	"bilberrydale/process/release"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/request/entry"
 	"bilberrydale/request/pipeline"
 	"bilberrydale/version/pick"
@@ -60,7 +60,7 @@
 	runner     *pipeline.Runner
 	claims     claim.Claims
 	quarantine quarantine.Guard
-	registry   *server.Registry
+	registry   *serverstate.Registry
 	stop       context.CancelFunc
 }
 
@@ -142,7 +142,7 @@
 	name := fmt.Sprint("h", i)
 	killed, stop := context.WithCancel(context.Background())
 	link := env.network.Join(peer.Identity{Host: name, Incarnation: env.lastIncarnation})
-	h := &host{name: name, store: &killableStore{env.objects, killed}, stop: stop, registry: server.NewRegistry()}
+	h := &host{name: name, store: &killableStore{env.objects, killed}, stop: stop, registry: serverstate.NewRegistry()}
 	shared := quarantine.NewSharedGuard(clock.System{}, clock.SystemRand{}, link, quarantine.DefaultOptions())
 	opts := claim.DefaultOptions()
 	opts.WriteInterval, opts.StoreBackoff = 5*time.Millisecond, 50*time.Millisecond
--- a/internal/faultrun/misdelivery_test.go
+++ b/internal/faultrun/misdelivery_test.go
@@ -10,7 +10,7 @@
 
 	. "github.com/onsi/gomega"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Guards against a response that reaches the wrong caller. Callers choose the
@@ -106,5 +106,5 @@
 	t.Logf("30 requests after the connections became unresponsive: %s", time.Since(start))
 	g.Expect(env.host(0).runner.Counters.Stalls.Load()).To(BeNumerically(">=", 1))
 	g.Expect(env.servers[0].relay.BlackholedConnections()).To(BeNumerically("<=", 2), "attempts sent on unresponsive connections")
-	env.host(0).registry.Each(func(s *server.State) { g.Expect(s.Health(time.Now())).To(Equal(server.Healthy)) })
+	env.host(0).registry.Each(func(s *serverstate.State) { g.Expect(s.Health(time.Now())).To(Equal(serverstate.Healthy)) })
 }
--- a/internal/memberbench/fleet_test.go
+++ b/internal/memberbench/fleet_test.go
@@ -19,7 +19,7 @@
 	"bilberrydale/process/loadreport"
 	"bilberrydale/process/membership"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 const (
@@ -55,7 +55,7 @@
 	monitor  *membership.Monitor
 	poller   *loadreport.Poller
 	elector  *lease.Elector
-	registry *server.Registry
+	registry *serverstate.Registry
 	domain   string
 	kill     func()
 }
@@ -140,7 +140,7 @@
 	self := peer.Identity{Host: name, Incarnation: uint64(time.Now().UnixNano()), Domain: domain, Region: "r", Address: l.Addr().String()}
 	conns := peerconn.Options{Self: self, Secret: []byte("secret")}
 	sys, rnd := clock.System{}, clock.SystemRand{}
-	h := &host{domain: domain, registry: server.NewRegistry()}
+	h := &host{domain: domain, registry: serverstate.NewRegistry()}
 	h.mesh = peer.NewMesh(peer.MeshOptions{Self: self, Clock: sys, Rand: rnd, Dial: func(ctx context.Context, address string, serve peer.Dispatch) (peer.Conn, error) {
 		c, err := peerconn.Dial(ctx, address, conns, serve)
 		if err != nil {
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -6,7 +6,7 @@
 
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
 )
@@ -18,7 +18,7 @@
 	Location
 	*HostPolicy
 	rand     clock.Rand
-	registry *server.Registry
+	registry *serverstate.Registry
 	pickers  map[string]pick.Picker
 	profiles map[string]*admission.Profile
 }
@@ -26,7 +26,7 @@
 // newFakeHost returns a host with the decision code of the policy. Seed is that of
 // its random decisions.
 func (sim *simulation) newFakeHost(at Location, seed uint64) *fakeHost {
-	h := &fakeHost{simulation: sim, Location: at, rand: clock.NewSeeded(seed), registry: server.NewRegistry(), profiles: map[string]*admission.Profile{}}
+	h := &fakeHost{simulation: sim, Location: at, rand: clock.NewSeeded(seed), registry: serverstate.NewRegistry(), profiles: map[string]*admission.Profile{}}
 	h.HostPolicy = sim.policy.New(at, h.rand)
 	h.installSnapshot()
 	return h
@@ -68,7 +68,7 @@
 	admissionRequest admission.Request
 	stageIndex       int
 	attempts         int
-	tried            []*server.State
+	tried            []*serverstate.State
 	current          *attempt
 	stageStartedAt   time.Duration // start of the current stage
 	ended            bool
@@ -213,16 +213,16 @@
 }
 
 // serverOutcome returns the outcome that the decision code records for result.
-func serverOutcome(result taskResult) server.Outcome {
+func serverOutcome(result taskResult) serverstate.Outcome {
 	switch result {
 	case taskSucceeded:
-		return server.Succeeded
+		return serverstate.Succeeded
 	case taskRefused:
-		return server.Overloaded
+		return serverstate.Overloaded
 	case taskUnreachable:
-		return server.Unreachable
+		return serverstate.Unreachable
 	default:
-		return server.Failed
+		return serverstate.Failed
 	}
 }
 
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -10,7 +10,7 @@
 	"bilberrydale/process/admission"
 	"bilberrydale/process/clock"
 	"bilberrydale/process/retrybudget"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
 )
@@ -26,7 +26,7 @@
 	Tick func(now time.Time, pools map[string]pick.Picker)
 	// RecordOutcome records the outcome and duration of an attempt; nil: not
 	// recorded.
-	RecordOutcome func(now time.Time, s *server.State, o server.Outcome, duration time.Duration)
+	RecordOutcome func(now time.Time, s *serverstate.State, o serverstate.Outcome, duration time.Duration)
 	// AllowRetry reports whether the retry budget of a pool allows another
 	// attempt, and RecordFirstAttempt counts a first one; nil: no budget.
 	AllowRetry         func(pool string) bool
@@ -62,7 +62,7 @@
 			NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker {
 				return pick.NewLocalityPicker(pick.DefaultOptions(at.Name, at.Domain, at.Region), s)
 			},
-			RecordOutcome: func(now time.Time, s *server.State, o server.Outcome, duration time.Duration) {
+			RecordOutcome: func(now time.Time, s *serverstate.State, o serverstate.Outcome, duration time.Duration) {
 				s.RecordOutcome(now, o, duration)
 			},
 		}
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/table"
 )
 
@@ -191,7 +191,7 @@
 func (sim *simulation) deliverReport(s *fakeServer, l loadReport) {
 	for _, h := range sim.hosts {
 		if sim.connected(h.Region, s.Region) {
-			h.registry.Get(s.Name, s.Address, sim.time()).SetLoad(&server.Load{Running: l.running, Queued: l.queued, Slots: s.slots, Received: sim.time()})
+			h.registry.Get(s.Name, s.Address, sim.time()).SetLoad(&serverstate.Load{Running: l.running, Queued: l.queued, Slots: s.slots, Received: sim.time()})
 		}
 	}
 }
--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -16,7 +16,7 @@
 	"bilberrydale/process/membership"
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/process/taskgroup"
 )
 
@@ -50,7 +50,7 @@
 
 // Target is a backend server of the tables in force.
 type Target struct {
-	State  *server.State
+	State  *serverstate.State
 	Domain string // failure domain
 }
 
@@ -274,7 +274,7 @@
 	rec.detailsChanged = rec.detailsChanged || r.Role != rec.report.Role || !equal(r.Models, rec.report.Models) || r.Slots != rec.report.Slots
 	rec.report, rec.unshared = r, true
 	p.mu.Unlock()
-	rec.target.State.SetLoad(&server.Load{
+	rec.target.State.SetLoad(&serverstate.Load{
 		Running: r.Running, Queued: r.Queued, Slots: r.Slots, Models: r.Models, Role: r.Role, Received: now,
 	})
 	p.updateStatus(rec, func(s *serverStatus) { s.Down, s.ReportedLeaving = false, r.Leaving })
--- a/process/loadreport/loadreport_test.go
+++ b/process/loadreport/loadreport_test.go
@@ -20,7 +20,7 @@
 	"bilberrydale/process/objectapi"
 	"bilberrydale/process/peer"
 	"bilberrydale/process/peer/peertest"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 const (
@@ -87,7 +87,7 @@
 }
 
 type entryHost struct {
-	registry *server.Registry
+	registry *serverstate.Registry
 	poller   *loadreport.Poller
 	monitor  *membership.Monitor
 }
@@ -113,7 +113,7 @@
 
 func (s *deployment) start(t *testing.T, name, domain string, domains, servers int) {
 	link := s.net.Join(peer.Identity{Host: name, Incarnation: 1, Domain: domain, Address: name})
-	h := &entryHost{registry: server.NewRegistry()}
+	h := &entryHost{registry: serverstate.NewRegistry()}
 	sys, rnd := clock.System{}, clock.NewSeeded(uint64(len(s.hosts)+1))
 	h.monitor = membership.New(membership.Options{Link: link, Clock: sys, Rand: rnd, Interval: interval, Seeds: func() []string { return []string{"h0-0"} }})
 	h.poller = loadreport.New(loadreport.Options{
@@ -149,11 +149,11 @@
 	}
 }
 
-func (s *deployment) serverState(host, srv string) *server.State {
+func (s *deployment) serverState(host, srv string) *serverstate.State {
 	return s.hosts[host].registry.Get(srv, srv+":1", time.Unix(1, 0))
 }
 
-func (s *deployment) expectOnAllHosts(srv string, check func(*server.State) bool, want bool) {
+func (s *deployment) expectOnAllHosts(srv string, check func(*serverstate.State) bool, want bool) {
 	for name := range s.hosts {
 		s.g.EventuallyWithOffset(1, func() bool { return check(s.serverState(name, srv)) }, eventuallyTimeout, interval).Should(Equal(want), "%s on %s", srv, name)
 	}
@@ -168,11 +168,11 @@
 	s.mu.Lock()
 	s.hostListErr = objectapi.ErrUnavailable
 	s.mu.Unlock()
-	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
+	s.expectOnAllHosts("s1-0", (*serverstate.State).Usable, true)
 	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{Leaving: true} })
-	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s1-0", (*serverstate.State).Usable, false)
 	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{} })
-	s.expectOnAllHosts("s1-0", (*server.State).Usable, true)
+	s.expectOnAllHosts("s1-0", (*serverstate.State).Usable, true)
 }
 
 // The platform lists a server as leaving before the server reports it, and lists
@@ -184,8 +184,8 @@
 	s.hostList = []objectapi.Host{{Name: "s0-0", Address: "s0-0:1", State: objectapi.HostLeaving}, {Name: "s1-0", State: objectapi.HostLive}}
 	s.mu.Unlock()
 	s.withLock(func() { s.reports["s1-0:1"] = loadreport.Report{Leaving: true} })
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
-	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, false)
+	s.expectOnAllHosts("s1-0", (*serverstate.State).Usable, false)
 	lists := s.hosts["h0-0"].poller.Counters.HostListReads.Load()
 	s.g.Eventually(s.hosts["h0-0"].poller.Counters.HostListReads.Load, eventuallyTimeout).Should(BeNumerically(">", lists+3))
 	s.g.Expect(s.serverState("h0-0", "s1-0").Usable()).To(BeFalse())
@@ -217,7 +217,7 @@
 	polls := s.hosts["h0-0"].poller.Counters.Polls.Load
 	before := polls()
 	s.g.Eventually(polls, eventuallyTimeout).Should(BeNumerically(">", before+10))
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, true)
 }
 
 // A server dies: the polls of both owners are refused, also on new connections.
@@ -226,9 +226,9 @@
 func TestDeadServerIsDownOnAllHostsUntilItResponds(t *testing.T) {
 	s := newDeployment(t, 2, 3, 1)
 	s.withLock(func() { s.allConnErr["s0-0:1"] = errRefused })
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, false)
 	s.withLock(func() { delete(s.allConnErr, "s0-0:1") })
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, true)
 }
 
 // The network between a server and both its owners fails, and the owners report it
@@ -256,11 +256,11 @@
 func TestLateJoiningHostLearnsOfLeavingServers(t *testing.T) {
 	s := newDeployment(t, 2, 2, 1)
 	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{Leaving: true} })
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, false)
 	sent := s.hosts["h1-0"].monitor.Counters.Sent.Load()
 	s.g.Eventually(s.hosts["h1-0"].monitor.Counters.Sent.Load, eventuallyTimeout).Should(BeNumerically(">", sent+60), "the status has spread")
 	s.start(t, "h1-2", "d1", 2, 1)
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, false)
 }
 
 // A server that was leaving is removed from the tables and a later release has it
@@ -268,7 +268,7 @@
 func TestRelistedServerIsUsable(t *testing.T) {
 	s := newDeployment(t, 1, 3, 1)
 	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{Leaving: true} })
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, false)
 	s.delisted.Store("s0-0", true)
 	for _, h := range s.hosts {
 		before := h.poller.Counters.Rounds.Load()
@@ -276,7 +276,7 @@
 	}
 	s.withLock(func() { s.reports["s0-0:1"] = loadreport.Report{} })
 	s.delisted.Delete("s0-0")
-	s.expectOnAllHosts("s0-0", (*server.State).Usable, true)
+	s.expectOnAllHosts("s0-0", (*serverstate.State).Usable, true)
 }
 
 // A failure domain is partitioned from the other while the platform is down, and
@@ -306,7 +306,7 @@
 		s.g.Expect(s.serverState(fmt.Sprint("h0-", i), "s1-0").Usable()).To(BeTrue())
 	}
 	pairs(s.net.Heal)
-	s.expectOnAllHosts("s1-0", (*server.State).Usable, false)
+	s.expectOnAllHosts("s1-0", (*serverstate.State).Usable, false)
 }
 
 // Loads reach the hosts that do not poll the server themselves.
--- a/process/loadreport/share.go
+++ b/process/loadreport/share.go
@@ -9,7 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"bilberrydale/process/peer"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // MethodLoads sends a batch of loads to the peers of the domain.
@@ -111,7 +111,7 @@
 
 // applySharedLoad stores a shared load. Without details the earlier ones remain.
 func (rec *serverRecord) applySharedLoad(row loadRow, now time.Time) {
-	next := server.Load{Received: now, Running: int(row.Running), Queued: int(row.Queued)}
+	next := serverstate.Load{Received: now, Running: int(row.Running), Queued: int(row.Queued)}
 	if old := rec.target.State.Load(); old != nil {
 		next.Slots, next.Models, next.Role = old.Slots, old.Models, old.Role
 	}
--- a/process/server/health.go
+++ b/process/serverstate/health.go
@@ -1,4 +1,4 @@
-package server
+package serverstate
 
 import (
 	"sync/atomic"
--- a/process/server/server.go
+++ b/process/serverstate/serverstate.go
@@ -1,8 +1,8 @@
-// Package server holds the state of each backend server as seen by an entry
+// Package serverstate holds the state of each backend server as seen by an entry
 // host, for the lifetime of the process: requests in flight, health, and the
 // last load report. Snapshots of the tables point to these states, so that they
 // survive a new release. All reads on the request path are atomic.
-package server
+package serverstate
 
 import (
 	"sync"
--- a/request/entry/entry_test.go
+++ b/request/entry/entry_test.go
@@ -25,7 +25,7 @@
 	"bilberrydale/process/drain"
 	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/request/pipeline"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/snapshot"
@@ -56,13 +56,13 @@
 	return sink(backend.Chunk{Offset: 6, Final: true})
 }
 
-func (c *countingClient) Probe(context.Context, *server.State) error { return nil }
-func (c *countingClient) CloseIdleConnections(*server.State)         {}
+func (c *countingClient) Probe(context.Context, *serverstate.State) error { return nil }
+func (c *countingClient) CloseIdleConnections(*serverstate.State)         {}
 
 // newHandler returns a handler with one route: a non-repeatable booking stage, followed by a
 // repeatable streamed stage.
 func newHandler(b backend.Client) *Handler {
-	state := server.NewRegistry().Get("s", "127.0.0.1:1", time.Unix(0, 0))
+	state := serverstate.NewRegistry().Get("s", "127.0.0.1:1", time.Unix(0, 0))
 	p := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandomPicker([]pick.Server{{State: state}})}
 	book := table.Stage{Name: "book", Pool: "p", Budget: table.Duration(time.Second)}
 	note := table.Stage{Name: "note", Pool: "p", Budget: table.Duration(time.Second), Repeatable: true, Stream: true}
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -14,7 +14,7 @@
 	"bilberrydale/connection/backend"
 	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/snapshot"
 )
@@ -88,8 +88,8 @@
 }
 
 // serversWithSuspects returns the pool's servers on which a suspect request runs.
-func (x *execution) serversWithSuspects(st *snapshot.Stage) []*server.State {
-	var out []*server.State
+func (x *execution) serversWithSuspects(st *snapshot.Stage) []*serverstate.State {
+	var out []*serverstate.State
 	for _, s := range st.Pool.Picker.Servers() {
 		if x.Isolator.HasSuspect(s.Name) {
 			out = append(out, s.State)
@@ -152,9 +152,9 @@
 	if err := x.Backend.Probe(ctx, a.server.State); err != nil {
 		x.Counters.ProbesFailed.Add(1)
 		// A timeout may be due to load; a refused connection cannot be.
-		outcome := server.Unreachable
+		outcome := serverstate.Unreachable
 		if ctx.Err() != nil {
-			outcome = server.Failed
+			outcome = serverstate.Failed
 		}
 		a.server.State.RecordOutcome(x.Clock.Now(), outcome, 0)
 		return false
--- a/request/pipeline/pause_test.go
+++ b/request/pipeline/pause_test.go
@@ -13,7 +13,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/snapshot"
 	"bilberrydale/version/table"
@@ -36,8 +36,8 @@
 	return nil
 }
 
-func (p *pausingClient) Probe(context.Context, *server.State) error { return nil }
-func (p *pausingClient) CloseIdleConnections(*server.State)         {}
+func (p *pausingClient) Probe(context.Context, *serverstate.State) error { return nil }
+func (p *pausingClient) CloseIdleConnections(*serverstate.State)         {}
 
 // Guards against starting a non-repeatable stage after the deadline. The process is paused
 // for an hour between two stages and resumes before its timers fire, so the request's
@@ -46,7 +46,7 @@
 	g := NewWithT(t)
 	clk := clock.NewManual(time.Now())
 	b := &pausingClient{clock: clk}
-	state := server.NewRegistry().Get("s", "127.0.0.1:1", clk.Now())
+	state := serverstate.NewRegistry().Get("s", "127.0.0.1:1", clk.Now())
 	pool := &snapshot.Pool{Pool: table.Pool{Name: "p"}, Picker: pick.NewRandomPicker([]pick.Server{{State: state}})}
 	stage := func(i int, name string, repeatable bool) snapshot.Stage {
 		return snapshot.Stage{Stage: table.Stage{Name: name, Pool: "p", Budget: table.Duration(time.Second), Repeatable: repeatable}, Pool: pool, Index: i}
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -17,7 +17,7 @@
 	"bilberrydale/process/clock"
 	"bilberrydale/process/errkind"
 	"bilberrydale/process/quarantine"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/snapshot"
 )
 
@@ -88,7 +88,7 @@
 	dispatched              bool // a byte may have reached a backend server
 	nonRepeatableMayHaveRun bool // see Result
 	late                    <-chan LateResult
-	triedServers            []*server.State // by the current stage
+	triedServers            []*serverstate.State // by the current stage
 	// contentType is the media type of the current stage's input.
 	contentType string
 }
--- a/request/pipeline/repeatable.go
+++ b/request/pipeline/repeatable.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"bilberrydale/process/errkind"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/snapshot"
 )
 
@@ -120,7 +120,7 @@
 }
 
 // without returns a copy of list that does not contain s.
-func without(list []*server.State, s *server.State) []*server.State {
+func without(list []*serverstate.State, s *serverstate.State) []*serverstate.State {
 	out := list[:0:0]
 	for _, x := range list {
 		if x != s {
--- a/request/pipeline/server_outcome.go
+++ b/request/pipeline/server_outcome.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"bilberrydale/connection/backend"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // recordServerOutcome records the result of an attempt in the state of its server, so
@@ -26,19 +26,19 @@
 
 // serverOutcome returns the outcome that err implies for the health of the server, and
 // false if it implies none.
-func serverOutcome(err error) (server.Outcome, bool) {
+func serverOutcome(err error) (serverstate.Outcome, bool) {
 	var be *backend.Error
 	switch {
 	case err == nil:
-		return server.Succeeded, true
+		return serverstate.Succeeded, true
 	case !errors.As(err, &be):
 		return 0, false
 	case be.NotStarted:
-		return server.Overloaded, true
+		return serverstate.Overloaded, true
 	case be.Delivery == backend.NotSent:
-		return server.Unreachable, true
+		return serverstate.Unreachable, true
 	case be.Delivery == backend.Responded && be.Status >= http.StatusInternalServerError:
-		return server.Failed, true
+		return serverstate.Failed, true
 	default:
 		return 0, false
 	}
--- a/version/pick/explain.go
+++ b/version/pick/explain.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Candidate describes a server of the pool as the picker evaluates it.
@@ -51,11 +51,11 @@
 		return "down"
 	}
 	switch s.State.Health(now) {
-	case server.TrialDue:
+	case serverstate.TrialDue:
 		return "on trial"
-	case server.Outlier:
+	case serverstate.Outlier:
 		return "ejected: attempts fail"
-	case server.Disconnected:
+	case serverstate.Disconnected:
 		return "ejected: no connection"
 	}
 	return "usable"
@@ -63,18 +63,18 @@
 
 // Eligible returns the states of all servers that this host may use, those in the own failure
 // domain first.
-func (p *LocalityPicker) Eligible() []*server.State {
+func (p *LocalityPicker) Eligible() []*serverstate.State {
 	return append(p.domain.states(), p.EligibleOutsideDomain()...)
 }
 
 // EligibleOutsideDomain returns the states of the servers in other failure domains that this
 // host may use.
-func (p *LocalityPicker) EligibleOutsideDomain() []*server.State {
+func (p *LocalityPicker) EligibleOutsideDomain() []*serverstate.State {
 	return append(p.region.states(), p.remote.states()...)
 }
 
-func (t tier) states() []*server.State {
-	out := make([]*server.State, len(t))
+func (t tier) states() []*serverstate.State {
+	out := make([]*serverstate.State, len(t))
 	for i, s := range t {
 		out[i] = s.State
 	}
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 )
 
 // Load is the load of a pool's servers that this entry host may use.
@@ -61,7 +61,7 @@
 // addServer adds the load of s, or counts it as due for a probe.
 func (l *Load) addServer(s *Server, now time.Time) {
 	if !s.healthy(now) {
-		if s.State.Usable() && s.State.Health(now) == server.TrialDue {
+		if s.State.Usable() && s.State.Health(now) == serverstate.TrialDue {
 			l.ProbesDue++
 		}
 		return
@@ -76,7 +76,7 @@
 
 // healthy reports whether the server accepts requests and is not ejected.
 func (s *Server) healthy(now time.Time) bool {
-	return s.State.Usable() && s.State.Health(now) == server.Healthy
+	return s.State.Usable() && s.State.Health(now) == serverstate.Healthy
 }
 
 // maxUtilizationWithFreeSlot is the utilization up to which HasFreeSlot returns true. Reports
--- a/version/pick/locality.go
+++ b/version/pick/locality.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/table"
 )
 
@@ -106,7 +106,7 @@
 func (p *LocalityPicker) Pick(attempt *Attempt) (*Server, error) {
 	for range maxPickTries {
 		s, err := p.selectServer(attempt)
-		if err != nil || s.State.Health(attempt.Now) != server.TrialDue || s.State.ClaimTrial(attempt.Now) {
+		if err != nil || s.State.Health(attempt.Now) != serverstate.TrialDue || s.State.ClaimTrial(attempt.Now) {
 			return s, err
 		}
 	}
@@ -246,9 +246,9 @@
 // ejected.
 func (p *LocalityPicker) ejected(t tier, s *Server, now time.Time) bool {
 	switch s.State.Health(now) {
-	case server.Healthy, server.TrialDue:
+	case serverstate.Healthy, serverstate.TrialDue:
 		return false
-	case server.Disconnected:
+	case serverstate.Disconnected:
 		return true
 	}
 	remaining := max(1, int(p.opts.MaxEjectedFraction*float64(len(t))))
@@ -256,7 +256,7 @@
 		if other == s {
 			return remaining > 0
 		}
-		if other.State.Health(now) == server.Outlier {
+		if other.State.Health(now) == serverstate.Outlier {
 			remaining--
 		}
 	}
--- a/version/pick/locality_test.go
+++ b/version/pick/locality_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/table"
 )
 
@@ -16,7 +16,7 @@
 
 // servers returns n servers of 4 slots; locality returns the failure domain and region of each.
 func servers(n int, locality func(i int) (domain, region string)) []Server {
-	reg := server.NewRegistry()
+	reg := serverstate.NewRegistry()
 	out := make([]Server, n)
 	for i := range out {
 		d, r := locality(i)
@@ -42,7 +42,7 @@
 		return []string{"a1", "a2", "b1"}[i], []string{"a", "a", "b"}[i]
 	})
 	for i := range all {
-		all[i].State.SetLoad(&server.Load{Received: start})
+		all[i].State.SetLoad(&serverstate.Load{Received: start})
 	}
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	expectPick := func(name string, a *Attempt) {
@@ -78,9 +78,9 @@
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	for i := range all {
 		for range 5 {
-			all[i].State.RecordOutcome(start, server.Failed, time.Second)
+			all[i].State.RecordOutcome(start, serverstate.Failed, time.Second)
 		}
-		g.Expect(all[i].State.Health(start)).To(Equal(server.Outlier))
+		g.Expect(all[i].State.Health(start)).To(Equal(serverstate.Outlier))
 	}
 	usable := 0
 	for i := range all {
@@ -101,7 +101,7 @@
 	all := servers(2, localDomain)
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	addRequests(&all[1], 3)
-	all[0].State.RecordOutcome(start, server.Unreachable, 0)
+	all[0].State.RecordOutcome(start, serverstate.Unreachable, 0)
 	for range 20 {
 		s, err := p.Pick(attempt())
 		g.Expect(err).NotTo(HaveOccurred())
@@ -116,8 +116,8 @@
 		}
 	}
 	g.Expect(probes).To(Equal(1))
-	all[0].State.RecordOutcome(later.Now, server.Succeeded, time.Millisecond)
-	g.Expect(all[0].State.Health(later.Now)).To(Equal(server.Healthy))
+	all[0].State.RecordOutcome(later.Now, serverstate.Succeeded, time.Millisecond)
+	g.Expect(all[0].State.Health(later.Now)).To(Equal(serverstate.Healthy))
 }
 
 func TestSubsetsAreStableSmallAndBalanced(t *testing.T) {
@@ -185,7 +185,7 @@
 			if i == 7 {
 				running = 0
 			}
-			all[i].State.SetLoad(&server.Load{Running: running, Received: start.Add(-time.Second)})
+			all[i].State.SetLoad(&serverstate.Load{Running: running, Received: start.Add(-time.Second)})
 		}
 		p := NewLocalityPicker(DefaultOptions(fmt.Sprint("h", h), "a1", "a"), all)
 		a := &Attempt{Now: start, Rand: clock.NewSeeded(uint64(h))}
@@ -207,7 +207,7 @@
 	all := servers(3, func(i int) (string, string) {
 		return []string{"a1", "a1", "b1"}[i], []string{"a", "a", "b"}[i]
 	})
-	all[2].State.SetLoad(&server.Load{Received: start})
+	all[2].State.SetLoad(&serverstate.Load{Received: start})
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	addRequests(&all[0], 5)
 	addRequests(&all[1], 5)
@@ -249,10 +249,10 @@
 	})
 	p := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4), "the spare slots of the other region are unknown")
-	all[0].State.RecordOutcome(start, server.Unreachable, 0)
+	all[0].State.RecordOutcome(start, serverstate.Unreachable, 0)
 	g.Expect(p.Load(start).Slots).To(BeNumerically("==", 4))
 	only := NewLocalityPicker(DefaultOptions("h", "a1", "a"), all[1:])
 	g.Expect(only.Load(start).Slots).To(BeNumerically("==", 4))
-	all[1].State.RecordOutcome(start, server.Unreachable, 0)
+	all[1].State.RecordOutcome(start, serverstate.Unreachable, 0)
 	g.Expect(only.Load(start).Slots).To(BeZero())
 }
--- a/version/pick/pick.go
+++ b/version/pick/pick.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"bilberrydale/process/clock"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/table"
 )
 
@@ -17,7 +17,7 @@
 // Server is a backend server of a pool: its row of the tables and its current state.
 type Server struct {
 	table.Server
-	State *server.State
+	State *serverstate.State
 	Slots int // requests that the server runs concurrently, before its weight is applied
 
 	outsideDomain bool // in another failure domain than the picker's host
@@ -32,11 +32,11 @@
 	InputBytes int         // size of the stage's input, for regions whose traffic is billed
 	// Exclude holds the servers that this request has already tried. It is searched linearly
 	// and holds only a few.
-	Exclude []*server.State
+	Exclude []*serverstate.State
 }
 
 // Excluded reports whether the request has already tried s.
-func (a *Attempt) Excluded(s *server.State) bool {
+func (a *Attempt) Excluded(s *serverstate.State) bool {
 	for _, x := range a.Exclude {
 		if x == s {
 			return true
--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -11,7 +11,7 @@
 
 	"bilberrydale/process/admission"
 	"bilberrydale/process/release"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
 )
@@ -51,7 +51,7 @@
 
 // Options configure Build.
 type Options struct {
-	Registry   *server.Registry                                         // holds the states of backend servers across releases
+	Registry   *serverstate.Registry                                    // holds the states of backend servers across releases
 	NewPicker  func(pool table.Pool, servers []pick.Server) pick.Picker // creates the picker of each pool
 	Now        time.Time                                                // time at which new servers are registered
 	AdjustPool func(*table.Pool)                                        // changes each pool before its picker is created; may be nil
--- a/version/snapshot/snapshot_test.go
+++ b/version/snapshot/snapshot_test.go
@@ -8,7 +8,7 @@
 	. "github.com/onsi/gomega"
 
 	"bilberrydale/process/release"
-	"bilberrydale/process/server"
+	"bilberrydale/process/serverstate"
 	"bilberrydale/version/pick"
 	"bilberrydale/version/table"
 )
@@ -33,7 +33,7 @@
 		rel.Rows = append(rel.Rows, release.Row{Key: key, Data: data})
 	}
 	s, err := Build(rel, Options{
-		Registry:  server.NewRegistry(),
+		Registry:  serverstate.NewRegistry(),
 		NewPicker: func(_ table.Pool, s []pick.Server) pick.Picker { return pick.NewRandomPicker(s) },
 	})
 	g.Expect(err).NotTo(HaveOccurred())
