--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -22,7 +22,7 @@
 	TargetLoad           float64 // at which admission control holds an overloaded pool
 	BackgroundMaxLoad    float64 // of every pool, from which background requests are refused
 	RemoteSpilloverLoad  float64 // of this region, from which other regions are tried
-	RemoteLoadPerMB      float64 // advantage that another region needs per billed megabyte of input
+	MinRemoteGainPerMB   float64 // advantage that another region needs per billed megabyte of input
 	RegionSubsetSize     int     // servers of a pool used in other failure domains of this region
 	RemoteSubsetSize     int     // servers of a pool used in each other region
 	LoadReportsPerSecond int     // reports polled from servers in other failure domains
@@ -31,7 +31,7 @@
 func defaultPolicyOptions() PolicyOptions {
 	a, p := admission.DefaultOptions(), pick.DefaultOptions("", "", "")
 	return PolicyOptions{
-		TargetLoad: a.TargetLoad, BackgroundMaxLoad: a.BackgroundMaxLoad, RemoteSpilloverLoad: p.RemoteSpilloverLoad, RemoteLoadPerMB: p.MinRemoteGainPerMB,
+		TargetLoad: a.TargetLoad, BackgroundMaxLoad: a.BackgroundMaxLoad, RemoteSpilloverLoad: p.RemoteSpilloverLoad, MinRemoteGainPerMB: p.MinRemoteGainPerMB,
 		RegionSubsetSize: p.RegionSubsetSize, RemoteSubsetSize: p.RemoteSubsetSize, LoadReportsPerSecond: 2,
 	}
 }
@@ -40,7 +40,7 @@
 	set.Float(&o.TargetLoad, "load-target", "load, in requests per slot, at which an overloaded pool is held", .5, 10)
 	set.Float(&o.BackgroundMaxLoad, "background-below", "load that every pool must be below for background requests to start", 0, 10)
 	set.Float(&o.RemoteSpilloverLoad, "remote-at", "load of this region from which other regions are tried", .5, 100)
-	set.Float(&o.RemoteLoadPerMB, "remote-per-mb", "load by which another region must be lower per billed megabyte of input", 0, 1000)
+	set.Float(&o.MinRemoteGainPerMB, "remote-per-mb", "load by which another region must be lower per billed megabyte of input", 0, 1000)
 	set.Int(&o.RegionSubsetSize, "subset-region", "servers of a pool used in other failure domains of this region", 1, 1000)
 	set.Int(&o.RemoteSubsetSize, "subset-remote", "servers of a pool used in each other region", 1, 1000)
 	set.Int(&o.LoadReportsPerSecond, "load-reports", "load reports polled per second from servers in other failure domains", 1, 1000)
@@ -80,7 +80,7 @@
 // newPicker returns the picker for a pool of a new snapshot.
 func (h *Host) newPicker(_ table.Pool, servers []pick.Server) pick.Picker {
 	o := pick.DefaultOptions(h.opts.Name, h.opts.Domain, h.opts.Region)
-	o.RemoteSpilloverLoad, o.MinRemoteGainPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.RemoteLoadPerMB
+	o.RemoteSpilloverLoad, o.MinRemoteGainPerMB = h.opts.Policy.RemoteSpilloverLoad, h.opts.Policy.MinRemoteGainPerMB
 	o.RegionSubsetSize, o.RemoteSubsetSize = h.opts.Policy.RegionSubsetSize, h.opts.Policy.RemoteSubsetSize
 	return pick.NewLocalityPicker(o, servers)
 }
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -32,11 +32,11 @@
 // command is one command of the tool. Its name is one word, or a group and a
 // word, such as "quarantine list".
 type command struct {
-	name  string
-	help  string
-	arg   string // name of the positional argument; empty if there is none
-	flags func(*settings.Set)
-	run   func(ctx context.Context, env *Env, arg string) error
+	name          string
+	help          string
+	arg           string // name of the positional argument; empty if there is none
+	registerFlags func(*settings.Set)
+	run           func(ctx context.Context, env *Env, arg string) error
 }
 
 // commands returns new commands for each parse, because they hold the values of
@@ -160,9 +160,9 @@
 		if c.arg != "" {
 			b.subcommand.AddPositionalValue(&b.argument, c.arg, 1, false, c.arg)
 		}
-		if c.flags != nil {
+		if c.registerFlags != nil {
 			set := settings.New(b.subcommand, "BILBERRYCTL")
-			c.flags(set)
+			c.registerFlags(set)
 			sets = append(sets, set)
 		}
 		if !nested {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -24,14 +24,14 @@
 	Conflict string `json:"conflict,omitempty"`
 }
 
-type diffCommand struct{ from baseFlags }
+type diffCommand struct{ base baseFlags }
 
-func (c *diffCommand) flags(set *settings.Set) {
-	c.from.register(set)
+func (c *diffCommand) registerFlags(set *settings.Set) {
+	c.base.register(set)
 }
 
 func (c *diffCommand) run(ctx context.Context, env *Env, dir string) error {
-	e, err := env.readEdit(ctx, dir, c.from)
+	e, err := env.readEdit(ctx, dir, c.base)
 	if errors.Is(err, errNoBase) {
 		return fmt.Errorf("%s: %w; export into a folder and edit there, name the release with --base, or use --force-rebase to compare with the newest release", dir, err)
 	}
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -17,13 +17,13 @@
 	explain := &explainCommand{method: http.MethodPost}
 	return []*command{{
 		name: "explain", help: "show the route, stages, pools and backend servers that a request would get, and why",
-		arg: "path", flags: explain.flags, run: explain.run,
+		arg: "path", registerFlags: explain.registerFlags, run: explain.run,
 	}}
 }
 
 type explainCommand struct{ method, account, headers string }
 
-func (c *explainCommand) flags(set *settings.Set) {
+func (c *explainCommand) registerFlags(set *settings.Set) {
 	set.String(&c.method, "method", "method of the request", settings.Required)
 	set.String(&c.account, "account", "client account of the request", nil)
 	set.String(&c.headers, "headers", "headers of the request, Name:value separated by commas", nil)
--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -15,7 +15,7 @@
 // operator names the host, because only they can decide which content is right.
 type recoverCommand struct{ confirm bool }
 
-func (c *recoverCommand) flags(set *settings.Set) {
+func (c *recoverCommand) registerFlags(set *settings.Set) {
 	set.Bool(&c.confirm, "confirm", "accept the release; without it, the command only shows the release")
 }
 
--- a/internal/ctl/releases.go
+++ b/internal/ctl/releases.go
@@ -12,15 +12,15 @@
 func releaseCommands() []*command {
 	history, recovery := &historyCommand{count: 20}, &recoverCommand{}
 	return []*command{
-		{name: "history", help: "show the accepted releases, newest first", flags: history.flags, run: history.run},
+		{name: "history", help: "show the accepted releases, newest first", registerFlags: history.registerFlags, run: history.run},
 		{name: "rollback", help: "accept the content of an earlier release as the next release", arg: "release", run: rollback},
-		{name: "recover", help: "after a restore of the platform: accept the tables that an entry host has in force as the next release", arg: "host", flags: recovery.flags, run: recovery.run},
+		{name: "recover", help: "after a restore of the platform: accept the tables that an entry host has in force as the next release", arg: "host", registerFlags: recovery.registerFlags, run: recovery.run},
 	}
 }
 
 type historyCommand struct{ count int }
 
-func (c *historyCommand) flags(set *settings.Set) {
+func (c *historyCommand) registerFlags(set *settings.Set) {
 	set.Int(&c.count, "count", "number of releases to show", 1, 10000)
 }
 
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -54,9 +54,9 @@
 func hostCommands() []*command {
 	drain, status := &drainCommand{}, &statusCommand{}
 	return []*command{
-		{name: "status", help: "show the release that each entry host has in force; fails if they differ", flags: status.flags, run: status.run},
+		{name: "status", help: "show the release that each entry host has in force; fails if they differ", registerFlags: status.registerFlags, run: status.run},
 		{name: "peers", help: "show the state of all entry hosts as seen by each of them", run: listPeers},
-		{name: "drain", help: "take entry hosts out of service: they refuse new requests and finish those in flight", flags: drain.flags, run: drain.run},
+		{name: "drain", help: "take entry hosts out of service: they refuse new requests and finish those in flight", registerFlags: drain.registerFlags, run: drain.run},
 	}
 }
 
@@ -85,7 +85,7 @@
 
 type statusCommand struct{ wait time.Duration }
 
-func (c *statusCommand) flags(set *settings.Set) {
+func (c *statusCommand) registerFlags(set *settings.Set) {
 	set.Duration(&c.wait, "wait", "longest wait until all hosts have the same release in force", 0, 10*time.Minute)
 }
 
@@ -152,7 +152,7 @@
 
 type drainCommand struct{ all bool }
 
-func (c *drainCommand) flags(set *settings.Set) {
+func (c *drainCommand) registerFlags(set *settings.Set) {
 	set.Bool(&c.all, "all", "drain all entry hosts of --hosts, even if there are several")
 }
 
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -16,8 +16,8 @@
 	return []*command{
 		{name: "validate", help: "check the tables of a folder", arg: "folder", run: validate},
 		{name: "export", help: "write the tables of the newest release to a folder, for editing", arg: "folder", run: export},
-		{name: "diff", help: "show the changes that apply would make", arg: "folder", flags: diff.flags, run: diff.run},
-		{name: "apply", help: "accept the edited tables of a folder as the next release", arg: "folder", flags: apply.flags, run: apply.run},
+		{name: "diff", help: "show the changes that apply would make", arg: "folder", registerFlags: diff.registerFlags, run: diff.run},
+		{name: "apply", help: "accept the edited tables of a folder as the next release", arg: "folder", registerFlags: apply.registerFlags, run: apply.run},
 	}
 }
 
@@ -90,15 +90,15 @@
 	return nil
 }
 
-type applyCommand struct{ from baseFlags }
+type applyCommand struct{ base baseFlags }
 
-func (c *applyCommand) flags(set *settings.Set) {
-	c.from.register(set)
+func (c *applyCommand) registerFlags(set *settings.Set) {
+	c.base.register(set)
 }
 
 // run applies the edits of dir and updates its base.
 func (c *applyCommand) run(ctx context.Context, env *Env, dir string) error {
-	e, err := env.readEdit(ctx, dir, c.from)
+	e, err := env.readEdit(ctx, dir, c.base)
 	if errors.Is(err, errNoBase) {
 		return fmt.Errorf("%s: %w: the edited rows cannot be determined; export into a new folder and edit there, name the release with --base, or use --force-rebase to replace all rows", dir, err)
 	}
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -179,8 +179,9 @@
 	return float64(p.Slots*len(p.Servers)) / seconds
 }
 
-// equalShares returns a copy of the deployment with equal account weights.
-func (d *Deployment) equalShares() *Deployment {
+// withEqualAccountWeights returns a copy of the deployment with equal account
+// weights, for scenarios in which fair shares don't follow the accounts' demands.
+func (d *Deployment) withEqualAccountWeights() *Deployment {
 	out := *d
 	out.Accounts = slices.Clone(d.Accounts)
 	for i := range out.Accounts {
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -36,8 +36,8 @@
 		for _, s := range Scenarios(d) {
 			if j.Scenario == "" || j.Scenario == s.Name {
 				r := traceReplay{d: d, s: s}
-				if s.EqualShares {
-					r.d = d.equalShares()
+				if s.EqualAccountWeights {
+					r.d = d.withEqualAccountWeights()
 				}
 				replays = append(replays, r)
 			}
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -14,8 +14,8 @@
 	Duration   time.Duration // 0: traceLength
 	Bursts     []Burst
 	Faults     []Fault
-	// EqualShares gives every account the same weight, whatever its demand.
-	EqualShares bool
+	// EqualAccountWeights gives every account the same weight, whatever its demand.
+	EqualAccountWeights bool
 	// HostsPerRegion overrides the entry hosts of each region; 0: as the deployment.
 	HostsPerRegion int
 	// ReportInterval is the interval of the servers' load reports; 0: one second.
@@ -81,7 +81,7 @@
 		{Name: "pool-down", LoadFactor: .6, Faults: []Fault{{Kind: ServersDown, Pool: d.EnginePool, EveryNth: 1, From: faultFrom, Until: faultUntil}}},
 		{Name: "load-1x", LoadFactor: 1},
 		{Name: "load-1.5x", LoadFactor: 1.5},
-		{Name: "equal-1.5x", LoadFactor: 1.5, EqualShares: true},
+		{Name: "equal-1.5x", LoadFactor: 1.5, EqualAccountWeights: true},
 		{Name: "stale-1.5x", LoadFactor: 1.5, ReportInterval: 10 * time.Second},
 		{Name: "hosts-1.5x", LoadFactor: 1.5, HostsPerRegion: 12},
 		{Name: "load-2x", LoadFactor: 2},
