--- a/edge/edge.go
+++ b/edge/edge.go
@@ -75,7 +75,7 @@
 	platformMonitor   *apihealth.Monitor
 	configConfirmedAt atomic.Int64 // bootClock time in nanoseconds; 0: never confirmed
 	upstream          *upstream.Client
-	retryLimiter      *retrylimit.RetryLimiter
+	retryLimiter      *retrylimit.Limiter
 	batchers          *batchers
 	stages            *stages.Pool
 	gateway           *gateway.Gateway
--- a/internal/replay/policy.go
+++ b/internal/replay/policy.go
@@ -94,10 +94,10 @@
 
 // useRetryBudgets gives the host a retry budget for each pool.
 func (hp *HostPolicy) useRetryBudgets() {
-	budgets := map[string]*retrybudget.RetryBudget{}
-	budgetOf := func(pool string) *retrybudget.RetryBudget {
+	budgets := map[string]*retrybudget.Budget{}
+	budgetOf := func(pool string) *retrybudget.Budget {
 		if budgets[pool] == nil {
-			budgets[pool] = retrybudget.NewRetryBudget(retrybudget.DefaultRetryBudget())
+			budgets[pool] = retrybudget.New(retrybudget.DefaultOptions())
 		}
 		return budgets[pool]
 	}
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -221,13 +221,13 @@
 type Directory struct {
 	view           atomic.Pointer[View]
 	mu             sync.Mutex // held by writers
-	states         map[string]*LocalState
+	statesByID     map[string]*LocalState
 	evacuationEnds map[string]time.Time // end of the last evacuation, by failure domain
 }
 
 // New returns an empty directory.
 func New() *Directory {
-	d := &Directory{states: map[string]*LocalState{}, evacuationEnds: map[string]time.Time{}}
+	d := &Directory{statesByID: map[string]*LocalState{}, evacuationEnds: map[string]time.Time{}}
 	d.view.Store(&View{})
 	return d
 }
@@ -245,7 +245,7 @@
 	states := make(map[string]*LocalState, len(entries))
 	for i := range entries {
 		e := &entries[i]
-		state, before := d.states[e.ID], old.byID[e.ID]
+		state, before := d.statesByID[e.ID], old.byID[e.ID]
 		if state == nil || before != nil && (before.StartedUnixMS != e.StartedUnixMS || before.Address != e.Address) {
 			state, before = &LocalState{}, nil
 		}
@@ -254,12 +254,12 @@
 		}
 		states[e.ID] = state
 	}
-	for id, s := range d.states {
+	for id, s := range d.statesByID {
 		if states[id] != s {
 			s.delisted.Store(true)
 		}
 	}
-	d.states = states
+	d.statesByID = states
 	d.publish(entries, old.evacuated)
 }
 
@@ -298,7 +298,7 @@
 func (d *Directory) publish(entries []Entry, evacuated map[string]bool) {
 	v := &View{byService: map[string][]*Server{}, byID: make(map[string]*Server, len(entries)), evacuated: evacuated}
 	for _, e := range entries {
-		s := &Server{Entry: e, LocalState: d.states[e.ID], Evacuated: evacuated[e.Domain], EvacuationEndedAt: d.evacuationEnds[e.Domain]}
+		s := &Server{Entry: e, LocalState: d.statesByID[e.ID], Evacuated: evacuated[e.Domain], EvacuationEndedAt: d.evacuationEnds[e.Domain]}
 		v.byID[e.ID] = s
 		if s.AcceptsWork() {
 			v.byService[e.Service] = append(v.byService[e.Service], s)
--- a/process/logging/logging.go
+++ b/process/logging/logging.go
@@ -95,19 +95,19 @@
 // Limiter limits the log lines of one kind per second and counts the suppressed ones.
 // Ordinary lines and failures have separate limiters, so that neither suppresses the other.
 type Limiter struct {
-	PerSecond  int64 // number of lines allowed per second
-	second     atomic.Int64
-	count      atomic.Int64
-	suppressed atomic.Int64
+	PerSecond     int64 // number of lines allowed per second
+	currentSecond atomic.Int64
+	countInSecond atomic.Int64
+	suppressed    atomic.Int64
 }
 
 // Allow reports whether a line may be logged at the given time.
 func (l *Limiter) Allow(now time.Time) bool {
 	s := now.Unix()
-	if old := l.second.Load(); old != s && l.second.CompareAndSwap(old, s) {
-		l.count.Store(0)
+	if old := l.currentSecond.Load(); old != s && l.currentSecond.CompareAndSwap(old, s) {
+		l.countInSecond.Store(0)
 	}
-	if l.count.Add(1) <= l.PerSecond {
+	if l.countInSecond.Add(1) <= l.PerSecond {
 		return true
 	}
 	l.suppressed.Add(1)
--- a/process/retrybudget/retry.go
+++ b/process/retrybudget/retrybudget.go
@@ -6,13 +6,13 @@
 import "sync/atomic"
 
 // RetryBudgetOptions configure a RetryBudget.
-type RetryBudgetOptions struct {
+type Options struct {
 	Ratio float64 // retries earned by each first attempt
 	Burst float64 // maximum number of unused retries
 }
 
 // DefaultRetryBudget allows one retry per ten first attempts and a burst of ten retries.
-func DefaultRetryBudget() RetryBudgetOptions { return RetryBudgetOptions{Ratio: .1, Burst: 10} }
+func DefaultOptions() Options { return Options{Ratio: .1, Burst: 10} }
 
 // unitsPerAttempt is the scale of RetryBudget, which counts in thousandths of an attempt to
 // use integers.
@@ -20,21 +20,21 @@
 
 // RetryBudget limits the retries and hedged attempts at one pool. It is safe for concurrent
 // use and takes no lock.
-type RetryBudget struct {
+type Budget struct {
 	earnedUnits, burstUnits int64
 	availableUnits          atomic.Int64
 	denied                  atomic.Int64
 }
 
 // NewRetryBudget returns a budget with all retries of the burst available.
-func NewRetryBudget(o RetryBudgetOptions) *RetryBudget {
-	b := &RetryBudget{earnedUnits: int64(o.Ratio * unitsPerAttempt), burstUnits: int64(o.Burst * unitsPerAttempt)}
+func New(o Options) *Budget {
+	b := &Budget{earnedUnits: int64(o.Ratio * unitsPerAttempt), burstUnits: int64(o.Burst * unitsPerAttempt)}
 	b.availableUnits.Store(b.burstUnits)
 	return b
 }
 
 // RecordFirstAttempt records a first attempt, which earns a fraction of a retry.
-func (b *RetryBudget) RecordFirstAttempt() {
+func (b *Budget) RecordFirstAttempt() {
 	for {
 		old := b.availableUnits.Load()
 		if old >= b.burstUnits || b.availableUnits.CompareAndSwap(old, min(b.burstUnits, old+b.earnedUnits)) {
@@ -44,7 +44,7 @@
 }
 
 // Allow takes one retry from the budget. It returns false if none is available.
-func (b *RetryBudget) Allow() bool {
+func (b *Budget) Allow() bool {
 	for {
 		old := b.availableUnits.Load()
 		if old < unitsPerAttempt {
@@ -58,7 +58,7 @@
 }
 
 // Available returns the number of retries that are currently available, with fractions.
-func (b *RetryBudget) Available() float64 { return float64(b.availableUnits.Load()) / unitsPerAttempt }
+func (b *Budget) Available() float64 { return float64(b.availableUnits.Load()) / unitsPerAttempt }
 
 // Denied returns the number of retries that Allow has refused.
-func (b *RetryBudget) Denied() int64 { return b.denied.Load() }
+func (b *Budget) Denied() int64 { return b.denied.Load() }
--- a/process/retrybudget/retry_test.go
+++ b/process/retrybudget/retrybudget_test.go
@@ -10,7 +10,7 @@
 // handle it least.
 func TestRetriesAreBoundedByFirstAttempts(t *testing.T) {
 	g := NewWithT(t)
-	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
+	b := New(Options{Ratio: .1, Burst: 5})
 	allowed := 0
 	for range 1000 {
 		b.RecordFirstAttempt()
@@ -27,7 +27,7 @@
 
 func TestUnusedRetriesAreBoundedByBurst(t *testing.T) {
 	g := NewWithT(t)
-	b := NewRetryBudget(RetryBudgetOptions{Ratio: .1, Burst: 5})
+	b := New(Options{Ratio: .1, Burst: 5})
 	for range 10_000 {
 		b.RecordFirstAttempt()
 	}
--- a/process/retrylimit/retrylimit.go
+++ b/process/retrylimit/retrylimit.go
@@ -21,15 +21,15 @@
 
 // RetryLimiter is this entry host's share of the retry budgets of all services. It is safe
 // for concurrent use.
-type RetryLimiter struct {
+type Limiter struct {
 	opts      Options
 	mu        sync.Mutex
 	byService map[string]*slidingWindow
 }
 
 // New returns a limiter without recorded requests.
-func New(opts Options) *RetryLimiter {
-	return &RetryLimiter{opts: opts, byService: map[string]*slidingWindow{}}
+func New(opts Options) *Limiter {
+	return &Limiter{opts: opts, byService: map[string]*slidingWindow{}}
 }
 
 // windowSlots is the number of slots of a window. Counts cover one more slot, so that the
@@ -38,9 +38,9 @@
 
 // slidingWindow counts requests and retries by slot.
 type slidingWindow struct {
-	current  int64 // number of the newest slot
-	requests [windowSlots + 1]float64
-	retries  [windowSlots + 1]float64
+	currentSlot int64 // number of the newest slot
+	requests    [windowSlots + 1]float64
+	retries     [windowSlots + 1]float64
 }
 
 // usableShare is the fraction of the budget that is used. The remainder allows for the time
@@ -48,15 +48,15 @@
 const usableShare = 0.7
 
 // RecordRequest records a request to a service, not counting retries.
-func (s *RetryLimiter) RecordRequest(service string) {
+func (s *Limiter) RecordRequest(service string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	w := s.windowOf(service)
-	w.requests[w.current%(windowSlots+1)]++
+	w.requests[w.currentSlot%(windowSlots+1)]++
 }
 
 // AllowRetry takes one retry from the service's budget. It returns false if none is left.
-func (s *RetryLimiter) AllowRetry(service string) bool {
+func (s *Limiter) AllowRetry(service string) bool {
 	hosts := max(s.opts.Hosts(), 1)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,22 +69,22 @@
 	if retries+1 > usableShare*(s.opts.Ratio*requests+s.opts.Slack/float64(hosts)) {
 		return false
 	}
-	w.retries[w.current%(windowSlots+1)]++
+	w.retries[w.currentSlot%(windowSlots+1)]++
 	return true
 }
 
 // windowOf returns the window of a service, advanced to the current time. s.mu must be held.
-func (s *RetryLimiter) windowOf(service string) *slidingWindow {
+func (s *Limiter) windowOf(service string) *slidingWindow {
 	now := s.opts.Clock.Now().UnixNano() / int64(s.opts.Window/windowSlots)
 	w := s.byService[service]
 	if w == nil {
-		w = &slidingWindow{current: now}
+		w = &slidingWindow{currentSlot: now}
 		s.byService[service] = w
 	}
-	for n := 0; w.current < now && n <= windowSlots; n++ {
-		w.current++
-		w.requests[w.current%(windowSlots+1)], w.retries[w.current%(windowSlots+1)] = 0, 0
+	for n := 0; w.currentSlot < now && n <= windowSlots; n++ {
+		w.currentSlot++
+		w.requests[w.currentSlot%(windowSlots+1)], w.retries[w.currentSlot%(windowSlots+1)] = 0, 0
 	}
-	w.current = max(w.current, now)
+	w.currentSlot = max(w.currentSlot, now)
 	return w
 }
--- a/process/retrylimit/retrylimit_test.go
+++ b/process/retrylimit/retrylimit_test.go
@@ -15,7 +15,7 @@
 	g := NewWithT(t)
 	const hosts, ratio, slack = 9, 0.2, 52.0
 	now := clock.NewManual(time.Unix(1000, 0))
-	var limiters []*RetryLimiter
+	var limiters []*Limiter
 	for range hosts {
 		limiters = append(limiters, New(Options{Ratio: ratio, Window: 10 * time.Second, Slack: slack, Hosts: func() int { return hosts }, Clock: now}))
 	}
--- a/process/stages/expectedwait.go
+++ b/process/stages/expectedwait.go
@@ -28,7 +28,7 @@
 // ExpectedWait returns the expected wait for admission of stage work for a failure domain; 0 if
 // nothing is known. It takes no lock because each request calls it for several domains.
 func (p *Pool) ExpectedWait(domain string) time.Duration {
-	reported := (*p.reportedWaits.Load())[p.region(domain)]
+	reported := (*p.reportedWaits.Load())[p.regionOfDomain(domain)]
 	if reported.wait <= 0 {
 		return 0
 	}
--- a/process/stages/inputs.go
+++ b/process/stages/inputs.go
@@ -40,7 +40,7 @@
 	w.inputsFetched[stage] = true
 	var used []Input
 	for _, a := range scarce {
-		if w.canRetry() && !w.ended && w.allSuccessors(a, func(i int) bool { return w.remaining[i] == 0 || w.inputsFetched[i] }) {
+		if w.canRetry() && !w.ended && w.allSuccessors(a, func(i int) bool { return w.openItems[i] == 0 || w.inputsFetched[i] }) {
 			used = append(used, w.takeResults(a)...)
 		}
 	}
@@ -69,7 +69,7 @@
 	w.mu.Lock()
 	var used []Input
 	for _, a := range w.request.Stages[stage].DependsOn {
-		if w.ended && w.err != nil || !w.allSuccessors(a, func(i int) bool { return w.remaining[i] == 0 }) {
+		if w.ended && w.err != nil || !w.allSuccessors(a, func(i int) bool { return w.openItems[i] == 0 }) {
 			continue
 		}
 		used = append(used, w.takeResults(a)...)
--- a/process/stages/leave.go
+++ b/process/stages/leave.go
@@ -20,7 +20,7 @@
 
 func (p *Pool) serveLeave(_ context.Context, from peer.Identity, _ []byte) ([]byte, error) {
 	p.mu.Lock()
-	p.leftIncarnations[from.Host] = from.Incarnation
+	p.leavingIncarnations[from.Host] = from.Incarnation
 	p.mu.Unlock()
 	return peer.Marshal(nil)
 }
@@ -29,15 +29,15 @@
 func (p *Pool) HasLeft(id peer.Identity) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.leftIncarnations[id.Host] == id.Incarnation
+	return p.leavingIncarnations[id.Host] == id.Incarnation
 }
 
 // markLeft records that the current incarnation of a host is shutting down.
-func (p *Pool) markLeft(host string) {
+func (p *Pool) markLeaving(host string) {
 	for _, id := range p.link.Peers() {
 		if id.Host == host {
 			p.mu.Lock()
-			p.leftIncarnations[host] = id.Incarnation
+			p.leavingIncarnations[host] = id.Incarnation
 			p.mu.Unlock()
 		}
 	}
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -88,7 +88,7 @@
 	self, now := p.link.Self(), p.clock.Now()
 	best, found := self, !p.leaving
 	for _, id := range peers {
-		if !allowed.Allows(id.Region) || p.leftIncarnations[id.Host] == id.Incarnation || !now.After(p.suspects[id.Host].until) {
+		if !allowed.Allows(id.Region) || p.leavingIncarnations[id.Host] == id.Incarnation || !now.After(p.suspects[id.Host].until) {
 			continue
 		}
 		if !found || ownerBefore(region, id, best) {
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -23,14 +23,14 @@
 	log         PoolLog
 	// region returns the region whose hosts run the stage work of requests in a
 	// failure domain; empty: any host may.
-	region func(domain string) string
+	regionOfDomain func(domain string) string
 
 	reportedWaits atomic.Pointer[map[string]reportedWait] // by region; copied on change
 
 	mu                    sync.Mutex
 	suspects              map[string]suspect
 	confirmedIncarnations map[string]uint64       // by host; incarnations that have responded
-	leftIncarnations      map[string]uint64       // by host; incarnations that are shutting down
+	leavingIncarnations   map[string]uint64       // by host; incarnations that are shutting down
 	remoteWork            map[workKey]*remoteWork // work for other hosts
 	leaving               bool                    // this host is shutting down
 	peersKnown            chan struct{}           // closed once the other hosts are known
@@ -57,8 +57,8 @@
 // NewPool returns a pool and registers its handlers with the link.
 func NewPool(link Link, c clock.Clock, local *Coordinator, region func(domain string) string, log PoolLog) *Pool {
 	p := &Pool{
-		link: link, clock: c, coordinator: local, region: region, log: log,
-		suspects: map[string]suspect{}, confirmedIncarnations: map[string]uint64{}, leftIncarnations: map[string]uint64{}, remoteWork: map[workKey]*remoteWork{}, loggedOwners: map[string]string{}, peersKnown: make(chan struct{}),
+		link: link, clock: c, coordinator: local, regionOfDomain: region, log: log,
+		suspects: map[string]suspect{}, confirmedIncarnations: map[string]uint64{}, leavingIncarnations: map[string]uint64{}, remoteWork: map[workKey]*remoteWork{}, loggedOwners: map[string]string{}, peersKnown: make(chan struct{}),
 	}
 	p.reportedWaits.Store(&map[string]reportedWait{})
 	link.Handle(methodRun, p.serveRun)
@@ -77,7 +77,7 @@
 	if err := p.waitForPeers(ctx); err != nil {
 		return Results{}, err
 	}
-	region := p.region(r.RunDomain)
+	region := p.regionOfDomain(r.RunDomain)
 	for range maxOwnerAttempts {
 		owner := p.findOwner(ctx, region, r.AllowedRegions)
 		if owner == "" {
@@ -98,7 +98,7 @@
 		case "":
 			return Results{Inputs: response.Inputs, Owner: owner, TargetID: response.TargetID, FetchFrom: response.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
 		case reasonMoved:
-			p.markLeft(owner) // the response arrived before the shutdown notice
+			p.markLeaving(owner) // the response arrived before the shutdown notice
 		default:
 			return Results{}, &Error{Stage: response.Stage, Reason: response.Reason, RetryAfter: time.Duration(response.RetryAfterMS) * time.Millisecond}
 		}
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -266,7 +266,7 @@
 	}, "10s").Should(Equal(2))
 	first.pool.Leave()
 	third.pool.mu.Lock()
-	third.pool.leftIncarnations = map[string]uint64{}
+	third.pool.leavingIncarnations = map[string]uint64{}
 	third.pool.mu.Unlock()
 	_, err := third.run("new")
 	g.Expect(err).NotTo(HaveOccurred())
--- a/process/stages/prefixes.go
+++ b/process/stages/prefixes.go
@@ -28,7 +28,7 @@
 // own requests: without the notice, a prefix that a busy home server did not prefill would
 // be prefilled there once more for each other region.
 func (p *Pool) queuePrefixNotice(notice cachedPrefix) {
-	if p.region(p.link.Self().Domain) == "" {
+	if p.regionOfDomain(p.link.Self().Domain) == "" {
 		return // a single host owns all requests
 	}
 	p.mu.Lock()
--- a/process/stages/regions_test.go
+++ b/process/stages/regions_test.go
@@ -23,7 +23,7 @@
 	home := x.add(t, peer.Identity{Host: "home", Region: "r2", Domain: "r2", Cores: 0.2, Incarnation: 2})
 	strong := x.add(t, peer.Identity{Host: "strong", Region: "r3", Domain: "r3", Cores: 1, Incarnation: 1})
 	for _, n := range x.hosts {
-		n.pool.region = func(string) string { return "" }
+		n.pool.regionOfDomain = func(string) string { return "" }
 		n.pool.MarkPeersKnown()
 	}
 	restricted := func(id string) *Request {
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -21,7 +21,7 @@
 	// mu guards the fields below, inputs and err.
 	mu            sync.Mutex
 	results       [][]batcher.Result
-	remaining     []int  // items of each stage without outcome; -1: not started
+	openItems     []int  // items of each stage without outcome; -1: not started
 	inputsFetched []bool // by stage; its servers have fetched all inputs
 	stageStarts   []time.Time
 	stageTimes    []time.Duration // by stage; from its start to its last result
@@ -31,8 +31,8 @@
 
 func (w *requestWork) startStages() {
 	w.mu.Lock()
-	for i := range w.remaining {
-		w.remaining[i] = -1
+	for i := range w.openItems {
+		w.openItems[i] = -1
 	}
 	ready := w.takeReadyStages()
 	w.mu.Unlock()
@@ -46,10 +46,10 @@
 	for again := true; again; {
 		again = false
 		for i, s := range w.request.Stages {
-			if w.remaining[i] != -1 || !w.allComplete(s.DependsOn) {
+			if w.openItems[i] != -1 || !w.allComplete(s.DependsOn) {
 				continue
 			}
-			w.remaining[i] = s.Items
+			w.openItems[i] = s.Items
 			w.stageStarts[i] = w.coordinator.clock.Now()
 			w.results[i] = make([]batcher.Result, s.Items)
 			if s.Items == 0 {
@@ -67,7 +67,7 @@
 // allComplete reports whether all of some stages are complete. The caller holds w.mu.
 func (w *requestWork) allComplete(stages []int) bool {
 	for _, i := range stages {
-		if w.remaining[i] != 0 {
+		if w.openItems[i] != 0 {
 			return false
 		}
 	}
@@ -105,7 +105,7 @@
 			items[piece].Key = w.request.InputKey
 		}
 	}
-	remaining := w.remainingTime(i)
+	remaining := w.minTimeAfter(i)
 	domain, remoteBytes := w.preferredDomain(i)
 	job := &batcher.Job{
 		Items: items, Domain: domain, RemoteBytes: remoteBytes, AllowedRegions: w.request.AllowedRegions, ResultBytes: s.ResultBytes,
@@ -149,7 +149,7 @@
 }
 
 // remainingTime returns the minimum duration of the stages that follow a stage.
-func (w *requestWork) remainingTime(i int) time.Duration {
+func (w *requestWork) minTimeAfter(i int) time.Duration {
 	var longest time.Duration
 	for j := i + 1; j < len(w.request.Stages); j++ {
 		s := &w.request.Stages[j]
@@ -157,7 +157,7 @@
 			if a != i {
 				continue
 			}
-			d := w.remainingTime(j)
+			d := w.minTimeAfter(j)
 			if svc, ok := w.coordinator.service(s.Service); ok && s.Items > 0 {
 				d += svc.CallTime
 			}
@@ -181,8 +181,8 @@
 		return
 	}
 	w.results[stage][piece] = r
-	w.remaining[stage]--
-	if w.remaining[stage] > 0 {
+	w.openItems[stage]--
+	if w.openItems[stage] > 0 {
 		return
 	}
 	w.doneStages++
@@ -233,7 +233,7 @@
 	}
 	var unfinished []Stage
 	for i, s := range w.request.Stages {
-		if w.remaining[i] != 0 {
+		if w.openItems[i] != 0 {
 			unfinished = append(unfinished, s)
 		}
 	}
--- a/request/pipeline/options.go
+++ b/request/pipeline/options.go
@@ -25,7 +25,7 @@
 
 // DefaultOptions returns the default options.
 func DefaultOptions() Options {
-	budget := retrybudget.DefaultRetryBudget()
+	budget := retrybudget.DefaultOptions()
 	return Options{
 		MaxAttempts: 3, RetryRatio: budget.Ratio, RetryBurst: budget.Burst, MinStallTimeout: 100 * time.Millisecond,
 		InitialIdleTimeout: time.Second, ProbeTimeout: 300 * time.Millisecond, LateResultTimeout: 10 * time.Second,
--- a/request/pipeline/pool_state.go
+++ b/request/pipeline/pool_state.go
@@ -14,7 +14,7 @@
 
 // poolState is the retry budget and the measured delays of a pool.
 type poolState struct {
-	retryBudget    *retrybudget.RetryBudget // shared by all requests
+	retryBudget    *retrybudget.Budget // shared by all requests
 	firstByteDelay delayEstimator
 	chunkInterval  delayEstimator // between chunks of a streamed response
 }
@@ -24,7 +24,7 @@
 	if p, ok := r.pools.byName.Load(st.Pool.Name); ok {
 		return p.(*poolState)
 	}
-	created := &poolState{retryBudget: retrybudget.NewRetryBudget(retrybudget.RetryBudgetOptions{Ratio: r.Options.RetryRatio, Burst: r.Options.RetryBurst})}
+	created := &poolState{retryBudget: retrybudget.New(retrybudget.Options{Ratio: r.Options.RetryRatio, Burst: r.Options.RetryBurst})}
 	p, _ := r.pools.byName.LoadOrStore(st.Pool.Name, created)
 	return p.(*poolState)
 }
