--- a/process/admission/accounts.go
+++ b/process/admission/accounts.go
@@ -15,7 +15,7 @@
 // set share the overflow entry.
 type accountTable struct {
 	sets     [accountSets][accountWays]accountEntry
-	overflow accountEntry
+	overflow accountEntry    // shared by the accounts without an entry of their own
 	demands  []accountDemand // scratch buffer of updateFractions
 }
 
@@ -25,7 +25,7 @@
 
 const (
 	accountSets = 4096 // 12,000 accounts fill 3 entries of a set on average
-	accountWays = 8
+	accountWays = 8    // entries of a set
 )
 
 // accountEntry is the entry of one client account.
@@ -37,13 +37,14 @@
 	// correction is added to admittedFraction. It integrates the difference
 	// between the fair share and what was admitted.
 	correction estimate.AtomicFloat64
-	weight     estimate.AtomicFloat64
+	weight     estimate.AtomicFloat64 // fair-share weight; see Profile.AccountWeights
 }
 
 // accountHash returns the id of an account; it is never 0, the id of a free
 // entry.
 func accountHash(name string) uint64 { return max(1, xxhash.Sum64String(name)) }
 
+// newAccountTable returns a table without accounts.
 func newAccountTable() *accountTable {
 	a := &accountTable{}
 	a.overflow.admittedFraction.Store(1)
@@ -88,17 +89,17 @@
 }
 
 const (
-	minDemandSeconds = 1e-4 // an entry with less recent demand is freed
+	minDemandSeconds = 1e-4 // an entry with less recent demand, in slot seconds, is freed
 	correctionGain   = .1   // part of the relative error added at each update
-	maxCorrection    = .3
+	maxCorrection    = .3   // bound of the correction in both directions
 )
 
-// updateFractions divides the admitted part of the demand among the accounts by
-// weighted max-min fairness: an account that requests less than its share is
-// admitted in full, and the rest of its share goes to the others. dt is the
-// time since the last update in seconds. Fair shares are compared with what
-// was admitted over the time constant of the demand, so that an account whose
-// requests have a low worth is not starved.
+// updateFractions divides admittedPart, a fraction in [0,1] of the total demand,
+// among the accounts by weighted max-min fairness: an account that requests less
+// than its share is admitted in full, and the rest of its share goes to the
+// others. dt is the time since the last update in seconds. Fair shares are
+// compared with what was admitted over the time constant of the demand, so that
+// an account whose requests have a low worth is not starved.
 func (a *accountTable) updateFractions(admittedPart, dt float64) {
 	var total float64
 	a.demands = a.demands[:0]
@@ -132,7 +133,7 @@
 }
 
 // updateFraction sets the admitted fraction of an account from its fair share,
-// given the fair-share level.
+// given the fair-share level (see fairShareLevel).
 func (x *accountEntry) updateFraction(level float64) {
 	demand := x.demand.Load()
 	share := level * x.weight.Load()
@@ -174,6 +175,6 @@
 
 // Limits of the iteration in fairShareLevel.
 const (
-	maxFillRounds = 20
+	maxFillRounds = 20   // iterations
 	fillPrecision = 1e-3 // relative increase below which the level is final
 )
--- a/process/admission/admission.go
+++ b/process/admission/admission.go
@@ -13,11 +13,11 @@
 // Profile describes a route for admission. It is compiled once for each
 // release, shared by all requests of the route and must not change afterwards.
 type Profile struct {
-	Route string
+	Route string // name of the route
 	Class Class
 	// Worth is the weight of one completed request of the route.
 	Worth  float64
-	Stages []Stage
+	Stages []Stage // in the order in which they run
 	// AccountWeights are the fair-share weights by client account; an account
 	// without a positive entry has weight 1.
 	AccountWeights map[string]float64
@@ -43,7 +43,7 @@
 
 // Stage describes one stage of a Profile.
 type Stage struct {
-	Pool   string
+	Pool   string        // name of the pool that runs the stage
 	Budget time.Duration // the longest time the stage is expected to take
 	Cost   float64       // of one execution, in the unit of the routes table
 	Slots  int           // requests that the pool runs at once
@@ -65,7 +65,7 @@
 	// time from the first byte of the response to its end; 0 if unknown.
 	StreamDuration time.Duration
 
-	startedStages int
+	startedStages int // stages for which StageStart was called
 }
 
 // Outcome is the result of an admitted request.
@@ -75,7 +75,7 @@
 const (
 	Completed Outcome = iota // complete response within the deadline
 	Late                     // complete response after the deadline
-	Failed
+	Failed                   // no complete response
 )
 
 // Admitter makes one admission decision for each request and observes the
@@ -87,9 +87,11 @@
 	// exactly once.
 	Admit(now time.Time, r *Request) *errkind.Error
 	// StageStart and StageDone are called before and after each stage of an
-	// admitted request; ok is false if the stage failed.
+	// admitted request. stage is the index in Profile.Stages, took the duration
+	// of the stage; ok is false if the stage failed.
 	StageStart(now time.Time, r *Request, stage int)
 	StageDone(now time.Time, r *Request, stage int, took time.Duration, ok bool)
+	// Done ends an admitted request, also if some of its stages never started.
 	Done(now time.Time, r *Request, o Outcome)
 }
 
--- a/process/admission/controller.go
+++ b/process/admission/controller.go
@@ -10,7 +10,8 @@
 	"bilberrydale/process/estimate"
 )
 
-// Options configure a Controller. Loads are in requests per slot.
+// Options configure a Controller. Zero fields get no defaults; see
+// DefaultOptions. Loads are in requests per slot.
 type Options struct {
 	// TargetLoad is the load at which an overloaded pool is held: a little over
 	// 1 keeps every slot busy with a short queue.
@@ -50,10 +51,10 @@
 type Controller struct {
 	opts      Options
 	rand      clock.Rand
-	pools     sync.Map // name -> *pool
-	routes    sync.Map // *Profile -> *routeState
-	estimates sync.Map // stageKey -> *stageEstimates
-	refusals  [len(reasons)]atomic.Int64
+	pools     sync.Map                   // name -> *pool
+	routes    sync.Map                   // *Profile -> *routeState
+	estimates sync.Map                   // stageKey -> *stageEstimates
+	refusals  [len(reasons)]atomic.Int64 // refused requests by index in reasons
 
 	mu       sync.Mutex // guards poolList; not taken by a request whose pools are in pools
 	poolList []*pool    // in the order in which they were added
@@ -69,15 +70,16 @@
 // the stage came with.
 type stageKey struct {
 	route, pool string
-	index       int
+	index       int // of the stage in Profile.Stages
 }
 
 // routeState joins a Profile with the state of its pools.
 type routeState struct {
-	stages   []stageState
+	stages   []stageState // in the order of Profile.Stages
 	lastUsed atomic.Int64 // unix nanoseconds; states of old releases expire by it
 }
 
+// stageState joins a stage of a route with the state of its pool.
 type stageState struct {
 	pool *pool
 	*stageEstimates
@@ -153,13 +155,15 @@
 	return nil
 }
 
-// StageStart implements Admitter.
+// StageStart implements Admitter: the request no longer counts as pending in the
+// stage's pool.
 func (c *Controller) StageStart(now time.Time, r *Request, stage int) {
 	c.route(r.Profile, now).stages[stage].pool.pending.Add(-1)
 	r.startedStages = stage + 1
 }
 
-// StageDone implements Admitter.
+// StageDone implements Admitter: it updates the estimates of the stage, unless
+// the stage failed.
 func (c *Controller) StageDone(now time.Time, r *Request, stage int, took time.Duration, ok bool) {
 	if !ok {
 		return
@@ -174,7 +178,8 @@
 	}
 }
 
-// Done implements Admitter.
+// Done implements Admitter: the request no longer counts as pending in the pools
+// of the stages that it did not start. The outcome is not used.
 func (c *Controller) Done(now time.Time, r *Request, _ Outcome) {
 	rs := c.route(r.Profile, now)
 	for i := r.startedStages; i < len(rs.stages); i++ {
--- a/process/admission/decide.go
+++ b/process/admission/decide.go
@@ -21,8 +21,11 @@
 	NotIdle      Reason = "not idle enough" // a pool has no free capacity for background work
 )
 
+// reasons lists every Reason; Controller.refusals and pool.refusalDetails are
+// indexed by it.
 var reasons = [...]Reason{Admitted, PoolDown, CannotFinish, LowerWorth, OverShare, NotIdle}
 
+// index returns the index of r in reasons, or 0 if r is not listed.
 func (r Reason) index() int {
 	for i, x := range reasons {
 		if x == r {
@@ -52,8 +55,8 @@
 	// requests both are loads in requests per slot.
 	Position   float64       `json:"position"`
 	Threshold  float64       `json:"threshold"`
-	RetryAfter time.Duration `json:"retry_after,omitempty"`
-	detail     string
+	RetryAfter time.Duration `json:"retry_after,omitempty"` // of a refusal
+	detail     string        // of the refusal's error
 }
 
 // refuse turns d into a refusal caused by pool p.
@@ -128,12 +131,12 @@
 
 // Limits for the use of an estimate.
 const (
-	minSamples     = 8
+	minSamples     = 8               // fewer samples give no estimate
 	maxEstimateAge = 3 * time.Second // since the last sample
 )
 
-// checkBackground refuses a background request if a pool of its route has no
-// free capacity.
+// checkBackground refuses a background request if a pool of its route has no free
+// capacity. It turns d into the refusal.
 func (c *Controller) checkBackground(now time.Time, rs *routeState, d *Decision) {
 	for i := range rs.stages {
 		p := rs.stages[i].pool
@@ -145,9 +148,9 @@
 	}
 }
 
-// checkWorth compares the position of the request in the order of worth with
-// the fraction of the demand that the pool of the stage can serve. It reports
-// whether the pool admits the request.
+// checkWorth compares the position of the request in the order of worth with the
+// fraction of the demand that the pool of the stage can serve. It reports whether
+// the pool admits the request, and turns d into a refusal if not.
 func (c *Controller) checkWorth(now time.Time, r *Request, s *stageState, d *Decision) bool {
 	p := s.pool
 	threshold := p.admittedFraction()
--- a/process/admission/explain.go
+++ b/process/admission/explain.go
@@ -10,13 +10,13 @@
 
 // PoolState is the state of a pool in admission control, for operators.
 type PoolState struct {
-	Pool             string  `json:"pool"`
+	Pool             string  `json:"pool"`    // name
 	Load             float64 `json:"load"`    // requests per slot, pending ones included
-	Slots            float64 `json:"slots"`   // of usable servers within reach of this host
-	AdmittedFraction float64 `json:"part"`    // of the demand
+	Slots            float64 `json:"slots"`   // see PoolLoad.Slots
+	AdmittedFraction float64 `json:"part"`    // fraction of the demand that is admitted at Load
 	BandStart        float64 `json:"base"`    // load above which AdmittedFraction falls below 1
 	Pending          int64   `json:"heading"` // requests admitted by this host that have not reached the pool
-	Down             bool    `json:"down"`
+	Down             bool    `json:"down"`    // routes that need the pool are refused; see Options.DownDelay
 }
 
 // PoolStates returns the state of every pool, in the order in which they were
--- a/process/admission/pool.go
+++ b/process/admission/pool.go
@@ -12,47 +12,51 @@
 // scale is logarithmic and level 0 is the highest.
 const (
 	worthLevels     = 128
-	levelsPerOctave = 8
+	levelsPerOctave = 8 // levels from one worth per second to twice that
 	topOctave       = 8 // log2 of the worth per second at level 0
 )
 
-// worthLevel returns the level of requests with that worth and service time.
+// worthLevel returns the level of requests with that worth and service time in
+// seconds.
 func worthLevel(worth, seconds float64) int {
 	level := levelsPerOctave * (topOctave - math.Log2(max(worth, 1e-9)/max(seconds, 1e-6)))
 	return int(min(worthLevels-1, max(0, math.Round(level))))
 }
 
-// pool is the state of one pool. Requests read it and add to its counters; Tick
-// writes the rest.
+// pool is the state of one pool. Requests read it, add to its counters and set
+// lastProbe; Tick writes the rest.
 type pool struct {
 	name             string
-	refusalDetails   [len(reasons)]string   // error details by reason, built once
+	refusalDetails   [len(reasons)]string   // error details by index in reasons, built once
 	bandStart        estimate.AtomicFloat64 // load at which the band starts
 	smoothedFraction estimate.AtomicFloat64 // admitted fraction of the demand, smoothed
 	load             estimate.AtomicFloat64 // requests per slot at the last tick, without pending
-	slots            estimate.AtomicFloat64 // of usable servers within reach
+	slots            estimate.AtomicFloat64 // see PoolLoad.Slots
 	demandTracked    atomic.Bool            // the load is high enough to record demand
-	down             atomic.Bool
-	pending          atomic.Int64 // admitted by this host, stage not yet started
-	probesDue        atomic.Int64 // servers that a probe would be sent to
-	lastProbe        atomic.Int64 // unix nanoseconds
-	downSince        atomic.Int64 // unix nanoseconds
-	fullSince        atomic.Int64 // unix nanoseconds since which background work is refused
+	down             atomic.Bool            // no usable server for DownDelay; see updateOutage
+	pending          atomic.Int64           // admitted by this host, stage not yet started
+	probesDue        atomic.Int64           // see PoolLoad.ProbesDue
+	lastProbe        atomic.Int64           // time of the last probe, or of the start of the outage, unix nanoseconds
+	downSince        atomic.Int64           // start of the current or last outage, unix nanoseconds
+	fullSince        atomic.Int64           // last tick with a load below BackgroundMaxLoad, unix nanoseconds
 
 	// Used by Tick alone up to fractionsUpdatedAt.
-	usable                 bool // there is a usable server
-	usableChangedAt        time.Time
-	reportedInFlightSum    float64 // in flight at the last reports, decaying integral over time
-	ownReportedInFlightSum float64 // of that, from this host
+	usable                 bool      // there is a usable server
+	usableChangedAt        time.Time // last change of usable
+	reportedInFlightSum    float64   // in flight at the last reports, decaying integral over time
+	ownReportedInFlightSum float64   // of that, from this host
 	lastTick               time.Time
-	fractionsUpdatedAt     time.Time
+	fractionsUpdatedAt     time.Time // last call of accountTable.updateFractions
 
+	// By worth level.
 	demand        [worthLevels]estimate.AtomicFloat64 // recent demand in slot seconds
 	demandAbove   [worthLevels]estimate.AtomicFloat64 // fraction of the demand at higher levels
 	demandAtLevel [worthLevels]estimate.AtomicFloat64 // fraction of the demand at this level
-	accounts      atomic.Pointer[accountTable]
+
+	accounts atomic.Pointer[accountTable] // nil until the load first exceeds demandTrackingLoad
 }
 
+// newPool returns a pool that admits all requests until the first tick.
 func newPool(name string) *pool {
 	p := &pool{name: name}
 	for i, r := range reasons {
@@ -90,7 +94,7 @@
 	return now.UnixNano()-last >= int64(interval) && p.lastProbe.CompareAndSwap(last, now.UnixNano())
 }
 
-// Bounds of expectedWait.
+// Bounds of expectedWait, which becomes the RetryAfter of refusals.
 const (
 	minWait = 2 * time.Second
 	maxWait = 30 * time.Second
--- a/process/admission/tick.go
+++ b/process/admission/tick.go
@@ -6,17 +6,24 @@
 	"time"
 )
 
-// PoolLoad is the load of a pool's servers within reach of an entry host.
+// PoolLoad is the load of the servers of a pool that an entry host may use. Its
+// counts are estimates and therefore not whole numbers.
 type PoolLoad struct {
-	Pool        string
-	Slots       float64 // of usable servers, and the spare slots of other regions
-	InFlight    float64 // requests running or queued on these servers
+	Pool string // name
+	// Slots counts the slots of usable servers, times their weights, in this
+	// host's region, and a part of the free slots in other regions. If the region
+	// has no usable server, it counts all slots of the other regions; 0 means
+	// that these have none either.
+	Slots       float64
+	InFlight    float64 // requests running or queued on the usable servers of that region or regions
 	OwnInFlight float64 // of those, sent by this host
 	// ReportedInFlight and OwnInFlightAtReport are InFlight and OwnInFlight at
 	// the time of the servers' last reports.
 	ReportedInFlight    float64
 	OwnInFlightAtReport float64
-	ProbesDue           int // servers that a request would probe now
+	// ProbesDue counts the servers that get no requests after failures and whose
+	// next trial request is due.
+	ProbesDue int
 }
 
 // Parameters of the control loop. Each request compares the current load with a
@@ -28,22 +35,22 @@
 const (
 	bandWidth             = 1.5
 	initialBandStart      = 1.1
-	minBandStart          = .3
+	minBandStart          = .3 // lowest start of the band
 	maxBandStart          = 1.8
-	bandGain              = .15 // movement per second, for each unit of load off the target
-	fractionSmoothingRate = 1.0 // of smoothedFraction, per second
-	loadTimeConstant      = 5 * time.Second
+	bandGain              = .15             // movement per second, for each unit of load off the target
+	fractionSmoothingRate = 1.0             // of smoothedFraction, per second
+	loadTimeConstant      = 5 * time.Second // of the reported in-flight sums in updateLoad
 	// minOwnInFlightSum, in request seconds, is the least own load from which
 	// this host's part of the pool's load is estimated.
 	minOwnInFlightSum = 1.0
 	// ownEstimateHalfWeight is the number of own requests in flight at which
 	// the estimate from them and the servers' reports have equal weight.
 	ownEstimateHalfWeight = 8.0
-	minAdmittedFraction   = .02
+	minAdmittedFraction   = .02              // least fraction of the demand to admit, of a pool or an account
 	demandTrackingLoad    = .6               // load above which demand is recorded
 	worthTimeConstant     = 10 * time.Second // of the demand by worth level, whose mix changes slowly
 	demandTimeConstant    = 3 * time.Second  // of the demand by client account
-	fractionInterval      = time.Second      // between updates of the accounts' fractions
+	fractionInterval      = time.Second      // between updates of the accounts' admitted fractions
 	idleExpiry            = 10 * time.Minute // of pools without a tick and routes without a request
 )
 
