--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -42,7 +42,7 @@
 
 // Response is a completed response cached for resends of the same key.
 type Response struct {
-	Status int
+	Status int // HTTP status
 	Header map[string]string
 	Body   []byte
 }
@@ -57,7 +57,8 @@
 	// Wait, if not nil and State is Running, is closed when the state of the
 	// attempt on this host changes; the caller then calls Begin again.
 	Wait <-chan struct{}
-	// RetryAfter is the delay after which a resend may get another result.
+	// RetryAfter is the delay after which a resend may get another result; 0 if
+	// none is suggested.
 	RetryAfter time.Duration
 }
 
@@ -91,15 +92,16 @@
 // Memory holds claims in the memory of this process only. It is the naive
 // baseline of the failure tests: two entry hosts that use it both run a key.
 type Memory struct {
-	mu      sync.Mutex
-	entries map[[2]string]*memoryEntry
+	mu      sync.Mutex                 // guards entries and what they point to
+	entries map[[2]string]*memoryEntry // by client account and key
 }
 
+// memoryEntry is the claim of one key.
 type memoryEntry struct {
-	body     uint64
+	body     uint64 // Key.Body of the first request
 	state    State
-	response *Response
-	done     chan struct{}
+	response *Response     // in state Done
+	done     chan struct{} // closed when the request ends or the key is released
 }
 
 // NewMemory returns an empty in-process claim table.
@@ -143,6 +145,7 @@
 // MintTicket implements Claims. Memory does not support tickets.
 func (m *Memory) MintTicket(context.Context, string) (string, error) { return "", nil }
 
+// finish records the end of a running request and wakes those that wait for it.
 func (m *Memory) finish(key Key, state State, response *Response) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/process/claim/commit.go
+++ b/process/claim/commit.go
@@ -39,7 +39,7 @@
 type verdict int
 
 const (
-	verdictGranted verdict = iota // the claim is owned by the requester, or was when it was released
+	verdictGranted verdict = iota // the claim is the requester's; for other actions than actionAdd: done, or nothing to do
 	verdictTaken                  // another claim of the key is in effect
 	verdictFailed                 // nothing was written
 	verdictUnknown                // the operation may have been written, or may be later
@@ -48,7 +48,7 @@
 // operation is a change to one claim that waits in a shard's queue.
 type operation struct {
 	action action
-	record Record
+	record Record // the claim; only ID, Body, Owner and Seq are set for a release
 	// minSeq is the lowest Seq of the earlier records that the operation may
 	// supersede: the same owner made them for the same key and dispatched
 	// nothing under them.
@@ -76,13 +76,14 @@
 	limiter  *rate.Limiter
 	counters *CommitCounters
 	writers  *shardWriters // nil: this host writes all shards itself
-	shards   []*shardQueue
+	shards   []*shardQueue // by shard index
 	// backoffUntil (Unix nanoseconds) is the end of the backoff after a store
 	// failure. Until then requests are refused at once instead of each waiting
 	// for a call of its own to fail.
 	backoffUntil atomic.Int64
 }
 
+// newCommitter returns a committer without shardWriters.
 func newCommitter(store objectapi.Store, clk clock.Clock, opts Options, counters *CommitCounters) *committer {
 	c := &committer{store: store, clock: clk, opts: opts, counters: counters, limiter: rate.NewLimiter(rate.Limit(opts.WritesPerSecond), opts.WriteBurst)}
 	for range opts.Shards {
@@ -95,7 +96,7 @@
 // same index.
 func (c *committer) shardIndex(id ID) int { return int(uint(id[0])|uint(id[1])<<8) % len(c.shards) }
 
-// objectKey returns the store key of a shard's object.
+// objectKey returns the store key of the object of the shard with this index.
 func objectKey(index int) string { return fmt.Sprintf("%s%04d", ObjectPrefix, index) }
 
 // storeBackoff returns the remaining backoff and whether the store is in backoff.
@@ -143,8 +144,11 @@
 // repeated after a conflict with another host and after a lost response.
 const maxCommitAttempts = 16
 
-// commit applies batch to the shard and writes the result, with retries, and
-// sends each operation its result.
+// commit applies batch to the shard with this index, whose queue is q, writes the
+// changed shard, and sends each operation its result. It retries within
+// maxCommitAttempts and CommitTimeout. If all attempts fail, every operation gets
+// verdictUnknown if the batch may have been written or may be later, else
+// verdictFailed.
 func (c *committer) commit(index int, q *shardQueue, batch []*operation) {
 	ctx, cancel := context.WithTimeout(context.Background(), c.opts.CommitTimeout)
 	defer cancel()
@@ -197,7 +201,8 @@
 	c.backoffUntil.Store(c.clock.Now().Add(c.opts.StoreBackoff).UnixNano())
 }
 
-// readShard reads the shard's object and its sealed parts into q.cached.
+// readShard reads the shard's object and its sealed parts into q.cached and
+// q.version. A shard without an object is empty.
 func (c *committer) readShard(ctx context.Context, index int, q *shardQueue) error {
 	c.counters.Reads.Add(1)
 	obj, err := c.store.Get(ctx, objectKey(index))
@@ -220,8 +225,9 @@
 	return nil
 }
 
-// writeShard writes next if the shard's object still has version q.version. If
-// the store's response is lost, the cached shard is discarded and uncertain is
+// writeShard writes next if the shard's object still has version q.version.
+// written reports whether it did, uncertain whether next may have been written.
+// If the store's response is lost, the cached shard is discarded and uncertain is
 // true. The next attempt then reads the shard: it either finds the batch's
 // records there or writes them again under the version it read, which makes a
 // delayed first update fail.
--- a/process/claim/key_table.go
+++ b/process/claim/key_table.go
@@ -20,19 +20,19 @@
 	phaseLent                      // a ticket of this host, lent to another host
 )
 
-// keyState is the state of one key in this process. Its fields are guarded by the
-// table's lock.
+// keyState is the state of one key in this process. The table's lock guards the
+// states in the table; other code works on copies.
 type keyState struct {
-	body         uint64
+	body         uint64 // see Key.Body
 	phase        keyPhase
-	seq          uint64 // number of the claim's record or of the loan
-	minSeq       uint64 // lowest seq under which this process tried to claim the key
-	partiallyRan bool   // an earlier send ran repeatable stages
-	response     *Response
+	seq          uint64        // number of the claim's record or of the loan
+	minSeq       uint64        // lowest seq under which this process tried to claim the key
+	partiallyRan bool          // an earlier send ran repeatable stages
+	response     *Response     // in phaseFinished; nil if not cached
 	changed      chan struct{} // closed when the phase changes
 	ticket       *Ticket       // nil if claimed on the platform
 	lender       string        // host that lent the ticket; "" if minted here
-	loan         Record        // the borrower and its loan, in phaseLent
+	loan         Record        // in phaseLent: Owner is the borrower, Seq its number of the loan
 	updated      time.Time     // time of the last phase change
 	evictable    bool          // listed in the table's evictionOrder
 }
@@ -41,13 +41,13 @@
 // number of keys, the bytes of responses and the time are bounded. It is safe
 // for concurrent use.
 type keyTable struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards keys and the fields below it
 	clock         clock.Clock
 	opts          Options
 	keys          map[ID]*keyState
-	evictionOrder []ID  // keys that may expire, oldest first
-	responseBytes int64 // total size of the cached response bodies
-	lastSweep     time.Time
+	evictionOrder []ID      // keys that may expire, oldest first
+	responseBytes int64     // total size of the cached response bodies
+	lastSweep     time.Time // time of the last sweep that visited the keys
 }
 
 // A sweep visits every key, so its frequency is bounded, also when the table is
@@ -57,13 +57,15 @@
 	minSweepInterval     = time.Second
 )
 
+// newKeyTable returns an empty table.
 func newKeyTable(clk clock.Clock, opts Options) *keyTable {
 	return &keyTable{clock: clk, opts: opts, keys: map[ID]*keyState{}}
 }
 
 // getOrCreate returns the state of id. created is true if the caller has to claim
 // the key: it is new here or in phaseUncertain. full is true if the key is new
-// and the table has MaxKeys keys.
+// and the table has MaxKeys keys; state is then zero. seq is the number of the
+// claim or loan that the caller would make.
 func (t *keyTable) getOrCreate(id ID, body uint64, seq uint64) (state keyState, created, full bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -128,7 +130,8 @@
 	}
 }
 
-// inUse reports whether a request of this process still controls the key.
+// inUse reports whether a request of this process is claiming, running under or
+// releasing the key. Such a key is never removed by sweep.
 func (s *keyState) inUse() bool {
 	return s.phase == phaseClaiming || s.phase == phaseRunning || s.phase == phaseReleasing
 }
@@ -153,7 +156,7 @@
 }
 
 // evictResponses drops the oldest responses while they exceed MaxResponseBytes.
-// Their keys stay.
+// Their keys stay. The table's lock must be held.
 func (t *keyTable) evictResponses() {
 	for i := 0; t.responseBytes > t.opts.MaxResponseBytes && i < len(t.evictionOrder); i++ {
 		if s, ok := t.keys[t.evictionOrder[i]]; ok && s.response != nil {
@@ -163,9 +166,10 @@
 	}
 }
 
-// sweep removes keys that are not in use and were last updated ResponseTTL ago. A
-// ticket's key stays until the ticket has expired: until then only this table
-// keeps the ticket from running twice.
+// sweep removes keys that are not in use and were last updated ResponseTTL ago,
+// at bounded frequency. The table's lock must be held. A ticket's key stays until
+// the ticket has expired: until then only this table keeps the ticket from
+// running twice.
 func (t *keyTable) sweep() {
 	now := t.clock.Now()
 	full := len(t.keys) >= t.opts.MaxKeys
--- a/process/claim/manager.go
+++ b/process/claim/manager.go
@@ -16,24 +16,24 @@
 type Manager struct {
 	Counters CommitCounters // calls to the platform; safe for concurrent use
 
-	self      Owner
+	self      Owner // this incarnation of the host
 	clock     clock.Clock
 	opts      Options
 	link      peer.Link // nil if there are no other hosts
 	table     *keyTable
 	committer *committer
 	minter    *ticketMinter
-	seq       atomic.Uint64
+	seq       atomic.Uint64 // number of the last claim or loan; see Record.Seq
 }
 
 // Config holds the identity, dependencies and options of a Manager.
 type Config struct {
-	Host        string
-	Incarnation uint64
+	Host        string // name of this entry host
+	Incarnation uint64 // of the process; differs after each start of the host
 	Store       objectapi.Store
 	Clock       clock.Clock
-	Link        peer.Link // may be nil
-	Options     Options
+	Link        peer.Link // nil if there are no other hosts
+	Options     Options   // zero fields get no defaults; see DefaultOptions
 }
 
 // New returns a Manager and registers its handlers with cfg.Link, which must not
@@ -57,7 +57,7 @@
 	_ PartialReleaser = (*Manager)(nil)
 )
 
-// MintTicket implements Claims.
+// MintTicket implements Claims. The error is that of encoding the ticket.
 func (m *Manager) MintTicket(_ context.Context, account string) (string, error) {
 	return m.minter.mint(account)
 }
@@ -129,7 +129,8 @@
 	}
 }
 
-// claimKey writes the claim to the platform.
+// claimKey writes the claim to the platform and returns the result of Begin. If
+// another claim of the key is in effect, it queries its owner.
 func (m *Manager) claimKey(ctx context.Context, id ID, key Key, state keyState) Result {
 	m.Counters.Claims.Add(1)
 	r := Record{ID: id, Body: key.Body, Owner: m.self, Seq: state.seq, ClaimedAt: m.clock.Now(), PartiallyRan: state.partiallyRan}
--- a/process/claim/options.go
+++ b/process/claim/options.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Options bound the platform calls, memory and waiting times of claims.
+// Options bound the platform calls, memory and waiting times of claims. Zero
+// fields get no defaults; see DefaultOptions.
 type Options struct {
 	Shards           int           // shard objects on the platform; must be equal on all hosts
 	Retention        time.Duration // time for which the platform keeps a claim
--- a/process/claim/peers.go
+++ b/process/claim/peers.go
@@ -11,7 +11,7 @@
 	"bilberrydale/process/peer"
 )
 
-// Methods between entry hosts.
+// Methods of calls between entry hosts.
 const (
 	methodStatus peer.Method = "claim.ask"    // status of a key that the receiver owns
 	methodBorrow peer.Method = "claim.borrow" // run a ticket that the receiver minted
@@ -21,31 +21,31 @@
 // statusRequest is the request of claim.ask. Like the other requests it is encoded
 // as an array: the order of the fields is the format.
 type statusRequest struct {
-	ID          []byte
-	Incarnation uint64
-	Seq         uint64
+	ID          []byte // ID of the key
+	Incarnation uint64 // of the receiver when it made the claim
+	Seq         uint64 // of the claim; the receiver does not check it
 }
 
 // borrowRequest is the request of claim.borrow.
 type borrowRequest struct {
 	Ticket  string // text of the ticket
-	Account string
-	Body    uint64
+	Account string // client account
+	Body    uint64 // see Key.Body
 	Seq     uint64 // number of the borrower's loan; a retry has the same number
 }
 
 // returnRequest is the request of claim.return.
 type returnRequest struct {
-	ID           []byte
-	Seq          uint64
-	PartiallyRan bool // repeatable stages ran
+	ID           []byte // ID of the key
+	Seq          uint64 // number of the loan
+	PartiallyRan bool   // repeatable stages ran
 }
 
 // keyStatus is the response of claim.ask, claim.borrow and claim.return: the status
 // of a key on its owner or minter. It is encoded with its field names.
 type keyStatus struct {
 	State    State
-	Response *Response `msgpack:"Answer"`
+	Response *Response `msgpack:"Answer"` // in state Done; nil if not cached
 	// Found is false if the responding host is another incarnation or no
 	// longer has the key.
 	Found bool `msgpack:"Known"`
@@ -100,14 +100,15 @@
 	return Result{State: Unknown}
 }
 
-// call calls another host with CallTimeout.
+// call calls another host with CallTimeout. Errors are those of peer.Link.Call.
 func (m *Manager) call(ctx context.Context, host string, method peer.Method, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.CallTimeout)
 	defer cancel()
 	return m.link.Call(ctx, host, method, in, out)
 }
 
-// onStatus handles claim.ask.
+// onStatus handles claim.ask. It also releases a claim under which nothing was
+// dispatched.
 func (m *Manager) onStatus(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var in statusRequest
 	if err := msgpack.Unmarshal(payload, &in); err != nil || len(in.ID) != len(ID{}) {
@@ -141,7 +142,8 @@
 	return msgpack.Marshal(&status)
 }
 
-// borrowTicket requests the right to run a ticket from its minter.
+// borrowTicket requests the right to run a ticket from its minter and returns the
+// result of Begin.
 func (m *Manager) borrowTicket(ctx context.Context, id ID, key Key, t *Ticket, state keyState) Result {
 	if m.link == nil {
 		m.table.remove(id)
@@ -229,7 +231,8 @@
 	_ = m.call(ctx, state.lender, methodReturn, &in, nil)
 }
 
-// onReturn handles claim.return.
+// onReturn handles claim.return. It ignores a ticket that is not lent to the
+// sender under that number.
 func (m *Manager) onReturn(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var in returnRequest
 	if err := msgpack.Unmarshal(payload, &in); err != nil || len(in.ID) != len(ID{}) {
--- a/process/claim/queue.go
+++ b/process/claim/queue.go
@@ -8,10 +8,10 @@
 
 // shardQueue collects operations on one shard until they are written in a batch.
 type shardQueue struct {
-	mu         sync.Mutex
-	operations []*operation
-	outcomes   []*operation
-	processing bool
+	mu         sync.Mutex   // guards operations, outcomes and processing
+	operations []*operation // wait for the next batch
+	outcomes   []*operation // written with the next batch; start no batch by themselves
+	processing bool         // processQueue is running
 
 	// cached and version are the shard's content as last read or written, nil
 	// if it must be read; sealedParts are its sealed parts by name. Only the
@@ -22,7 +22,7 @@
 	lastWrite   time.Time // start of the last update
 }
 
-// enqueue adds an operation to the queue of a shard.
+// enqueue adds an operation to the queue of the shard with this index.
 func (c *committer) enqueue(index int, op *operation) {
 	q := c.shards[index]
 	q.mu.Lock()
@@ -39,7 +39,8 @@
 	}
 }
 
-// queueOutcome queues the outcome of a claim for the next write of its shard.
+// queueOutcome queues the outcome of a claim for the next write of its shard. It
+// drops the outcome if maxQueuedOutcomes are queued.
 func (c *committer) queueOutcome(r Record) {
 	q := c.shards[c.shardIndex(r.ID)]
 	q.mu.Lock()
--- a/process/claim/record.go
+++ b/process/claim/record.go
@@ -25,8 +25,8 @@
 
 // Owner identifies the incarnation of an entry host that owns a claim.
 type Owner struct {
-	Host        string
-	Incarnation uint64
+	Host        string // name of the entry host
+	Incarnation uint64 // of its process
 }
 
 // Outcome is the recorded outcome of a claimed request. The values are stored.
@@ -49,7 +49,7 @@
 // with its field names.
 type Record struct {
 	ID    ID
-	Body  uint64
+	Body  uint64 // see Key.Body
 	Owner Owner
 	// Seq numbers the owner's claims. It distinguishes a record from an
 	// earlier, released one of the same owner and key.
@@ -78,8 +78,8 @@
 
 // storedSealed refers to a sealed part.
 type storedSealed struct {
-	Name   string
-	Newest int64 // claim time of its newest record, Unix milliseconds
+	Name   string // see sealedPartKey
+	Newest int64  // claim time of its newest record, Unix milliseconds
 }
 
 // storedRecord is the stored form of a Record.
@@ -96,7 +96,8 @@
 // recordsByID holds the records of a shard object or sealed part.
 type recordsByID map[ID]Record
 
-// encode returns the stored form of the records and the references to sealed parts.
+// encode returns the stored form of the records and of references to the sealed
+// parts, as msgpack.
 func (m recordsByID) encode(sealed []*sealedPart) ([]byte, error) {
 	var s storedShard
 	for _, p := range sealed {
@@ -126,7 +127,8 @@
 	return buf.Bytes(), nil
 }
 
-// decodeShard is the inverse of recordsByID.encode.
+// decodeShard is the inverse of recordsByID.encode. It returns the records and
+// the references to sealed parts.
 func decodeShard(data []byte) (recordsByID, []storedSealed, error) {
 	var s storedShard
 	if err := msgpack.Unmarshal(data, &s); err != nil {
--- a/process/claim/shard.go
+++ b/process/claim/shard.go
@@ -19,13 +19,14 @@
 
 // sealedPart is an immutable part of a shard that this process read or wrote.
 type sealedPart struct {
-	name    string
+	name    string    // see sealedPartKey
 	newest  time.Time // claim time of its newest record
-	version uint64
+	version uint64    // of its object
 	records recordsByID
 }
 
-// lookup returns the record in effect for id, if there is one.
+// lookup returns the record in effect for id and true if there is one: neither
+// released nor older than retention.
 func (s *shard) lookup(id ID, now time.Time, retention time.Duration) (Record, bool) {
 	r, ok := s.open[id]
 	for i := len(s.sealed) - 1; i >= 0 && !ok; i-- {
@@ -65,7 +66,8 @@
 	return next, results, changed, stale
 }
 
-// applyOperation applies op to the open claims; cur is the record in effect, if ok.
+// applyOperation applies op to the open claims; cur is the record in effect, if
+// ok. changed reports whether the shard has to be written.
 func (s *shard) applyOperation(op *operation, cur Record, ok bool) (res opResult, changed bool) {
 	r := op.record
 	switch {
@@ -103,7 +105,8 @@
 	return cur.Seq < op.record.Seq || (op.action != actionAdd && cur.Seq == op.record.Seq)
 }
 
-// sealedPartKey returns the store key of a sealed part.
+// sealedPartKey returns the store key of a sealed part of the shard with this
+// index.
 func sealedPartKey(index int, name string) string { return objectKey(index) + "." + name }
 
 // sealOpenClaims moves the open claims of next into a new sealed part if there are
@@ -161,7 +164,8 @@
 	}()
 }
 
-// loadSealedParts returns the sealed parts and reads those not in q.sealedParts.
+// loadSealedParts returns the sealed parts with these names, in that order, and
+// reads those not in q.sealedParts.
 func (c *committer) loadSealedParts(ctx context.Context, index int, q *shardQueue, names []storedSealed) ([]*sealedPart, error) {
 	var out []*sealedPart
 	for _, s := range names {
--- a/process/claim/ticket.go
+++ b/process/claim/ticket.go
@@ -36,9 +36,9 @@
 // platform, so that it can be used during an outage.
 type Ticket struct {
 	Minter  Owner
-	Seq     uint64
+	Seq     uint64    // number of the ticket among those of its minter
 	Expires time.Time // latest first use
-	mac     []byte
+	mac     []byte    // see ticketMinter.mac
 }
 
 // storedTicket is the signed content of a ticket. It is encoded as an array: the
@@ -55,11 +55,12 @@
 type ticketMinter struct {
 	self   Owner
 	clock  clock.Clock
-	ttl    time.Duration
-	secret [32]byte
-	seq    atomic.Uint64
+	ttl    time.Duration // from minting to the latest first use
+	secret [32]byte      // key of the MAC
+	seq    atomic.Uint64 // Seq of the last ticket
 }
 
+// newTicketMinter returns a minter with a new random secret.
 func newTicketMinter(self Owner, clk clock.Clock, ttl time.Duration) *ticketMinter {
 	m := &ticketMinter{self: self, clock: clk, ttl: ttl}
 	_, _ = rand.Read(m.secret[:]) // does not fail: crypto/rand aborts the process instead
@@ -96,9 +97,11 @@
 	return nil
 }
 
+// hasTicketPrefix reports whether a key has to be treated as a ticket.
 func hasTicketPrefix(text string) bool { return strings.HasPrefix(text, TicketPrefix) }
 
-// splitTicket decodes the text of a ticket into its signed content and its MAC.
+// splitTicket decodes the text of a ticket into its signed content and its MAC,
+// or returns errMalformedTicket.
 func splitTicket(text string) (content, mac []byte, err error) {
 	body, ok := strings.CutPrefix(text, TicketPrefix)
 	if !ok || len(text) > maxTicketBytes {
@@ -111,7 +114,8 @@
 	return raw[:len(raw)-macBytes], raw[len(raw)-macBytes:], nil
 }
 
-// parseTicket parses a ticket without verifying its MAC.
+// parseTicket parses a ticket without verifying its MAC or expiry. Its error
+// wraps errMalformedTicket.
 func parseTicket(text string) (*Ticket, error) {
 	content, mac, err := splitTicket(text)
 	if err != nil {
--- a/process/claim/writers.go
+++ b/process/claim/writers.go
@@ -26,16 +26,17 @@
 	clock clock.Clock
 	opts  Options
 
-	mu           sync.Mutex
-	backoffUntil map[string]time.Time // hosts that failed to write, and the end of their backoff
+	mu           sync.Mutex           // guards backoffUntil
+	backoffUntil map[string]time.Time // end of the backoff by host that failed to write
 }
 
+// newShardWriters returns shardWriters without a host in backoff.
 func newShardWriters(link peer.Link, clk clock.Clock, opts Options) *shardWriters {
 	return &shardWriters{link: link, clock: clk, opts: opts, backoffUntil: map[string]time.Time{}}
 }
 
-// writerOf returns the host that writes a shard, or "" if it is this host. A nil
-// receiver means that this host writes all shards.
+// writerOf returns the host that writes the shard with this index, or "" if it is
+// this host. A nil receiver means that this host writes all shards.
 func (s *shardWriters) writerOf(index int) string {
 	if s == nil {
 		return ""
@@ -50,12 +51,13 @@
 	return best
 }
 
-// rendezvousWeight returns the hash by which host competes for a shard.
+// rendezvousWeight returns the weight of host for a shard; the host with the
+// highest weight writes the shard.
 func rendezvousWeight(host string, index int) uint64 {
 	return xxhash.Sum64String(fmt.Sprint(host, "/", index))
 }
 
-// inBackoff reports whether host recently failed to write.
+// inBackoff reports whether host failed to write within the last WriterBackoff.
 func (s *shardWriters) inBackoff(host string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +76,7 @@
 type commitOperation struct {
 	Action action
 	Record Record
-	MinSeq uint64
+	MinSeq uint64 // see operation.minSeq
 }
 
 // commitResult is one result of a claim.commit response. It is encoded with its
@@ -109,9 +111,11 @@
 	return true
 }
 
+// errNotOwner is the response to a claim.commit with a claim of another host.
 var errNotOwner = errors.New("claim: operation on a claim that the sender does not own")
 
-// onCommit handles claim.commit: it writes operations on behalf of another host.
+// onCommit handles claim.commit: it writes operations on behalf of another host
+// and responds when all have a result. After an error some may have been written.
 func (c *committer) onCommit(ctx context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var in []commitOperation
 	if err := msgpack.Unmarshal(payload, &in); err != nil {
