--- a/process/release/commit.go
+++ b/process/release/commit.go
@@ -23,7 +23,7 @@
 // accepted ones, and the error of each refused one.
 type commitGroup struct {
 	draft    *draft
-	accepted []ChangeSet
+	accepted []ChangeSet      // in the order in which they were merged
 	refused  map[string]error // by change set ID
 }
 
@@ -90,7 +90,7 @@
 // The rows and the record are written first, under keys that no other publisher
 // uses; a publisher that dies in between leaves objects that no head refers to,
 // which collectGarbage removes with the releases of their number. A group that
-// changes nothing returns the release of base.
+// changes nothing returns the release of base. Errors are those of writeRelease.
 func (p *Publisher) commit(ctx context.Context, base commitBase, group commitGroup) (Release, error) {
 	if base.unchanged(group) {
 		return base.rel, nil
@@ -113,7 +113,9 @@
 }
 
 // writeRelease writes the rows and the record of rel and then updates the head
-// from the version of base.
+// from the version of base. It returns objectapi.ErrConflict if another publisher
+// has updated the head, objectapi.ErrUnknownOutcome if rel may have been
+// accepted; after any other error it was not accepted.
 func (p *Publisher) writeRelease(ctx context.Context, base commitBase, rel Release, head Head) error {
 	for i, part := range splitRows(rel.Rows) {
 		key := objectKey(rel.Ref(), fmt.Sprintf("%03d", i))
@@ -137,9 +139,9 @@
 	return err
 }
 
-// putImmutable creates an object. A lost response is harmless: the key is
-// unique to this publisher, so a conflict on a retry means that the write took
-// effect.
+// putImmutable creates an object. A lost response is harmless: the key is unique
+// to this publisher, so a conflict on a retry means that the write took effect.
+// Other failures are objectapi.ErrTooLarge and objectapi.ErrUnavailable.
 func (p *Publisher) putImmutable(ctx context.Context, key string, value any) error {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -161,7 +163,7 @@
 	return fmt.Errorf("%w: %s: %v", objectapi.ErrUnavailable, key, err)
 }
 
-// recentRefs returns the Recent field of the release after h.
+// recentRefs returns the Head.Recent of the release that follows h.
 func recentRefs(h Head) []Ref {
 	if h.Number == 0 {
 		return nil
@@ -187,7 +189,7 @@
 	return strings.Join(names, ", ")
 }
 
-// joinNotes returns the note of the only set, or the number of sets.
+// joinNotes returns the note of the only set, or a text with the number of sets.
 func joinNotes(sets []ChangeSet) string {
 	if len(sets) == 1 {
 		return sets[0].Note
--- a/process/release/delta.go
+++ b/process/release/delta.go
@@ -11,7 +11,8 @@
 	Deleted []string `json:"gone,omitempty"`    // keys of deleted rows, sorted
 }
 
-// diffRows returns the delta from rows to target; both must be sorted by key.
+// diffRows returns the delta that turns rows into target; both must be sorted by
+// key.
 func diffRows(rows, target []Row) Delta {
 	var d Delta
 	i := 0
@@ -63,10 +64,10 @@
 	return n
 }
 
-// applyHeadDelta reconstructs rel from its predecessor, if this host has it,
-// and the delta in the head. It reports false if the predecessor or the delta
-// is missing or the result does not match the hash; the caller then loads all
-// rows.
+// applyHeadDelta reconstructs rel from its predecessor, if this host has it, and
+// the delta in the head. It reports false if the predecessor or the delta is
+// missing or the result does not match the hash; the caller then loads all rows.
+// rel is the release of the head without rows.
 func (f *Follower) applyHeadDelta(rel Release, d *Delta) (Release, bool) {
 	base := f.newest.Load()
 	if d == nil || base == nil || base.Number+1 != rel.Number || base.Hash != rel.PreviousHash {
--- a/process/release/distributor.go
+++ b/process/release/distributor.go
@@ -14,7 +14,8 @@
 	"bilberrydale/process/peer"
 )
 
-// DistributorOptions configure a Distributor; zero values get defaults.
+// DistributorOptions configure a Distributor. Follower is required; Watchers and
+// the durations get their defaults if zero.
 type DistributorOptions struct {
 	Follower *Follower
 	Link     peer.Link       // nil: the host has no peers
@@ -43,9 +44,9 @@
 
 const (
 	defaultWatcherTimeout = 20 * time.Second
-	peerTimeout           = 500 * time.Millisecond
-	fetchTimeout          = 5 * time.Second
-	initialSyncTimeout    = time.Second
+	peerTimeout           = 500 * time.Millisecond // of one summary or notice call
+	fetchTimeout          = 5 * time.Second        // of one fetch call
+	initialSyncTimeout    = time.Second            // of the read of the head and the comparison with all peers at the start
 	// maxOneWayDelay bounds the estimated one-way delay of a message. A longer
 	// time means that a process was waiting for a CPU, and would make this host
 	// activate releases early.
@@ -60,15 +61,15 @@
 type Distributor struct {
 	opts     DistributorOptions
 	follower *Follower
-	joined   atomic.Bool
+	joined   atomic.Bool                     // see Joined
 	watching atomic.Bool                     // this host watches the platform
 	runCtx   atomic.Pointer[context.Context] // of Run, for background work
 
-	mu                   sync.Mutex
-	forwarded            map[string]uint64        // by root of the notice: number forwarded last
+	mu                   sync.Mutex               // guards the fields below
+	forwarded            map[string]uint64        // by root of the notice (see notice.Root): number forwarded last
 	fetching             map[uint64]chan struct{} // by number: closed when the fetch ends
 	fetchingLocal        map[uint64]bool          // by number: the fetch is from this failure domain
-	roundTrips           map[string]roundTrip     // by peer
+	roundTrips           map[string]roundTrip     // to the peer, by host name
 	localWatcherResponse time.Time                // last response of the platform to a watcher of the domain, as reported
 }
 
@@ -97,8 +98,8 @@
 	return d
 }
 
-// Run follows and distributes releases until ctx ends. It activates releases of
-// the follower, too.
+// Run follows and distributes releases until ctx ends, and then returns nil. It
+// activates releases of the follower, too.
 func (d *Distributor) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	d.runCtx.Store(&ctx)
@@ -145,7 +146,7 @@
 
 // fetchOnce fetches the newest release of from unless this host already has
 // number or a later one. Only one fetch per number runs at a time. It returns
-// ErrNotRetained if from does not have the release.
+// ErrNotRetained if from does not have the release, or the error of fetchFrom.
 func (d *Distributor) fetchOnce(ctx context.Context, from peer.Identity, number uint64) error {
 	d.mu.Lock()
 	if inProgress, busy := d.fetching[number]; busy {
@@ -181,7 +182,8 @@
 }
 
 // fetchFrom fetches the newest release of host, as a delta if possible, and
-// offers it to the follower.
+// offers it to the follower. Its errors are those of the call, of decoding and of
+// Follower.Offer.
 func (d *Distributor) fetchFrom(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -227,7 +229,8 @@
 }
 
 // onFetch responds with the newest release of this host, as a delta if it
-// recently had the release of the caller.
+// recently had the release of the caller. It returns ErrNotRetained if this host
+// has no release.
 func (d *Distributor) onFetch(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var request fetchRequest
 	if err := msgpack.Unmarshal(payload, &request); err != nil {
@@ -299,7 +302,8 @@
 }
 
 // platformUnreachable reports whether peers are currently the only source of
-// releases of this host.
+// releases of this host: its own watch fails, or its failure domain has reported
+// no response of the platform for WatcherTimeout.
 func (d *Distributor) platformUnreachable() bool {
 	if d.watching.Load() && d.follower.platformLastResponse().IsZero() {
 		return true
--- a/process/release/fault.go
+++ b/process/release/fault.go
@@ -16,6 +16,7 @@
 // faultSet holds the active fault of each kind, or nil.
 type faultSet [numFaultKinds]error
 
+// set makes err the active fault of kind k; nil clears it.
 func (s *faultSet) set(k faultKind, err error) { s[k] = err }
 
 func (s *faultSet) clear(k faultKind) { s[k] = nil }
--- a/process/release/follower.go
+++ b/process/release/follower.go
@@ -19,7 +19,7 @@
 type Compile func(Release) (activate func(), err error)
 
 // FollowerOptions configure a Follower. Zero durations get the default unless
-// stated otherwise.
+// stated otherwise; the other fields are required.
 type FollowerOptions struct {
 	Host    string // name of this entry host
 	Store   objectapi.Store
@@ -56,20 +56,20 @@
 // the platform watch and peers call Offer.
 type Follower struct {
 	opts             FollowerOptions
-	activationSignal chan struct{} // a release is pending
+	activationSignal chan struct{} // wakes RunActivation; see signalActivation
 
 	newest atomic.Pointer[PreparedRelease] // newest prepared release, read without mu
 
-	mu                sync.Mutex
-	current           Release
+	mu                sync.Mutex         // guards the fields below, except preparedCallbacks
+	current           Release            // in force; Number 0: none
 	activationPaused  bool               // see pauseActivation
-	pending           *PreparedRelease   // prepared, not yet active
+	pending           *PreparedRelease   // prepared, not yet active; nil if there is none
 	activatePending   func()             // activates pending
 	recentlyPrepared  []*PreparedRelease // newest last
 	failedCompile     Ref                // newest release that did not compile
 	faults            faultSet           // reported to operators
 	platform          platformState
-	preparedCallbacks []func(*PreparedRelease)
+	preparedCallbacks []func(*PreparedRelease) // see OnPrepared
 }
 
 // PreparedRelease is a release that compiled on this host.
@@ -283,10 +283,11 @@
 	}
 }
 
-// Recompile compiles the release in force again and activates the result, for
-// inputs of Compile from outside the release. It does nothing while a newer
-// release is pending: the earlier one would be the last that Compile was called
-// with, and the newer one would keep the result of its first compilation.
+// Recompile compiles the release in force again and activates the result. It is
+// called when an input of Compile from outside the release has changed. On an
+// error the earlier result stays in force. It does nothing while a newer release
+// is pending: the earlier one would be the last that Compile was called with, and
+// the newer one would keep the result of its first compilation.
 func (f *Follower) Recompile() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -301,8 +302,8 @@
 	return nil
 }
 
-// recentRelease returns the given release if this host prepared it recently, or
-// nil.
+// recentRelease returns the release with this number and hash if it is one of the
+// last maxRecentlyPrepared that this host prepared, else nil.
 func (f *Follower) recentRelease(number uint64, hash string) *PreparedRelease {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/release/highwater.go
+++ b/process/release/highwater.go
@@ -18,7 +18,7 @@
 type HighWaterMark struct {
 	Number uint64 `json:"number"` // highest release on a host
 	Hash   string `json:"hash"`
-	Host   string `json:"host"`
+	Host   string `json:"host"` // name of that entry host
 }
 
 // readHighWaterMark returns the stored mark and the version of its object; both
--- a/process/release/history.go
+++ b/process/release/history.go
@@ -18,12 +18,18 @@
 	retainedReleases = 500
 )
 
+// numberPrefix returns the key prefix of all objects written for a release
+// number, also those of publishers whose release was not accepted.
 func numberPrefix(number uint64) string { return fmt.Sprintf("%s%020d-", releasePrefix, number) }
 
+// objectKey returns the key of one object of release r; name is the number of a
+// part, or "record".
 func objectKey(r Ref, name string) string { return numberPrefix(r.Number) + r.ID + "/" + name }
 
+// recordKey returns the key of the record of release r, which holds its Head.
 func recordKey(r Ref) string { return objectKey(r, "record") }
 
+// decodeHead decodes the head object or the record of a release.
 func decodeHead(obj objectapi.Object) (Head, error) {
 	var h Head
 	if err := json.Unmarshal(obj.Value, &h); err != nil {
@@ -130,6 +136,7 @@
 	return p.loadByNumber(ctx, head, number)
 }
 
+// loadByNumber is ByNumber with a head that was read before.
 func (p *Publisher) loadByNumber(ctx context.Context, head Head, number uint64) (Release, error) {
 	if number == head.Number {
 		return loadRows(ctx, p.store(), head)
@@ -146,8 +153,8 @@
 }
 
 // Rollback accepts a new release with the rows of the release of the given
-// number. The new release gets the next number; a row that another author
-// changes in the meantime is a conflict.
+// number. The new release gets the next number; a row that another author changes
+// in the meantime is a conflict. Its errors are those of ByNumber and Apply.
 func (p *Publisher) Rollback(ctx context.Context, number uint64, author string) (Release, error) {
 	old, err := p.ByNumber(ctx, number)
 	if err != nil {
@@ -162,7 +169,8 @@
 	return p.Apply(ctx, set)
 }
 
-// ChangesBetween returns the changes that turn the rows of from into want.
+// ChangesBetween returns the changes that turn the rows of from into want,
+// without ID, author and note.
 func ChangesBetween(from Release, want []Row) ChangeSet {
 	var set ChangeSet
 	remaining := make(map[string]Row, len(want))
--- a/process/release/merge.go
+++ b/process/release/merge.go
@@ -15,7 +15,7 @@
 type RowConflict struct {
 	Key            string
 	BaseVersion    uint64 // the version the edit was made from
-	CurrentVersion uint64 // the version in the head, or of the deletion
+	CurrentVersion uint64 // the version in the head, or of the deletion; 0 if that is not on record
 	Author         string // author of CurrentVersion
 	Deleted        bool   // the row no longer exists
 }
@@ -53,11 +53,12 @@
 // draft is the content of the release after base while change sets are merged
 // into it.
 type draft struct {
-	number    uint64
-	rows      map[string]Row
-	deletions map[string]Row
+	number    uint64         // of the release after base
+	rows      map[string]Row // by key
+	deletions map[string]Row // recent deletions, by key; see Release.RecentDeletions
 }
 
+// newDraft returns a draft with the content of base.
 func newDraft(base Release) *draft {
 	d := &draft{number: base.Number + 1, rows: make(map[string]Row, len(base.Rows)), deletions: map[string]Row{}}
 	for _, r := range base.Rows {
@@ -95,6 +96,7 @@
 	return RowConflict{Key: c.Key, BaseVersion: c.BaseVersion, CurrentVersion: current.Version, Author: current.Author, Deleted: !exists}
 }
 
+// applyChange applies a change that does not conflict.
 func (d *draft) applyChange(c Change, author string) {
 	current, exists := d.rows[c.Key]
 	if sameContent(current, exists, c) {
@@ -109,6 +111,7 @@
 	d.rows[c.Key] = Row{Key: c.Key, Data: c.Data, Version: d.number, Author: author}
 }
 
+// clone returns a copy that apply can change without changing d.
 func (d *draft) clone() *draft {
 	return &draft{number: d.number, rows: maps.Clone(d.rows), deletions: maps.Clone(d.deletions)}
 }
@@ -130,6 +133,7 @@
 	return exists && string(current.Data) == string(c.Data)
 }
 
+// sortedRows returns the values of rows, sorted by key.
 func sortedRows(rows map[string]Row) []Row {
 	out := make([]Row, 0, len(rows))
 	for _, r := range rows {
--- a/process/release/notice.go
+++ b/process/release/notice.go
@@ -59,10 +59,10 @@
 	d.forward(ctx, n)
 }
 
-// fetchFromAny tries the sender, the root and then random hosts of the failure
-// domain. If a host gave up after the first lost connection, all hosts below it
-// in the tree would get the release only by periodic comparison, which takes
-// seconds.
+// fetchFromAny fetches the announced release from the sender, the root or then
+// random hosts of the failure domain, whichever first has it. If a host gave up
+// after the first lost connection, all hosts below it in the tree would get the
+// release only by periodic comparison, which takes seconds.
 func (d *Distributor) fetchFromAny(ctx context.Context, from peer.Identity, n notice) error {
 	root := from
 	root.Host = n.Root
@@ -89,6 +89,7 @@
 	return err
 }
 
+// shufflePeers puts peers into random order.
 func (d *Distributor) shufflePeers(peers []peer.Identity) {
 	for i := len(peers) - 1; i > 0; i-- {
 		j := d.follower.opts.Rand.IntN(i + 1)
@@ -121,8 +122,9 @@
 }
 
 // notifyChildren sends the notice to the children of the host at position i of
-// the tree. If a child does not respond, it sends the notice to the children of
-// that child directly, so that a dead host does not cut off the hosts below it.
+// the tree, whose hosts are in the order of noticeTree. If a child does not
+// respond, it sends the notice to the children of that child directly, so that a
+// dead host does not cut off the hosts below it.
 func (d *Distributor) notifyChildren(ctx context.Context, hosts []string, i int, n notice) {
 	var g errgroup.Group
 	for child := fanout*i + 1; child <= fanout*i+fanout && child < len(hosts); child++ {
--- a/process/release/publisher.go
+++ b/process/release/publisher.go
@@ -17,7 +17,7 @@
 
 // Publisher accepts change sets as new releases by updating the head object. It
 // is used by the operators' command. Any number of publishers may run
-// concurrently against one platform.
+// concurrently against one platform. All fields but MaxAttempts are required.
 type Publisher struct {
 	Store    objectapi.Store
 	Validate Validator
@@ -30,8 +30,8 @@
 
 const (
 	defaultMaxAttempts = 60
-	initialBackoff     = 5 * time.Millisecond
-	maxBackoff         = 500 * time.Millisecond
+	initialBackoff     = 5 * time.Millisecond   // bound of the random delay before any doubling
+	maxBackoff         = 500 * time.Millisecond // largest bound
 )
 
 // Head returns the newest accepted release with its rows, and the version of
@@ -73,7 +73,8 @@
 	return p.loadBase(ctx, head, obj)
 }
 
-// loadBase loads the rows of head and checks it against the high-water mark.
+// loadBase loads the rows of head and checks it against the high-water mark (see
+// checkHighWaterMark).
 func (p *Publisher) loadBase(ctx context.Context, head Head, obj objectapi.Object) (commitBase, error) {
 	rel, err := loadRows(ctx, p.store(), head)
 	if err != nil {
@@ -107,7 +108,7 @@
 }
 
 // readBaseWithRetry repeats readBase until it succeeds or returns
-// ErrPlatformBehind.
+// ErrPlatformBehind. After MaxAttempts it returns the last error.
 func (p *Publisher) readBaseWithRetry(ctx context.Context) (commitBase, error) {
 	var lastErr error
 	for attempt := range p.maxAttempts() {
@@ -123,6 +124,7 @@
 	return commitBase{}, lastErr
 }
 
+// maxAttempts returns MaxAttempts or its default.
 func (p *Publisher) maxAttempts() int {
 	if p.MaxAttempts > 0 {
 		return p.MaxAttempts
@@ -136,7 +138,8 @@
 	return time.Duration(p.Rand.Float64() * float64(limit))
 }
 
-// waitBackoff waits before a repeated attempt; attempt 0 does not wait.
+// waitBackoff waits before a repeated attempt; attempt 0 does not wait. It
+// returns the error of ctx if that ends first.
 func (p *Publisher) waitBackoff(ctx context.Context, attempt int) error {
 	if attempt == 0 {
 		return ctx.Err()
--- a/process/release/queue.go
+++ b/process/release/queue.go
@@ -40,8 +40,8 @@
 type queuedWriter struct {
 	p     *Publisher
 	set   ChangeSet
-	since uint64
-	key   string
+	since uint64 // see queueEntry.Since
+	key   string // of the queue entry on the platform
 	// headVersion is the version of the head object read last.
 	headVersion uint64
 }
@@ -78,7 +78,8 @@
 	return q.abandon(ctx, lastErr)
 }
 
-// awaitHeadChange waits until the head changes or a random time has passed.
+// awaitHeadChange waits until the head changes or a random time has passed, whose
+// bound grows with attempt.
 func (q *queuedWriter) awaitHeadChange(ctx context.Context, attempt int) {
 	limit := maxHeadWait * time.Duration(min(attempt+1, 8))
 	wait := time.Duration((0.1 + 0.9*q.p.Rand.Float64()) * float64(limit))
@@ -143,7 +144,8 @@
 	return q.p.Rand.Float64()*float64(queueLength) > float64(expectedCommitters*(attempt+1))
 }
 
-// commitDirect commits a set that is too large for a queue entry.
+// commitDirect commits a set that is too large for a queue entry. Its errors are
+// those of Apply, or that of the last attempt.
 func (p *Publisher) commitDirect(ctx context.Context, set ChangeSet) (Release, error) {
 	var lastErr error
 	for attempt := range p.maxAttempts() {
@@ -296,7 +298,8 @@
 }
 
 // abandon withdraws the set of a publisher that ran out of attempts or time. It
-// returns ErrPending if the withdrawal fails.
+// returns the release if the set turns out to be accepted, ErrPending if the
+// withdrawal fails, and otherwise an error that wraps lastErr.
 func (q *queuedWriter) abandon(ctx context.Context, lastErr error) (Release, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), withdrawTimeout)
 	defer cancel()
--- a/process/release/release.go
+++ b/process/release/release.go
@@ -19,10 +19,10 @@
 
 // Object keys and key prefixes on the platform.
 const (
-	HeadKey          = "bilberry/head"
-	HighWaterMarkKey = "bilberry/floor"
-	queuePrefix      = "bilberry/queue/"
-	releasePrefix    = "bilberry/releases/"
+	HeadKey          = "bilberry/head"      // the head object, which names the newest accepted release; see Head
+	HighWaterMarkKey = "bilberry/floor"     // see HighWaterMark
+	queuePrefix      = "bilberry/queue/"    // queued change sets; the ID follows
+	releasePrefix    = "bilberry/releases/" // rows and records of releases; see objectKey
 	// maxPartBytes bounds the rows of one object. It is below
 	// objectapi.MaxValueBytes to leave space for the JSON around the rows.
 	maxPartBytes = 690 << 10
@@ -64,12 +64,12 @@
 
 // Release is one accepted state of both tables. It is immutable.
 type Release struct {
-	Number uint64    `json:"number"`
-	ID     string    `json:"id"`   // unique per accepted write
-	Hash   string    `json:"hash"` // HashRows of Rows
+	Number uint64    `json:"number"` // from 1; 0: no release
+	ID     string    `json:"id"`     // unique per write, also if it is not accepted
+	Hash   string    `json:"hash"`   // HashRows of Rows
 	Author string    `json:"author"`
 	Note   string    `json:"note,omitempty"`
-	Time   time.Time `json:"time"`
+	Time   time.Time `json:"time"` // when its publisher wrote it, on the publisher's clock
 	// PreviousHash is the hash of the release that this one was built on, which
 	// is numbered one lower except after Publisher.Recover.
 	PreviousHash string `json:"previous,omitempty"`
@@ -116,7 +116,7 @@
 // was made from; 0 means that the row did not exist.
 type Change struct {
 	Key         string          `json:"key"`
-	Data        json.RawMessage `json:"data,omitempty"`
+	Data        json.RawMessage `json:"data,omitempty"` // new canonical JSON; empty with Delete
 	Delete      bool            `json:"delete,omitempty"`
 	BaseVersion uint64          `json:"base"`
 }
--- a/process/release/watch.go
+++ b/process/release/watch.go
@@ -45,7 +45,7 @@
 // most maxOneWayDelay.
 func (r roundTrip) oneWay() time.Duration { return min(time.Duration(r)/2, maxOneWayDelay) }
 
-// recordRoundTrip adds a sample of the round-trip time to the platform.
+// recordRoundTrip adds d as a sample of the round-trip time to the platform.
 func (f *Follower) recordRoundTrip(d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,11 +60,12 @@
 	return f.platform.lastResponse
 }
 
-// Watch follows the head object until ctx ends. In addition to the long watch
-// it polls for changes every PollInterval, because a watch can hang forever
-// with its connection. Every pollsPerFullRead polls it reads the whole head: a
-// platform that was restored has lower versions, and a watch from the last
-// version seen would miss every release until the versions reach it again.
+// Watch follows the head object, which names the newest accepted release, until
+// ctx ends, and then returns nil. In addition to the long watch it polls for
+// changes every PollInterval, because a watch can hang forever with its
+// connection. Every pollsPerFullRead polls it reads the whole head: a platform
+// that was restored has lower versions, and a watch from the last version seen
+// would miss every release until the versions reach it again.
 func (f *Follower) Watch(ctx context.Context) error {
 	defer f.platformFailed(nil)
 	g, ctx := errgroup.WithContext(ctx)
@@ -74,8 +75,9 @@
 	return g.Wait()
 }
 
-// watchHead watches the head object from lastVersion until ctx ends, with
-// backoff after failures.
+// watchHead watches the head object for versions above lastVersion, which
+// pollHead sets too, and handles them. It backs off after failures and returns
+// nil when ctx ends.
 func (f *Follower) watchHead(ctx context.Context, lastVersion *atomic.Uint64) error {
 	failures := 0
 	for ctx.Err() == nil {
@@ -96,7 +98,8 @@
 	return nil
 }
 
-// handleHeads handles the heads in order and advances lastVersion after each.
+// handleHeads handles versions of the head object in order and advances
+// lastVersion after each. It stops at the first error.
 func (f *Follower) handleHeads(ctx context.Context, objs []objectapi.Object, lastVersion *atomic.Uint64) error {
 	for _, o := range objs {
 		head, err := decodeHead(o)
@@ -120,7 +123,7 @@
 )
 
 // pollHead polls the head at intervals as a backup of the watch. It ignores
-// failures, which the watch reports.
+// failures, which the watch reports, and returns nil when ctx ends.
 func (f *Follower) pollHead(ctx context.Context, lastVersion *atomic.Uint64) error {
 	for poll := 1; ; poll++ {
 		// Jitter prevents the hosts from polling in lockstep after an outage.
@@ -225,7 +228,8 @@
 }
 
 // backoff waits for a random delay, whose bound doubles with each consecutive
-// failure up to maxWatchBackoff, and counts the failure.
+// failure from initialBackoff up to maxWatchBackoff, or until ctx ends, and
+// increments failures.
 func (f *Follower) backoff(ctx context.Context, failures *int) {
 	limit := min(initialBackoff<<min(*failures, 10), maxWatchBackoff)
 	*failures++
--- a/process/release/watcher.go
+++ b/process/release/watcher.go
@@ -18,8 +18,8 @@
 	// roleCheckInterval is how often a host checks whether it should watch the
 	// platform, in addition to membership changes.
 	roleCheckInterval = time.Second
-	// crossDomainShare is the share of periodic comparisons with peers of other
-	// failure domains.
+	// crossDomainShare is the fraction of the periodic comparisons that are made
+	// with peers of other failure domains.
 	crossDomainShare = 0.25
 )
 
@@ -66,6 +66,7 @@
 	return hosts
 }
 
+// rendezvousWeight returns the weight by which rankedHosts orders host.
 func rendezvousWeight(domain, host string) uint64 { return xxhash.Sum64String(domain + "/" + host) }
 
 // runWatcherElection watches the platform while this host is an elected watcher
@@ -183,8 +184,8 @@
 	return candidates[d.follower.opts.Rand.IntN(len(candidates))], true
 }
 
-// syncWith reads the summary of one peer and fetches its release if it is
-// newer.
+// syncWith reads the summary of one peer and fetches its release if it is newer.
+// Its errors are those of the call and of fetchOnce.
 func (d *Distributor) syncWith(ctx context.Context, p peer.Identity) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -14,9 +14,9 @@
 
 // Methods of calls between entry hosts.
 const (
-	methodNotice  peer.Method = "release.notice"
-	methodSummary peer.Method = "release.summary"
-	methodFetch   peer.Method = "release.fetch"
+	methodNotice  peer.Method = "release.notice"  // announces a release: notice -> summary
+	methodSummary peer.Method = "release.summary" // returns the summary of the receiver; no request payload
+	methodFetch   peer.Method = "release.fetch"   // fetches a release: fetchRequest -> fetchResponse
 )
 
 // summary reports the newest release that a host has prepared and how recently
@@ -42,7 +42,7 @@
 }
 
 // fetchRequest requests the newest release of the receiver; Number and Hash are
-// those of the newest release of the sender.
+// those of the newest release of the sender, zero if it has none.
 type fetchRequest struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Number   uint64
@@ -145,7 +145,8 @@
 	return response, err
 }
 
-// release reconstructs the release that the response carries. Follower.Offer
+// release reconstructs the release that the response carries from base, the
+// newest release of this host when it sent the request, or nil. Follower.Offer
 // verifies its hash, so a wrong base is detected and the release is not
 // activated.
 func (response fetchResponse) release(base *PreparedRelease) (Release, error) {
