--- a/process/lease/elector.go
+++ b/process/lease/elector.go
@@ -17,13 +17,14 @@
 // of the failure domain follows.
 const KeyPrefix = "bilberry/leases/"
 
-// Options configure an Elector; a zero duration selects the default.
+// Options configure an Elector. A zero duration selects its default; the other
+// fields are required.
 type Options struct {
 	Store objectapi.Store
 	Clock clock.Clock
 	Rand  clock.Rand
-	Key   string // of the lease object
-	Host  string // written into the object for operators
+	Key   string // of the lease object: KeyPrefix and the failure domain
+	Host  string // name of this host, written into the object for operators
 	// IsCandidate reports whether this host should acquire the lease if it is
 	// free. Only a few hosts of a domain are candidates, so that the others
 	// send no requests to the platform.
@@ -62,8 +63,8 @@
 
 // pendingWrite is a write of this host whose outcome may be unknown.
 type pendingWrite struct {
-	nonce  string
-	fence  uint64
+	nonce  string // that of the stored record
+	fence  uint64 // fencing number; 0: the write creates the object and acquires nothing
 	sentAt time.Time
 }
 
@@ -77,20 +78,20 @@
 	opts   Options
 	stepMu sync.Mutex // serializes Step and Release
 
-	mu               sync.Mutex
-	held             *heldLease
-	highestSeenFence uint64 // highest fencing number reported by an engine
+	mu               sync.Mutex // guards held and highestSeenFence
+	held             *heldLease // nil: not held; otherwise it may have expired
+	highestSeenFence uint64     // highest fencing number reported by an engine
 
 	// Guarded by stepMu.
-	pendingWrites   []pendingWrite
-	observedVersion uint64    // version of the object at the last read
-	observedAt      time.Time // when that version was first read, by this host's clock
-	observedTTL     time.Duration
+	pendingWrites   []pendingWrite // oldest first
+	observedVersion uint64         // version of the object at the last read; 0: not read
+	observedAt      time.Time      // when that version was first read, by this host's clock
+	observedTTL     time.Duration  // TTL of that version, at least that of Options
 }
 
 // heldLease is the lease that this host holds, or held until it expired.
 type heldLease struct {
-	fence         uint64
+	fence         uint64    // fencing number
 	version       uint64    // of the object
 	renewalSentAt time.Time // taken before the last successful write was sent
 }
@@ -122,7 +123,8 @@
 	return max(now.Sub(from), now.Round(0).Sub(from.Round(0)))
 }
 
-// Run calls Step repeatedly until ctx ends. Waits are jittered by 10%.
+// Run calls Step repeatedly until ctx ends and returns nil. Waits are jittered by
+// 10%.
 func (e *Elector) Run(ctx context.Context) error {
 	for {
 		wait := e.Step(ctx)
@@ -136,7 +138,8 @@
 }
 
 // Step renews the lease if this host holds it, or tries to acquire it if this
-// host is a candidate. It returns the wait until the next step.
+// host is a candidate. It returns the wait until the next step. Failures of the
+// platform are not reported; the next step tries again.
 func (e *Elector) Step(ctx context.Context) time.Duration {
 	e.stepMu.Lock()
 	defer e.stepMu.Unlock()
@@ -233,8 +236,9 @@
 	}
 }
 
-// Release marks the lease as released, so that the next holder need not wait
-// for its TTL. All orders of the caller must have ended.
+// Release marks the lease as released, so that the next holder need not wait for
+// its TTL. All orders of the caller must have ended. If the write fails, the
+// lease expires instead.
 func (e *Elector) Release(ctx context.Context) {
 	e.stepMu.Lock()
 	defer e.stepMu.Unlock()
--- a/process/order/order.go
+++ b/process/order/order.go
@@ -26,15 +26,15 @@
 type Order struct {
 	Fence  uint64   `json:"fence"`  // fencing number of the lease
 	Models []string `json:"models"` // model/adapter@version
-	Role   string   `json:"role"`
+	Role   string   `json:"role"`   // empty: no role is required
 }
 
 // Target is an engine and its desired state.
 type Target struct {
 	Name    string
-	Address string
-	Models  []string // sorted
-	Role    string
+	Address string   // host:port
+	Models  []string // desired models as in Order.Models, sorted
+	Role    string   // desired role; empty: any
 	// ChecksFencing is set if the engine refuses stale fencing numbers.
 	ChecksFencing bool
 	// LastReported is the state in the engine's last load report, or nil. An
@@ -44,7 +44,7 @@
 
 // State is the state that an engine reports.
 type State struct {
-	Models []string
+	Models []string // loaded models as in Order.Models, in any order
 	Role   string
 	Fence  uint64 // highest fencing number seen; 0 if the engine checks none
 }
@@ -52,10 +52,12 @@
 // Sender sends requests to engines. Implementations are safe for concurrent
 // use.
 type Sender interface {
-	// Send returns an error that wraps ErrStaleFence if the engine refused the
-	// fencing number.
+	// Send sends o to the engine at address (host:port) and returns nil once the
+	// engine has accepted it. The error wraps ErrStaleFence if the engine refused
+	// the fencing number. After any other error the order may have taken effect
+	// or may still do so.
 	Send(ctx context.Context, address string, o Order) error
-	// ReadState returns the engine's current state.
+	// ReadState returns the current state of the engine at address (host:port).
 	ReadState(ctx context.Context, address string) (State, error)
 }
 
@@ -70,7 +72,8 @@
 	Release(ctx context.Context)
 }
 
-// Options configure a Manager; zero values select the defaults.
+// Options configure a Manager. Lease, Clock, Sender and Targets are required;
+// zero values of the others select the defaults.
 type Options struct {
 	Lease  Lease
 	Clock  clock.Clock
@@ -79,15 +82,17 @@
 	// desired states.
 	Targets func() []Target
 
-	Interval time.Duration // between rounds; default 1 s
+	Interval time.Duration // between calls of Reconcile by Run; default 1 s
 	// Timeout bounds each order and each read of an engine's state; it has to be
 	// below half of lease.Options.MaxOrderDuration. Default 1.4 s.
 	Timeout time.Duration
 	// RetryInterval is the least time between two orders to one engine; it has
 	// to exceed lease.Options.MaxOrderDuration. Default 5 s.
-	RetryInterval   time.Duration
-	OrdersPerSecond float64 // limits how fast engines load weights; default 1
-	MaxParallel     int     // orders in flight; default 4
+	RetryInterval time.Duration
+	// OrdersPerSecond bounds the orders sent to all engines together, and so the
+	// load on the weight store. Default 1.
+	OrdersPerSecond float64
+	MaxParallel     int // maximum number of orders in flight, and burst of the rate limit; default 4
 }
 
 func (o *Options) setDefaults() {
@@ -98,6 +103,7 @@
 	setDefault(&o.MaxParallel, 4)
 }
 
+// setDefault sets *v to def unless it is positive.
 func setDefault[T int | float64 | time.Duration](v *T, def T) {
 	if *v <= 0 {
 		*v = def
@@ -116,10 +122,11 @@
 type Manager struct {
 	Counters Counters
 
-	opts                Options
-	limiter             *rate.Limiter
-	mu                  sync.Mutex
-	nextOrderAt         map[string]time.Time // by address
+	opts    Options
+	limiter *rate.Limiter // OrdersPerSecond
+
+	mu                  sync.Mutex           // guards the fields below
+	nextOrderAt         map[string]time.Time // earliest time of the next order, by engine address
 	unconfirmed         map[string]bool      // addresses of engines that accepted an order and do not show its result yet
 	outcomeUnknownUntil time.Time            // an order without a response may still take effect until then
 }
@@ -133,10 +140,10 @@
 // releaseTimeout bounds the release of the lease when Run ends.
 const releaseTimeout = 2 * time.Second
 
-// Run sends orders until ctx ends, and then, with no order in flight, releases
-// the lease. If the outcome of a recent order is unknown, the lease is left to
-// expire instead: that order could undo an order of a holder that starts at
-// once.
+// Run calls Reconcile every Interval until ctx ends, and then, with no order in
+// flight, releases the lease. If the outcome of a recent order is unknown, the
+// lease is left to expire instead: that order could undo an order of a holder
+// that starts at once. Run returns nil.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
 		select {
@@ -162,9 +169,9 @@
 	m.opts.Lease.Release(ctx)
 }
 
-// Reconcile sends the orders that are due and returns when all have ended.
-// Orders in flight are not canceled when ctx ends: they may already be on the
-// wire.
+// Reconcile sends the orders that are due and returns when all have ended. It
+// does nothing unless the lease is held. Orders in flight are not canceled when
+// ctx ends: they may already be on the wire.
 func (m *Manager) Reconcile(ctx context.Context) {
 	ctx = context.WithoutCancel(ctx)
 	if _, ok := m.opts.Lease.Held(m.opts.Clock.Now()); !ok {
@@ -182,8 +189,9 @@
 	wg.Wait()
 }
 
-// dueTargets returns the engines that differ from their desired state, as many
-// as the rate limit allows. The others are left for a later call.
+// dueTargets returns the engines whose last report does not show the desired
+// state, as many as the rate limit allows, without those that got an order within
+// RetryInterval. The others are left for a later call.
 func (m *Manager) dueTargets() []Target {
 	now := m.opts.Clock.Now()
 	m.mu.Lock()
@@ -241,6 +249,7 @@
 	}
 }
 
+// readState reads the state of an engine within opts.Timeout.
 func (m *Manager) readState(ctx context.Context, t Target) (State, error) {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.Timeout)
 	defer cancel()
--- a/process/quarantine/dead_servers.go
+++ b/process/quarantine/dead_servers.go
@@ -27,8 +27,8 @@
 	s.deadCount.Store(int64(len(s.deadServers)))
 }
 
-// endAttemptOnDead reports whether the server was presumed dead when an attempt
-// began, and removes the attempt from the count.
+// endAttemptOnDead reports whether server was presumed dead when an attempt of fp
+// on it began, and removes the attempt from attemptsOnDead.
 func (s *SharedGuard) endAttemptOnDead(fp Fingerprint, server string) bool {
 	if s.deadCount.Load() == 0 {
 		return false
--- a/process/quarantine/peers.go
+++ b/process/quarantine/peers.go
@@ -12,10 +12,10 @@
 	"bilberrydale/process/peer"
 )
 
-// Methods between entry hosts.
+// Methods of calls between entry hosts, and what they transfer.
 const (
-	methodPush peer.Method = "quarantine.tell" // records that changed
-	methodList peer.Method = "quarantine.list" // all records in effect
+	methodPush peer.Method = "quarantine.tell" // sends records that changed
+	methodList peer.Method = "quarantine.list" // returns all records in effect
 )
 
 // maxRecordsPerMessage bounds the records of one message.
@@ -62,7 +62,8 @@
 	return msgpack.Marshal(true)
 }
 
-// mergeFromPeer merges the records of a peer, up to maxRecordsPerMessage.
+// mergeFromPeer merges the records of a peer, up to maxRecordsPerMessage, and
+// adds their crashes to those of all servers.
 func (s *SharedGuard) mergeFromPeer(records []record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/process/quarantine/quarantine.go
+++ b/process/quarantine/quarantine.go
@@ -39,7 +39,7 @@
 // Entry is one request in the operators' list of suspects and quarantined requests.
 type Entry struct {
 	Fingerprint Fingerprint `json:"fingerprint"`
-	Crashes     int         `json:"crashes"`
+	Crashes     int         `json:"crashes"` // attributed to the request
 	Verdict     Verdict     `json:"verdict"`
 	Expires     time.Time   `json:"expires"` // end of the suspicion or quarantine
 }
--- a/process/quarantine/shared_guard.go
+++ b/process/quarantine/shared_guard.go
@@ -11,7 +11,8 @@
 )
 
 // Options configure a SharedGuard: how many servers a request may crash, and the
-// times of suspicion, quarantine and sharing.
+// times of suspicion, quarantine and sharing. Zero fields get no defaults; see
+// DefaultOptions.
 type Options struct {
 	MaxCrashes         int           // crashes after which a request is quarantined
 	SuspectDuration    time.Duration // time from its last crash in which a request is a suspect
@@ -42,7 +43,7 @@
 // Crash is the loss of one backend server while it ran a request.
 type Crash struct {
 	Server string
-	At     time.Time
+	At     time.Time // on the clock of the host that observed the crash
 }
 
 // record holds the crashes attributed to one request. Pushes encode it as an array,
@@ -68,12 +69,12 @@
 	// request reads it without a lock.
 	snapshot atomic.Pointer[map[Fingerprint]record]
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards the fields up to attemptsOnDead
 	records        map[Fingerprint]record
-	recentCrashes  []Crash                // recent crashes of all servers
-	isolated       map[string]Fingerprint // suspects by the server they run on
+	recentCrashes  []Crash                // recent crashes of all servers; see addRecentCrash
+	isolated       map[string]Fingerprint // suspects by the server reserved for them
 	released       chan struct{}          // closed and replaced at each Release
-	deadServers    map[string]time.Time   // time of crash of the servers presumed dead
+	deadServers    map[string]time.Time   // time of the crash, by server presumed dead
 	attemptsOnDead map[attempt]int        // number of running attempts that began on a server presumed dead
 
 	deadCount atomic.Int64 // length of deadServers; avoids the lock while no server is presumed dead
@@ -193,8 +194,8 @@
 	s.deadCount.Store(int64(len(s.deadServers)))
 }
 
-// merge merges in into the record of its request and returns the result. The merge is
-// also how records of peers are combined. s.mu must be held.
+// merge merges in into the record of its request and returns the merged record.
+// It is also how records of peers are combined. s.mu must be held.
 func (s *SharedGuard) merge(in record) record {
 	r, ok := s.records[in.Fingerprint]
 	if !ok {
@@ -233,7 +234,7 @@
 }
 
 // containsCrash reports whether crashes has a crash of the same server within
-// CrashMergeWindow.
+// CrashMergeWindow of crash.
 func (s *SharedGuard) containsCrash(crashes []Crash, crash Crash) bool {
 	for _, other := range crashes {
 		if other.Server == crash.Server && crash.At.Sub(other.At).Abs() < s.opts.CrashMergeWindow {
