--- a/process/clock/clock.go
+++ b/process/clock/clock.go
@@ -51,7 +51,7 @@
 
 // Seeded is a random source with a reproducible sequence.
 type Seeded struct {
-	mu sync.Mutex
+	mu sync.Mutex // guards r
 	r  *rand.Rand
 }
 
@@ -83,9 +83,9 @@
 
 // Manual is a clock for tests whose time changes only by Advance.
 type Manual struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards now and waiters
 	now     time.Time
-	waiters []waiter
+	waiters []waiter // channels of After that are not due yet
 }
 
 // waiter is a channel returned by Manual.After and the time at which it is due.
--- a/process/drain/drain.go
+++ b/process/drain/drain.go
@@ -12,10 +12,10 @@
 // concurrent use.
 type Gate struct {
 	closed atomic.Bool
-	active atomic.Int64
+	active atomic.Int64 // units of work in flight
 
-	once    sync.Once
-	mu      sync.Mutex
+	once    sync.Once     // closes drained
+	mu      sync.Mutex    // guards the creation of drained
 	drained chan struct{} // closed once the gate is closed and no work is in flight
 }
 
--- a/process/errkind/errkind.go
+++ b/process/errkind/errkind.go
@@ -67,9 +67,10 @@
 	// wait before that if the error does not set one.
 	Retry      bool
 	RetryAfter time.Duration
-	Title      string
+	Title      string // what the kind means, as told to callers
 }
 
+// policies holds the policy of every kind.
 var policies = map[Kind]ResponsePolicy{
 	BadRequest:       {http.StatusBadRequest, RanNo, false, 0, "The request is malformed"},
 	TooLarge:         {http.StatusRequestEntityTooLarge, RanNo, false, 0, "The request body is too large"},
@@ -131,7 +132,7 @@
 	// ExecutionConfirmed is set if a backend server's response proves that it
 	// executed the request.
 	ExecutionConfirmed bool
-	Cause              error // returned by Unwrap
+	Cause              error // returned by Unwrap; nil if there is none; not part of the response
 }
 
 // New returns an error of kind k whose detail is formatted as by fmt.Errorf. An
--- a/process/keypair/keypair.go
+++ b/process/keypair/keypair.go
@@ -21,11 +21,11 @@
 // Reloader serves the last valid certificate and key read from two PEM files.
 // It is safe for concurrent use.
 type Reloader struct {
-	certFile, keyFile string
-	current           atomic.Pointer[tls.Certificate]
+	certFile, keyFile string                          // paths of the PEM files
+	current           atomic.Pointer[tls.Certificate] // last valid pair
 
-	mu        sync.Mutex
-	loadedPEM []byte // contents of both files at the last successful load
+	mu        sync.Mutex // serializes Reload and guards loadedPEM
+	loadedPEM []byte     // contents of both files at the last successful load
 }
 
 // New loads the certificate and key. It fails if a file cannot be read or the
@@ -79,7 +79,7 @@
 
 // Watch reloads the files on each value from reload and whenever they change,
 // until ctx ends. It calls onReload after each successful reload, with a nil
-// error, and after each failure.
+// error, and after each failure, with the path of the certificate.
 func (r *Reloader) Watch(ctx context.Context, c clock.Clock, reload <-chan os.Signal, onReload func(file string, err error)) {
 	for {
 		select {
