--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -17,8 +17,8 @@
 type attempt struct {
 	server   *directory.Server
 	response *upstream.Response
-	head     wire.ServerResponse
-	cancel   context.CancelFunc
+	headers  wire.ServerResponse
+	cancel   context.CancelFunc // interrupts the reading of the response
 }
 
 // close ends the attempt. The connection is closed unless complete is set, which requires
@@ -33,17 +33,18 @@
 	a.server.InFlight.Add(-1)
 }
 
-// Errors of an attempt. errNotSent and errNotRun prove that the server did not run the
-// request. After errInvalidResponse it may have run.
+// Errors of an attempt. errNotSent (no byte was sent) and errNotRun (the server states it)
+// prove that the server did not run the request. After errInvalidResponse it may have run.
 var (
 	errNotSent         = errors.New("the request did not reach a backend server")
 	errNotRun          = errors.New("the backend server did not run the request")
 	errInvalidResponse = errors.New("the backend server's answer broke off or is not its own")
 )
 
-// send sends the request to a server and returns once the response head has been checked.
-// firstByteTimeout limits the wait for the head; with 0 only the deadline of the request
-// does. A stream resumes after lastEventID, if that is not empty.
+// send sends the request to a server and returns once the status and headers of the response
+// have been checked. firstByteTimeout limits the wait for them; with 0 only the deadline of the
+// request does. A stream resumes after lastEventID, if that is not empty. The error is
+// errNotSent, errNotRun (of which errInputsLost is one) or errInvalidResponse.
 func (x *exchange) send(ctx context.Context, s *directory.Server, lastEventID string, firstByteTimeout time.Duration) (*attempt, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	now := x.opts.Clock.Now()
@@ -73,7 +74,7 @@
 		return nil, x.handleSendError(s, now, err)
 	}
 	x.reachedServer = true
-	a := &attempt{server: s, response: response, cancel: cancel, head: x.opts.Headers.DecodeServerResponse(response.Status, response.Header)}
+	a := &attempt{server: s, response: response, cancel: cancel, headers: x.opts.Headers.DecodeServerResponse(response.Status, response.Header)}
 	if err := x.checkResponse(a); err != nil {
 		a.close(errors.Is(err, errNotRun) && a.drain())
 		return nil, err
@@ -93,7 +94,7 @@
 // enginePriority returns the priority for the backend server of a request sent at now. A
 // resumed stream is not lowered, as its client has already waited for its first event.
 func (x *exchange) enginePriority(now time.Time) int {
-	if x.route.Kind != plan.Stream || x.headSent {
+	if x.route.Kind != plan.Stream || x.headersSent {
 		return unsetPriority
 	}
 	if now.Add(x.streamDurations.estimate(x.route.Name).toFirstEvent).After(x.targetTime) {
@@ -143,34 +144,34 @@
 	return fmt.Errorf("%w: %s: %w", errInvalidResponse, s.ID, err)
 }
 
-// checkResponse verifies that the response head is the server's own response to this
-// request. A refusal without an attempt ID is accepted on a new connection: it may come from
+// checkResponse verifies by its headers that the response is the server's own response to this
+// request and that the server ran the request, and records the load that it reports. A refusal without an attempt ID is accepted on a new connection: it may come from
 // another process at that address, but can only belong to this request.
 func (x *exchange) checkResponse(a *attempt) error {
-	anonymous := a.head.AttemptID == "" && a.head.NotRun && !a.response.ReusedConn
-	if a.head.AttemptID != x.client.AttemptID && !anonymous {
+	anonymous := a.headers.AttemptID == "" && a.headers.NotRun && !a.response.ReusedConn
+	if a.headers.AttemptID != x.clientRequest.AttemptID && !anonymous {
 		// A response to another request, or output of a faulty server.
 		x.mayHaveRun = true
-		return fmt.Errorf("%w: %s: the answer carries the id %q", errInvalidResponse, a.server.ID, a.head.AttemptID)
+		return fmt.Errorf("%w: %s: the answer carries the id %q", errInvalidResponse, a.server.ID, a.headers.AttemptID)
 	}
-	if a.head.LoadReported {
-		a.server.RecordLoad(a.head.RunningRequests, a.head.QueuedRequests, x.opts.Clock.Now())
+	if a.headers.LoadReported {
+		a.server.RecordLoad(a.headers.RunningRequests, a.headers.QueuedRequests, x.opts.Clock.Now())
 	}
-	if a.head.NotRun && a.response.Status == http.StatusConflict {
+	if a.headers.NotRun && a.response.Status == http.StatusConflict {
 		return fmt.Errorf("%w: %s", errInputsLost, a.server.ID)
 	}
-	if a.head.NotRun {
+	if a.headers.NotRun {
 		a.server.RecordResponse(true, x.opts.Clock.Now())
 		return fmt.Errorf("%w: %s: status %d", errNotRun, a.server.ID, a.response.Status)
 	}
 	x.mayHaveRun = true
-	if a.head.ContentEncoded || a.response.Status/100 == 2 && !a.head.Signed {
+	if a.headers.ContentEncoded || a.response.Status/100 == 2 && !a.headers.Signed {
 		return fmt.Errorf("%w: %s: status %d without the server's signature", errInvalidResponse, a.server.ID, a.response.Status)
 	}
 	return nil
 }
 
-// drain reads a short response to its end, so that the connection can be reused. It reports
+// drain reads the body of a short response to its end, so that the connection can be reused. It reports
 // whether the end was reached within 16 KiB.
 func (a *attempt) drain() bool {
 	var b [2048]byte
--- a/request/gateway/attempt_test.go
+++ b/request/gateway/attempt_test.go
@@ -41,8 +41,8 @@
 	x.route.Kind = plan.Stream
 	g.Expect(x.enginePriority(now.Add(time.Second))).To(Equal(unsetPriority))
 	g.Expect(x.enginePriority(now.Add(1700 * time.Millisecond))).To(Equal(latePriority))
-	x.headSent = true
+	x.headersSent = true
 	g.Expect(x.enginePriority(now.Add(1700 * time.Millisecond))).To(Equal(unsetPriority))
-	x.headSent, x.route.Kind = false, plan.Safe
+	x.headersSent, x.route.Kind = false, plan.Safe
 	g.Expect(x.enginePriority(now.Add(time.Hour))).To(Equal(unsetPriority))
 }
--- a/request/gateway/buffered.go
+++ b/request/gateway/buffered.go
@@ -23,11 +23,11 @@
 
 // attemptHistory records the outcomes of the attempts of one request.
 type attemptHistory struct {
-	tried          serverSet
+	tried          serverSet         // servers that get no further attempt
 	refusals       int               // attempts that provably did not run the request
 	possibleRuns   int               // attempts that may have run the request
 	failedResponse *bufferedResponse // 5xx response of a server, relayed if no later attempt succeeds
-	lastErr        error
+	lastErr        error             // error of the last attempt; nil: none has failed
 }
 
 // maxRefusals limits the attempts of a request that provably did not run it.
@@ -95,6 +95,7 @@
 // and has a free slot again.
 const refusedRetryAfter = 150 * time.Millisecond
 
+// lastErrorText returns the error of the last attempt as detail text.
 func (hist *attemptHistory) lastErrorText() string {
 	if hist.lastErr == nil {
 		return "no attempt was made"
@@ -130,7 +131,7 @@
 // justifies its cost.
 const firstByteLatencyShare = 0.75
 
-// firstByteTimeout returns how long to wait for a response head before the request is
+// firstByteTimeout returns how long to wait for response headers before the request is
 // retried on another server. 0: until the deadline, as no retry is allowed or the route has
 // no target latency.
 func (x *exchange) firstByteTimeout(hist *attemptHistory) time.Duration {
@@ -143,7 +144,8 @@
 // maxBufferedBytes limits the body of a response that is read into memory.
 const maxBufferedBytes = 16 << 20 // 16 MiB
 
-// sendBuffered sends the request to a server and reads the complete response.
+// sendBuffered sends the request to a server and reads the complete response. The error is one
+// of an attempt; see errNotSent.
 func (x *exchange) sendBuffered(ctx context.Context, s *directory.Server, firstByteTimeout time.Duration) (*bufferedResponse, error) {
 	a, err := x.send(ctx, s, "", firstByteTimeout)
 	if err != nil {
@@ -152,7 +154,8 @@
 	return x.readBuffered(a)
 }
 
-// readBuffered reads the rest of a response and ends the attempt.
+// readBuffered reads the body of a response and ends the attempt. It returns
+// errInvalidResponse if the body is truncated or exceeds maxBufferedBytes.
 func (x *exchange) readBuffered(a *attempt) (*bufferedResponse, error) {
 	body, err := io.ReadAll(io.LimitReader(a.response, maxBufferedBytes+1))
 	if err != nil || len(body) > maxBufferedBytes {
@@ -166,7 +169,8 @@
 	return r, nil
 }
 
-// writeBuffered relays the response of a backend server to the client.
+// writeBuffered relays the response of a backend server to the client, unless its status
+// would wrongly imply that the request did not run.
 func (x *exchange) writeBuffered(r *bufferedResponse) error {
 	if impliesNotRun(r.status) {
 		// The client would take this status as proof that the request did not run,
@@ -176,9 +180,9 @@
 	h := x.w.Header()
 	x.setResponseHeaders(h, r.header)
 	h["Content-Length"] = []string{strconv.Itoa(len(r.body))}
-	x.headSent = true
+	x.headersSent = true
 	x.logEntry.Status, x.logEntry.Ran = r.status, errkind.RanYes
-	x.logEntry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.start)
+	x.logEntry.TimeToFirstByte = x.opts.Clock.Now().Sub(x.arrivedAt)
 	x.w.WriteHeader(r.status)
 	if _, err := x.w.Write(r.body); err != nil {
 		x.abort = true
--- a/request/gateway/errors.go
+++ b/request/gateway/errors.go
@@ -19,11 +19,12 @@
 	return false
 }
 
-// writeError writes the error response of a request that has no other response.
+// writeError writes the error response, or marks the connection to be aborted if it is too
+// late for one.
 func (x *exchange) writeError(e *errkind.Error) {
 	advice := errkind.Lookup(e.Kind)
 	x.logEntry.Kind, x.logEntry.Ran, x.logEntry.Detail = e.Kind, e.Ran(), e.Detail
-	if x.headSent || x.abort {
+	if x.headersSent || x.abort {
 		x.abort = true
 		return
 	}
@@ -35,7 +36,7 @@
 	h := x.w.Header()
 	h["Date"] = nil
 	h["Content-Type"] = []string{"application/problem+json"}
-	x.opts.Headers.SetAttemptID(h, x.client.AttemptID)
+	x.opts.Headers.SetAttemptID(h, x.clientRequest.AttemptID)
 	if wait := e.RetryDelay(); wait > 0 && impliesNotRun(status) {
 		x.logEntry.RetryAfter = wait
 		x.opts.Headers.SetRetryAfter(h, wait)
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -28,13 +28,13 @@
 type Options struct {
 	Domain        string                            // failure domain of this entry host
 	OneWayLatency func(domain string) time.Duration // one-way network latency to a failure domain
-	Plan          *current.Value[plan.Plan]
-	Directory     *directory.Directory
+	Plan          *current.Value[plan.Plan]         // active configuration; not set: requests are refused
+	Directory     *directory.Directory              // backend servers
 	Upstream      *upstream.Client
 	Headers       wire.Headers // header format of the platform
-	Pool          *stages.Pool
+	Pool          *stages.Pool // runs the stages
 	RetryLimiter  RetryLimiter
-	ColdStart     *coldstart.Limiter
+	ColdStart     *coldstart.Limiter // limits requests to cold servers
 	Clock         clock.Clock
 	Rand          clock.Rand
 	// KeysFresh reports whether the API keys of the current plan were confirmed recently enough
@@ -56,9 +56,10 @@
 
 // RetryLimiter limits, per service, the attempts of requests beyond the first.
 type RetryLimiter interface {
-	// RecordRequest counts a new request, which adds to the retry budget.
+	// RecordRequest counts a new request, which adds to the retry budget of its service.
 	RecordRequest(service string)
-	// AllowRetry consumes a retry from the retry budget and reports whether one was left.
+	// AllowRetry takes a retry from the retry budget of the service. It returns false if none
+	// is left.
 	AllowRetry(service string) bool
 }
 
@@ -75,16 +76,16 @@
 // LogEntry is the access log entry of one request.
 type LogEntry struct {
 	ID                  string
-	Route               string
-	Account             string
-	Service             string
-	PlanVersion         int64 // configuration version
-	Status              int
+	Route               string       // empty: no route matched
+	Account             string       // empty: none, or not identified
+	Service             string       // that the request itself runs on; empty: refused before it was chosen
+	PlanVersion         int64        // configuration version
+	Status              int          // of the response; 0: none was sent
 	Kind                errkind.Kind // empty: the response of a backend server was relayed
-	Ran                 errkind.Ran
-	Detail              string
-	Server              string // ID of the last backend server that the request was sent to
-	Attempts            int    // sends to backend servers
+	Ran                 errkind.Ran  // whether a backend server ran the request
+	Detail              string       // reason of an error
+	Server              string       // ID of the last backend server that the request was sent to
+	Attempts            int          // sends to backend servers
 	Duration            time.Duration
 	StageDuration       time.Duration // from arrival to the end of the stage work
 	TimeToFirstByte     time.Duration // since arrival; 0: no byte was sent
@@ -99,42 +100,42 @@
 	*Gateway
 	w                http.ResponseWriter
 	r                *http.Request
-	client           wire.ClientRequest
-	plan             *plan.Plan
+	clientRequest    wire.ClientRequest // decoded headers of r
+	plan             *plan.Plan         // the configuration for the whole request
 	route            *plan.Route
-	account          string
-	priority         int
-	service          string
+	account          string        // name of the client account; empty: none
+	priority         int           // of the client account or the route; 0: most urgent
+	service          string        // that the request itself runs on, after its stages
 	allowed          residency.Set // regions in which the request may be served
-	body             []byte
-	start            time.Time
-	targetTime       time.Time // arrival plus target latency
-	deadline         time.Time
+	body             []byte        // of the client's request
+	arrivedAt        time.Time
+	targetTime       time.Time      // arrival plus target latency
+	deadline         time.Time      // the request is cancelled then
 	results          stages.Results // stage results that are not yet freed
 	stageRound       int            // number of times the stages were rerun
 	inputHandles     []string       // handles of the stage results
 	preferredServer  string         // ID of the server chosen with the stage results; empty: none
 	kvSource         string         // ID of a server that has the KV cache of the shared prompt prefix; empty: unknown
-	inputDomain      string         // failure domain that holds most of the input bytes
-	inputDomainBytes int64
+	inputDomain      string         // failure domain that holds most bytes of the stage results; empty: none
+	inputDomainBytes int64          // number of these bytes in inputDomain
 	logEntry         LogEntry
-	headSent         bool      // the response headers have been written
+	headersSent      bool      // the response headers have been written
 	abort            bool      // the connection has to be aborted, as the response is incomplete
 	mayHaveRun       bool      // a backend server may have run the request
 	reachedServer    bool      // the request may have reached a backend server, whether or not it ran
-	firstEventAt     time.Time // time of the first event of a stream
+	firstEventAt     time.Time // when the headers of a stream were written, with its first event
 }
 
 // ServeHTTP implements http.Handler. It panics with http.ErrAbortHandler if the response
 // cannot be completed.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	x := &exchange{Gateway: g, w: w, r: r, start: g.opts.Clock.Now(), client: g.opts.Headers.DecodeClientRequest(r.Header)}
-	x.logEntry.ID = x.client.AttemptID
+	x := &exchange{Gateway: g, w: w, r: r, arrivedAt: g.opts.Clock.Now(), clientRequest: g.opts.Headers.DecodeClientRequest(r.Header)}
+	x.logEntry.ID = x.clientRequest.AttemptID
 	if err := x.serve(); err != nil {
 		x.writeError(errkind.From(err))
 	}
 	x.freeResults()
-	x.logEntry.Duration = g.opts.Clock.Now().Sub(x.start)
+	x.logEntry.Duration = g.opts.Clock.Now().Sub(x.arrivedAt)
 	if !x.deadline.IsZero() {
 		x.logEntry.DeadlineRemaining = x.deadline.Sub(g.opts.Clock.Now())
 	}
@@ -169,7 +170,7 @@
 }
 
 // admit matches the route, authorizes the client account, and sets the deadline, the target
-// time and the service.
+// time and the service. The error is the reason for which the request is refused.
 func (x *exchange) admit() error {
 	p := x.opts.Plan.Load()
 	if p == nil {
@@ -189,18 +190,18 @@
 	if err := x.authorize(); err != nil {
 		return err
 	}
-	if x.client.AttemptID == "" {
+	if x.clientRequest.AttemptID == "" {
 		return errkind.New(errkind.BadRequest, "the request has no id")
 	}
 	timeout := x.route.Timeout
-	if d := x.client.Timeout; d > 0 && (timeout <= 0 || d < timeout) {
+	if d := x.clientRequest.Timeout; d > 0 && (timeout <= 0 || d < timeout) {
 		timeout = d
 	}
 	if timeout <= 0 {
 		timeout = defaultTimeout
 	}
-	x.deadline = x.start.Add(timeout)
-	x.targetTime = x.start.Add(x.route.TargetLatency)
+	x.deadline = x.arrivedAt.Add(timeout)
+	x.targetTime = x.arrivedAt.Add(x.route.TargetLatency)
 	x.service = x.route.PickService(x.opts.Rand.Float64())
 	x.logEntry.Service = x.service
 	x.opts.RetryLimiter.RecordRequest(x.service)
@@ -222,7 +223,7 @@
 	if !fresh {
 		return errkind.New(errkind.KeysNotFresh, "the configuration was last confirmed %s ago", age.Round(time.Millisecond))
 	}
-	a := x.plan.AccountByKey(x.client.APIKey)
+	a := x.plan.AccountByKey(x.clientRequest.APIKey)
 	if a == nil {
 		return errkind.New(errkind.UnknownKey, "no account of configuration %d holds the key", x.plan.Version)
 	}
--- a/request/gateway/placement_test.go
+++ b/request/gateway/placement_test.go
@@ -39,7 +39,7 @@
 		Pool: stages.NewPool(noPeers{}, clock.NewManual(now), stages.NewCoordinator(nil, nil, nil, nil), func(string) string { return "" }, nil),
 	})
 	p := plan.Compile(plan.Config{Services: []plan.Service{{Name: "s", ColdStart: coldstart.Limit{RequestsPerSecond: 2, ColdDuration: time.Second}}}})
-	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, PrefixAffinity: true}, service: "s", allowed: allowed, start: now}
+	return &exchange{Gateway: gw, plan: p, route: &plan.Route{Kind: plan.Safe, MaxAttempts: 9, PrefixAffinity: true}, service: "s", allowed: allowed, arrivedAt: now}
 }
 
 // Guards against a request served in a region that its route or client account does not
@@ -70,7 +70,7 @@
 		}
 		regionSubset := rapid.SliceOfNDistinct(rapid.SampledFrom(regions), 0, 3, rapid.ID)
 		x := newExchange(dir, now, residency.Set{RouteRegions: regionSubset.Draw(t, "route"), AccountRegions: regionSubset.Draw(t, "account")})
-		x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
+		x.clientRequest.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}, {ID: "own", Tokens: 10}}
 		x.preferredServer = fmt.Sprint("e", rapid.IntRange(0, 8).Draw(t, "target"))
 		allowed := func(s *directory.Server) bool {
 			return x.allowed.Allows(s.Region) && !s.Draining && s.Domain != evacuated
@@ -143,7 +143,7 @@
 		got = append(got, x.nextServer(context.Background(), &attemptHistory{tried: serverSet{}}).ID)
 	}
 	g.Expect(got).To(Equal([]string{"cold", "cold", "warm", "warm"}))
-	x.client.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}}
+	x.clientRequest.PromptParts = []wire.PromptPart{{ID: "part", Tokens: 5000}}
 	r := &stages.Request{}
 	x.setTargets(r)
 	g.Expect(r.Targets).To(HaveLen(1), "cold server at its limit is left out")
--- a/request/gateway/prefilltime.go
+++ b/request/gateway/prefilltime.go
@@ -9,8 +9,8 @@
 // a regression of the time to the first event on the number of uncached prompt tokens. Load
 // balancing derives the benefit of a cached prompt prefix from it.
 type prefillTimes struct {
-	mu        sync.Mutex
-	byService map[string]regression
+	mu        sync.Mutex            // guards byService
+	byService map[string]regression // by service name
 }
 
 const (
@@ -29,7 +29,7 @@
 	initialTokenStdDev = 1000
 )
 
-// estimate returns the prefill time of one prompt token.
+// estimate returns the prefill time of one prompt token at the engines of a service.
 func (t *prefillTimes) estimate(service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -57,7 +57,8 @@
 	t.byService[service] = reg
 }
 
-// regression is an exponentially weighted linear regression.
+// regression is an exponentially weighted linear regression of y, the time to the first event
+// in seconds, on x, the number of uncached prompt tokens.
 type regression struct {
 	meanX, meanY float64 // means of x and y
 	varX, covXY  float64 // variance of x, covariance of both
@@ -72,5 +73,5 @@
 	reg.covXY = (1 - regressionWeight) * (reg.covXY + regressionWeight*dx*dy)
 }
 
-// slope returns the slope of the regression line.
+// slope returns the slope of the regression line, in seconds per token.
 func (reg *regression) slope() float64 { return reg.covXY / max(reg.varX, 1) }
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -6,11 +6,11 @@
 	"bilberrydale/process/directory"
 )
 
-// shorterPrefix returns the ID of the second longest shared prefix of the prompt. Empty:
-// there is none.
+// shorterPrefix returns the ID of the second longest prompt prefix that other requests share.
+// Empty: there is none, or the route has no prefix affinity.
 func (x *exchange) shorterPrefix() string {
-	if n := len(x.client.PromptParts); x.route.PrefixAffinity && n > 2 {
-		return x.client.PromptParts[n-3].ID
+	if n := len(x.clientRequest.PromptParts); x.route.PrefixAffinity && n > 2 {
+		return x.clientRequest.PromptParts[n-3].ID
 	}
 	return ""
 }
@@ -24,7 +24,7 @@
 	return 0
 }
 
-// kvSourceAddress returns the address of the server from which the server "to" fetches the
+// kvSourceAddress returns the address (host:port) of the server from which the server "to" fetches the
 // KV cache of the shared prompt prefix. Empty: it computes the prefix itself.
 func (x *exchange) kvSourceAddress(to *directory.Server, now time.Time) string {
 	for _, id := range []string{x.kvSource, x.preferredServer} {
@@ -37,14 +37,14 @@
 }
 
 // sharedPrefix returns the ID of the longest prompt prefix that other requests share, and
-// its length in tokens, earlier parts included. The last of several parts is left out, as it
+// its length in tokens, earlier parts included; empty without prefix affinity. The last of several parts is left out, as it
 // belongs to this request or its session.
 func (x *exchange) sharedPrefix() (part string, tokens int) {
-	n := len(x.client.PromptParts)
+	n := len(x.clientRequest.PromptParts)
 	if !x.route.PrefixAffinity || n == 0 {
 		return "", 0
 	}
-	shared := x.client.PromptParts[:max(n-1, 1)]
+	shared := x.clientRequest.PromptParts[:max(n-1, 1)]
 	for _, p := range shared {
 		tokens += p.Tokens
 	}
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -23,7 +23,7 @@
 	ctx, stopWatch := x.cancelBeforeShutdown(ctx)
 	defer stopWatch()
 	results, err := x.opts.Pool.Run(ctx, r)
-	x.logEntry.StageDuration = x.opts.Clock.Now().Sub(x.start)
+	x.logEntry.StageDuration = x.opts.Clock.Now().Sub(x.arrivedAt)
 	if err != nil && errors.Is(context.Cause(ctx), errShutdown) {
 		return &errkind.Error{Kind: errkind.Draining, Detail: errShutdown.Error(), RetryAfter: drainingRetryAfter, Cause: err}
 	}
@@ -67,7 +67,7 @@
 // are needed to meet the target latency and the time after which they are of no use.
 func (x *exchange) stageRequest() *stages.Request {
 	r := &stages.Request{
-		ID: x.client.AttemptID, Round: x.stageRound, InputKey: x.client.StageInputKey, RunDomain: x.predictedDomain(), HostDomain: x.opts.Domain,
+		ID: x.clientRequest.AttemptID, Round: x.stageRound, InputKey: x.clientRequest.StageInputKey, RunDomain: x.predictedDomain(), HostDomain: x.opts.Domain,
 		AllowedRegions: x.allowed, Worth: x.worth(),
 		Stages: make([]stages.Stage, len(x.route.Stages)),
 	}
@@ -77,8 +77,8 @@
 	x.setTargets(r)
 	expected := x.streamDurations.estimate(x.route.Name)
 	r.TargetTime = x.targetTime.Add(-expected.toFirstEvent)
-	r.Deadline = x.start.Add(x.abandonTime() - min(expected.toFirstEvent, x.abandonTime()/reserveDivisor))
-	timeout := x.deadline.Sub(x.start)
+	r.Deadline = x.arrivedAt.Add(x.abandonTime() - min(expected.toFirstEvent, x.abandonTime()/reserveDivisor))
+	timeout := x.deadline.Sub(x.arrivedAt)
 	if end := x.deadline.Add(-min(expected.upperEstimate(), timeout/reserveDivisor)); end.Before(r.Deadline) {
 		r.Deadline = end
 	}
@@ -89,17 +89,17 @@
 // and two by proximity.
 const maxTargetServers = 4
 
-// setTargets lists the servers on which the request may run. The host that coordinates its
-// stage work chooses one of them.
+// setTargets adds to r the servers on which the request may run after its stages, and how much
+// prefill it needs there. The host that coordinates the stage work chooses one of them.
 func (x *exchange) setTargets(r *stages.Request) {
-	if len(x.client.PromptParts) == 0 {
+	if len(x.clientRequest.PromptParts) == 0 {
 		return // without prompt parts there is no shared prefix and no prefill that delays others
 	}
 	q := x.balanceQuery(nil)
 	for _, c := range balance.Rank(q, maxTargetServers) {
 		r.Targets = append(r.Targets, stages.Target{ID: c.Server.ID, Domain: c.Server.Domain, Cost: c.Cost, Home: c.Home})
 	}
-	ownTokens := max(x.client.InputTokens-q.PrefixTokens, 0)
+	ownTokens := max(x.clientRequest.InputTokens-q.PrefixTokens, 0)
 	r.Prompt = stages.Prompt{LongPrefix: q.AffinityKey, ShortPrefix: x.shorterPrefix(), CacheGain: q.AffinityDiscount(), SharedPrefill: q.PrefillTime(), FetchTime: x.kvTransferTime(q.PrefixTokens), OwnPrefill: time.Duration(ownTokens) * q.PrefillTimePerToken}
 }
 
@@ -112,8 +112,8 @@
 
 // stageItems returns the number of items of a stage: 1 if the client does not specify it.
 func (x *exchange) stageItems(stage int) int {
-	if stage < len(x.client.StageItems) {
-		return x.client.StageItems[stage]
+	if stage < len(x.clientRequest.StageItems) {
+		return x.clientRequest.StageItems[stage]
 	}
 	return 1
 }
@@ -166,7 +166,7 @@
 // that number of bytes.
 func (x *exchange) largestDomain(results stages.Results) (domain string, most int64) {
 	view := x.opts.Directory.View()
-	bytes := map[string]int64{}
+	bytes := map[string]int64{} // by failure domain
 	for _, in := range results.Inputs {
 		s := view.Server(in.ServerID)
 		if s == nil {
@@ -180,18 +180,18 @@
 	return domain, most
 }
 
-// priorityWeights scales the worth of a request by its priority. The most urgent one counts
+// priorityWeights scales the worth of a request, by its priority from 0. The most urgent one counts
 // for more than its size, the least urgent one for less.
 var priorityWeights = []float64{2, 1.2, 0.7, 0.5}
 
 // worth estimates the weight of one completed request relative to others: its size in
 // tokens, with a generated token counting as ten prompt tokens, scaled by priority.
 func (x *exchange) worth() float64 {
-	size := float64(x.client.InputTokens + 10*x.client.MaxOutputTokens)
+	size := float64(x.clientRequest.InputTokens + 10*x.clientRequest.MaxOutputTokens)
 	return max(size, 1) * priorityWeights[min(max(x.priority, 0), len(priorityWeights)-1)]
 }
 
-// Retry-After times. An overloaded stage has capacity again after about two of its calls.
+// Times after which a refused client may retry. An overloaded stage has capacity again after about two of its calls.
 const (
 	overloadedRetryAfter = 800 * time.Millisecond
 	noServerRetryAfter   = time.Second
@@ -200,7 +200,8 @@
 	coldRetryAfter = 200 * time.Millisecond
 )
 
-// stageError converts an error of the stage work into a *errkind.Error.
+// stageError converts a *stages.Error into a *errkind.Error, and returns other errors
+// unchanged.
 func (x *exchange) stageError(err error) error {
 	var stageErr *stages.Error
 	if !errors.As(err, &stageErr) {
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -21,7 +21,7 @@
 // client.
 func (x *exchange) serveStream(ctx context.Context) error {
 	hist := &attemptHistory{tried: serverSet{}}
-	progress := &streamProgress{lastEventID: x.client.LastEventID}
+	progress := &streamProgress{lastEventID: x.clientRequest.LastEventID}
 	reruns := 0
 	for {
 		s := x.nextServer(ctx, hist)
@@ -61,7 +61,7 @@
 
 // finishStream returns the error of a stream for which no further attempt is possible.
 func (x *exchange) finishStream(hist *attemptHistory) error {
-	if x.headSent {
+	if x.headersSent {
 		return &errkind.Error{Kind: errkind.StreamCut, Detail: hist.lastErrorText(), Dispatched: true, Cause: hist.lastErr}
 	}
 	return x.finish(hist)
@@ -69,8 +69,8 @@
 
 // streamProgress is the position in the stream up to which the client has received events.
 type streamProgress struct {
-	lastEventID   string // ID of the last event sent to the client
-	lastNumericID int64  // lastEventID as a number; 0: none
+	lastEventID   string // ID of the last event sent to the client; empty: none
+	lastNumericID int64  // the last event ID that is a number; 0: none
 }
 
 // relayStream relays a server's response to the client and ends the attempt. It returns nil
@@ -81,11 +81,11 @@
 		if err != nil {
 			return err
 		}
-		if !x.headSent && (!x.retryable() || r.status < 500) {
+		if !x.headersSent && (!x.retryable() || r.status < 500) {
 			return x.writeBuffered(r)
 		}
 		hist.failedResponse = r
-		if x.headSent {
+		if x.headersSent {
 			hist.failedResponse = nil
 		}
 		return fmt.Errorf("%w: %s: status %d", errInvalidResponse, a.server.ID, r.status)
@@ -99,8 +99,8 @@
 	}
 	now := x.opts.Clock.Now()
 	a.server.RecordResponse(false, now)
-	if !x.headSent {
-		x.writeHead(a)
+	if !x.headersSent {
+		x.writeHeaders(a)
 	}
 	x.observeTimes(now)
 	return nil
@@ -109,12 +109,12 @@
 // observeTimes updates the estimates of stream durations and prefill times from a stream that
 // ended at end.
 func (x *exchange) observeTimes(end time.Time) {
-	first := x.firstEventAt.Sub(x.start) - x.logEntry.StageDuration
+	first := x.firstEventAt.Sub(x.arrivedAt) - x.logEntry.StageDuration
 	x.streamDurations.observe(x.route.Name, streamDuration{toFirstEvent: first, afterFirstEvent: end.Sub(x.firstEventAt)})
-	if x.client.InputTokens > 0 && x.logEntry.Attempts == 1 {
+	if x.clientRequest.InputTokens > 0 && x.logEntry.Attempts == 1 {
 		// The shared prefix is usually in the KV cache already.
 		_, shared := x.sharedPrefix()
-		x.prefillTimes.observe(x.service, max(x.client.InputTokens-shared, 0), first)
+		x.prefillTimes.observe(x.service, max(x.clientRequest.InputTokens-shared, 0), first)
 	}
 }
 
@@ -138,7 +138,7 @@
 	return firstEventTimeout, eventTimeout
 }
 
-// relayEvents forwards complete events as they arrive. The rest of an interrupted event is
+// relayEvents forwards complete events as they arrive. It returns nil at the end of the stream. The rest of an interrupted event is
 // dropped, so that it is not joined with the first event of the next attempt.
 func (x *exchange) relayEvents(a *attempt, progress *streamProgress, hist *attemptHistory) error {
 	first, later := x.eventTimeouts(hist)
@@ -174,8 +174,8 @@
 	if numeric && progress.lastNumericID > 0 && n <= progress.lastNumericID {
 		return nil
 	}
-	if !x.headSent {
-		x.writeHead(a)
+	if !x.headersSent {
+		x.writeHeaders(a)
 	}
 	if _, err := x.w.Write(event); err != nil {
 		return err
@@ -189,20 +189,21 @@
 	return nil
 }
 
-// numericID parses an event ID as a number.
+// numericID parses an event ID as a number, and returns false if it is none.
 func numericID(id string) (int64, bool) {
 	n, err := strconv.ParseInt(id, 10, 64)
 	return n, err == nil
 }
 
-// writeHead sends the response head. It is called with the first event: until then, the
-// request can still fail over to another server and get that server's head.
-func (x *exchange) writeHead(a *attempt) {
+// writeHeaders sends the status and headers of the server's response. It is called with the
+// first event: until then, the request can still fail over to another server and get the
+// headers of its response.
+func (x *exchange) writeHeaders(a *attempt) {
 	x.setResponseHeaders(x.w.Header(), a.response.Header)
-	x.headSent = true
+	x.headersSent = true
 	x.logEntry.Status, x.logEntry.Ran = a.response.Status, errkind.RanYes
 	now := x.opts.Clock.Now()
-	x.logEntry.TimeToFirstByte = now.Sub(x.start)
+	x.logEntry.TimeToFirstByte = now.Sub(x.arrivedAt)
 	x.firstEventAt = now
 	x.w.WriteHeader(a.response.Status)
 	// The engine has read its inputs before it generates the first event.
--- a/request/gateway/streamduration.go
+++ b/request/gateway/streamduration.go
@@ -8,8 +8,8 @@
 // streamDurations estimates how long the streams of each route take, by an exponentially
 // weighted moving average.
 type streamDurations struct {
-	mu      sync.Mutex
-	byRoute map[string]streamDuration
+	mu      sync.Mutex                // guards byRoute
+	byRoute map[string]streamDuration // by route name
 }
 
 // streamDuration is the time from the sending of the request to the first event, and from
--- a/request/gateway/streamduration_test.go
+++ b/request/gateway/streamduration_test.go
@@ -34,7 +34,7 @@
 		gw.streamDurations.observe("r", duration)
 	}
 	return &exchange{
-		Gateway: gw, start: now, targetTime: now.Add(2 * time.Second), deadline: now.Add(timeout),
+		Gateway: gw, arrivedAt: now, targetTime: now.Add(2 * time.Second), deadline: now.Add(timeout),
 		plan: &plan.Plan{}, route: &plan.Route{Name: "r", TargetLatency: 2 * time.Second, Stages: []plan.Stage{{Service: "s"}}},
 	}
 }
