--- a/connection/upstream/socket.go
+++ b/connection/upstream/socket.go
@@ -8,7 +8,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// setUserTimeout limits how long sent data may remain unacknowledged. Without it, a
+// setUserTimeout closes c when sent data has not been acknowledged for d. Without it, a
 // connection to a host that has disappeared waits for minutes.
 func setUserTimeout(c *net.TCPConn, d time.Duration) error {
 	raw, err := c.SyscallConn()
@@ -25,7 +25,7 @@
 	return sockErr
 }
 
-// isReusable reports whether an idle connection is open and has no data to read. On a
+// isReusable reports whether an idle connection is open and has no data to read: on a
 // connection closed by the server the next request would be lost, and data that has arrived
 // belongs to no request.
 func (k *conn) isReusable() bool {
--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -26,16 +26,16 @@
 type Request struct {
 	Method  string
 	URI     string // path and query, sent unchanged
-	Host    string
+	Host    string // Host header; need not be the address of the server
 	Header  http.Header
-	Body    []byte
-	HasBody bool // the request has a body, which may be empty
+	Body    []byte // ignored unless HasBody is set
+	HasBody bool   // the request has a body, which may be empty
 }
 
 // Error describes a failed request.
 type Error struct {
 	// Sent reports that a byte of the request may have been sent, so that the server may have
-	// run it.
+	// run it. If it is false, the request had no effect.
 	Sent bool
 	// ReusedConn reports that the connection had been used for an earlier request. The cause
 	// may then be the connection and not the server.
@@ -67,22 +67,23 @@
 	// a time. Default 3 s.
 	DefaultIdleTimeout time.Duration
 	// ServerIdleTimeout returns the time after which the server closes an idle connection, from
-	// the headers of a response. 0: not specified.
+	// the headers of a response; 0: not specified. It may be nil.
 	ServerIdleTimeout func(http.Header) time.Duration
-	// OnConnect is called for each new connection.
+	// OnConnect is called for each new connection, with the server's address (host:port). It
+	// may be nil.
 	OnConnect func(address string)
 }
 
 // Client sends requests to backend servers and keeps idle connections per address. It is
 // safe for concurrent use.
 type Client struct {
-	opts  Options
-	mu    sync.Mutex
-	pools map[string]*idlePool
-	open  atomic.Int64
+	opts      Options
+	mu        sync.Mutex           // guards pools and their content
+	pools     map[string]*idlePool // by address (host:port)
+	openConns atomic.Int64         // open connections, idle or in use
 }
 
-// idlePool holds the idle connections to an address.
+// idlePool holds the idle connections to one address.
 type idlePool struct {
 	idle []*conn // most recently used last
 }
@@ -102,24 +103,24 @@
 }
 
 // OpenConnections returns the number of open connections, idle or in use.
-func (c *Client) OpenConnections() int64 { return c.open.Load() }
+func (c *Client) OpenConnections() int64 { return c.openConns.Load() }
 
 // conn is a connection to a backend server.
 type conn struct {
 	client      *Client
-	address     string
+	address     string // host:port of the server
 	tcp         *net.TCPConn
 	reader      *bufio.Reader
 	responses   int           // responses received on the connection
 	idleSince   time.Time     // start of the current idle period
 	idleTimeout time.Duration // after which an idle connection is not used any more
-	closed      atomic.Bool
+	closed      atomic.Bool   // set by close
 }
 
 // close closes the connection. Further calls have no effect.
 func (k *conn) close() {
 	if k.closed.CompareAndSwap(false, true) {
-		k.client.open.Add(-1)
+		k.client.openConns.Add(-1)
 		_ = k.tcp.Close()
 	}
 }
@@ -144,7 +145,7 @@
 	}
 }
 
-// putIdle keeps a connection for the next request.
+// putIdle keeps a connection for the next request to its address.
 func (c *Client) putIdle(k *conn) {
 	k.idleSince = time.Now()
 	c.mu.Lock()
@@ -198,7 +199,7 @@
 	}
 }
 
-// dial opens a connection.
+// dial opens a connection to address within DialTimeout.
 func (c *Client) dial(ctx context.Context, address string) (*conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.opts.DialTimeout)
 	defer cancel()
@@ -211,15 +212,15 @@
 		_ = netConn.Close()
 		return nil, err
 	}
-	c.open.Add(1)
+	c.openConns.Add(1)
 	if c.opts.OnConnect != nil {
 		c.opts.OnConnect(address)
 	}
 	return &conn{client: c, address: address, tcp: tcpConn, reader: bufio.NewReaderSize(tcpConn, 4096)}, nil
 }
 
-// Response is the response to a request. Its body is read by Read. Close or Discard must be
-// called once.
+// Response is the response to a request. Its body is read by Read. Either Close or Discard
+// must be called, once.
 type Response struct {
 	Status int
 	Header http.Header
@@ -230,14 +231,15 @@
 
 	conn        *conn
 	body        io.ReadCloser
-	stopCancel  func() bool // stops the interruption of the connection by the context
+	stopCancel  func() bool // detaches the connection from the context; false if that has interrupted it
 	complete    bool        // the body was read to its delimited end
-	keepAlive   bool        // the connection can be kept after the body
-	writeResult chan error  // receives the result of writing the request
+	keepAlive   bool        // the server keeps the connection open after the body
+	writeResult chan error  // receives one value, the result of writing the request
 }
 
-// Do sends a request and returns the head of the response. An error is always an *Error. The
-// request ends when ctx ends, even while the body is read.
+// Do sends a request to a server's address (host:port) and returns once the response headers
+// have arrived, whatever their status. An error is always an *Error. When ctx ends, the request
+// is interrupted, also while the body is read.
 func (c *Client) Do(ctx context.Context, address string, req *Request) (*Response, error) {
 	k := c.takeIdle(address)
 	reused := k != nil
@@ -267,7 +269,7 @@
 // does not read. Larger requests are written concurrently.
 const maxSyncWriteBytes = 8 << 10
 
-// roundTrip writes a request to the connection and reads the response head.
+// roundTrip writes a request to the connection and reads the response headers.
 func (c *Client) roundTrip(k *conn, req *Request) (*Response, error) {
 	httpReq := &http.Request{
 		Method: req.Method, Host: req.Host, Header: req.Header, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1,
@@ -296,7 +298,7 @@
 			writeResult <- err
 		}()
 	}
-	httpResp, err := c.readResponseHead(k, httpReq)
+	httpResp, err := c.readResponseHeaders(k, httpReq)
 	if err != nil {
 		return nil, err
 	}
@@ -317,12 +319,12 @@
 	return resp, nil
 }
 
-// readResponseHead reads a response head, skipping interim responses (1xx).
-func (c *Client) readResponseHead(k *conn, httpReq *http.Request) (*http.Response, error) {
+// readResponseHead reads the status and headers of a response, skipping interim responses (1xx).
+func (c *Client) readResponseHeaders(k *conn, httpReq *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(k.reader, httpReq)
 		if err != nil {
-			return nil, fmt.Errorf("read answer: %w", err)
+			return nil, fmt.Errorf("read response: %w", err)
 		}
 		if resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, nil
@@ -330,7 +332,7 @@
 	}
 }
 
-// Read implements io.Reader. It returns io.EOF only if the response is complete.
+// Read implements io.Reader for the body. It returns io.EOF only if the response is complete.
 func (r *Response) Read(b []byte) (int, error) {
 	n, err := r.body.Read(b)
 	if errors.Is(err, io.EOF) {
