--- a/process/objectwatch/compress.go
+++ b/process/objectwatch/compress.go
@@ -16,12 +16,13 @@
 // hundred of them request thousands of entries from one reader: uncompressed, these fill
 // its network link for seconds.
 type compressedList struct {
-	mu      sync.Mutex
-	version uint64 // history.version of the list
-	bytes   []byte
+	mu      sync.Mutex // guards version and bytes; locked before history.mu
+	version uint64     // history.version of the list in bytes
+	bytes   []byte     // result of compress
 }
 
-// compressedList returns the compressed list; ok is false before the first list.
+// compressedList returns the copy as a compressed list, its revision and the time of its last
+// confirmation; ok is false before the first list.
 func (h *history[T]) compressedList() (list []byte, revision Revision, confirmedAt time.Time, ok bool, err error) {
 	h.compressed.mu.Lock()
 	defer h.compressed.mu.Unlock()
@@ -66,14 +67,15 @@
 // thousand entries.
 const maxDecompressedBytes = 64 << 20
 
-// decompress reverses compress. A longer list than maxDecompressedBytes is an error.
+// decompress reverses compress. A list that exceeds maxDecompressedBytes is cut off and fails
+// to decode.
 func decompress[T any](list []byte) (objects []peerObject[T], err error) {
 	payload, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(list)), maxDecompressedBytes))
 	if err != nil {
-		return nil, fmt.Errorf("follow: decompress list: %w", err)
+		return nil, fmt.Errorf("objectwatch: decompress list: %w", err)
 	}
 	if err := peer.Unmarshal(payload, &objects); err != nil {
-		return nil, fmt.Errorf("follow: decompress list: %w", err)
+		return nil, fmt.Errorf("objectwatch: decompress list: %w", err)
 	}
 	return objects, nil
 }
--- a/process/objectwatch/history.go
+++ b/process/objectwatch/history.go
@@ -8,15 +8,15 @@
 // history is what a follower serves to other hosts: its copy, the recent changes, and the
 // time of the last confirmation.
 type history[T any] struct {
-	mu          sync.Mutex
-	objects     map[string]Object[T]
-	version     uint64 // incremented with each change of objects
+	mu          sync.Mutex           // guards all fields except compressed and listed
+	objects     map[string]Object[T] // by name; nil before the first list
+	version     uint64               // incremented with each change of objects
 	compressed  compressedList
-	revision    Revision
-	batches     []batch[T]
-	trimmedTo   Revision // changes up to this revision are no longer kept
-	confirmedAt time.Time
-	changed     chan struct{} // closed at each change
+	revision    Revision      // of objects
+	batches     []batch[T]    // recent changes, oldest first
+	trimmedTo   Revision      // changes up to this revision are no longer kept
+	confirmedAt time.Time     // last time at which objects were known to be current; zero: never
+	changed     chan struct{} // closed and replaced at each change
 	listed      chan struct{} // closed at the first list
 }
 
@@ -83,7 +83,8 @@
 	h.changed = make(chan struct{})
 }
 
-// confirm records a confirmation of the copy.
+// confirm records that the copy contained every change made before at. A time before the
+// recorded one has no effect.
 func (h *history[T]) confirm(at time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -101,8 +102,8 @@
 	return a
 }
 
-// list returns the copy and the time of its confirmation; ok is false before the first
-// list.
+// list returns the copy, its revision and the time of its last confirmation; ok is false
+// before the first list.
 func (h *history[T]) list() (objects []Object[T], revision Revision, confirmedAt time.Time, ok bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -119,9 +120,9 @@
 
 // update holds the changes after a revision.
 type update[T any] struct {
-	objects     []Object[T]
-	revision    Revision
-	confirmedAt time.Time
+	objects     []Object[T]   // the changes, oldest first; empty: none
+	revision    Revision      // that the changes lead to
+	confirmedAt time.Time     // last confirmation of the copy
 	changed     chan struct{} // closed at the next change
 	listed      bool          // false: the first list has not arrived yet
 	trimmed     bool          // changes after the requested revision are no longer kept
--- a/process/objectwatch/initiallist.go
+++ b/process/objectwatch/initiallist.go
@@ -16,7 +16,7 @@
 // initialList implements WithInitialList. Only a complete list counts as the first one.
 type initialList[T any] struct {
 	initial, next Source[T]
-	listed        atomic.Bool
+	listed        atomic.Bool // initial has returned the last page of a list
 }
 
 // List implements Source.
--- a/process/objectwatch/monitored.go
+++ b/process/objectwatch/monitored.go
@@ -8,7 +8,7 @@
 	"bilberrydale/process/apihealth"
 )
 
-// errWatchTimeout wraps ErrHistoryGone, so that the follower lists again.
+// errWatchTimeout is returned in place of sending a watch again after an outage. It wraps ErrHistoryGone, so that the follower lists again.
 var errWatchTimeout = fmt.Errorf("%w: no response to the watch in time", ErrHistoryGone)
 
 // Monitored returns a source that sends the requests of s by way of apihealth.Call: they wait
@@ -16,6 +16,7 @@
 // after a lost watch the follower lists again.
 func Monitored[T any](m *apihealth.Monitor, s Source[T]) Source[T] { return monitored[T]{m, s} }
 
+// monitored implements Monitored.
 type monitored[T any] struct {
 	monitor *apihealth.Monitor
 	source  Source[T]
--- a/process/objectwatch/objectwatch.go
+++ b/process/objectwatch/objectwatch.go
@@ -19,9 +19,9 @@
 // be decoded, such as one written by another program.
 type Object[T any] struct {
 	Name     string
-	Revision Revision
-	Value    T
-	Deleted  bool
+	Revision Revision // of the last write, or of the deletion
+	Value    T        // zero if Deleted or Err is set
+	Deleted  bool     // set in changes only
 	Err      error
 }
 
@@ -51,13 +51,13 @@
 
 // ErrHistoryGone is returned by Watch when the changes after the revision are no longer
 // kept. Use errors.Is.
-var ErrHistoryGone = errors.New("follow: history is gone")
+var ErrHistoryGone = errors.New("objectwatch: history is gone")
 
 // ErrRefused is returned when the source did not execute the request because it is busy or
 // its rate limit is exceeded. Use errors.Is.
-var ErrRefused = errors.New("follow: refused")
+var ErrRefused = errors.New("objectwatch: refused")
 
-var errOlderList = errors.New("follow: the list is older than the local copy")
+var errOlderList = errors.New("objectwatch: the list is older than the local copy")
 
 // Options configures a Follower. All fields are required except CoalesceDelay.
 type Options[T any] struct {
@@ -73,8 +73,9 @@
 	// CoalesceDelay is the pause after a response with changes, so that changes in quick
 	// succession arrive in one response; 0: none.
 	CoalesceDelay time.Duration
-	// OnChange is called with the whole copy after each list or change. origin is "list"
-	// or "watch". The callee must not modify or retain the map.
+	// OnChange is called with the whole copy, by object name, after each list and each
+	// response with changes. origin is "list" or "watch". The callee must not modify or
+	// retain the map.
 	OnChange func(objects map[string]Object[T], origin string)
 	// OnConfirmed is called when a response has confirmed that the copy contains every
 	// change that was accepted before at.
@@ -88,12 +89,12 @@
 // Follower maintains the copy. Run is called once.
 type Follower[T any] struct {
 	opts         Options[T]
-	objects      map[string]Object[T]
-	revision     Revision
-	listed       bool
-	failingSince time.Time // zero: the last request succeeded
-	failures     int
-	history      history[T]
+	objects      map[string]Object[T] // the copy, by object name
+	revision     Revision             // of the copy; the next watch starts from it
+	listed       bool                 // false: the next request is a list
+	failingSince time.Time            // zero: the last request succeeded
+	failures     int                  // consecutive failed steps
+	history      history[T]           // served to other hosts
 }
 
 // New returns a follower with an empty copy.
@@ -111,7 +112,7 @@
 	maxBackoff = 400 * time.Millisecond
 )
 
-// Run follows the source until ctx ends.
+// Run keeps the copy current until ctx ends. It returns nil.
 func (f *Follower[T]) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		started := f.opts.Clock.Now()
@@ -163,8 +164,8 @@
 	f.opts.OnChange(f.objects, "watch")
 }
 
-// listAllPages requests all pages of a list. A refused page is requested again, because a
-// new list would repeat all pages before it. AsOf is that of the oldest page: the watch
+// listAllPages requests all pages of a list. A refused page after the first is requested again,
+// because a new list would repeat all pages before it. AsOf is that of the oldest page: the watch
 // delivers changes between the pages again.
 func (f *Follower[T]) listAllPages(ctx context.Context) (all Response[T], err error) {
 	after, retries := "", 0
@@ -199,8 +200,10 @@
 const (
 	// pageTimeout is the time for one page of up to 1 MB, or for a list through a reader,
 	// which many hosts may request at once.
-	pageTimeout    = 2500 * time.Millisecond
+	pageTimeout = 2500 * time.Millisecond
+	// pageRetryDelay is the pause before a refused page is requested again.
 	pageRetryDelay = 150 * time.Millisecond
+	// maxPageRetries limits these requests in one list.
 	maxPageRetries = 8
 )
 
@@ -208,7 +211,8 @@
 // and the store delays its responses.
 const listTimeout = 8 * time.Second
 
-// list replaces the copy by a new list.
+// list replaces the copy by a new list, requested at sent. A list that is older than the copy
+// is rejected with errOlderList, and the copy is watched further.
 func (f *Follower[T]) list(ctx context.Context, sent time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -294,9 +298,9 @@
 	}
 }
 
-// backOff waits between failed steps, including the time that the step itself took. A step
-// that failed only after waiting needs no further pause, because its source responds as
-// soon as there are changes.
+// backOff waits after a failed step until a backoff time, which doubles with each failure
+// up to maxBackoff, has passed since the step started. A step that failed only after a longer wait needs no further
+// pause, because its source responds as soon as there are changes.
 func (f *Follower[T]) backOff(ctx context.Context, started time.Time) {
 	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minBackoff<<min(f.failures, 5), maxBackoff)))
 	if remaining := d - f.opts.Clock.Now().Sub(started); remaining > 0 {
--- a/process/objectwatch/peersource.go
+++ b/process/objectwatch/peersource.go
@@ -17,8 +17,8 @@
 //
 // It serves one Follower, and is not safe for concurrent use.
 type PeerSource[T any] struct {
-	// Kind names the objects in the method between hosts, and Direct reads them from the
-	// object API.
+	// Kind names the objects in the method between hosts, as in Follower.Serve. Direct reads
+	// them from the object API.
 	Kind   string
 	Link   peer.Link
 	Direct Source[T]
@@ -32,17 +32,18 @@
 	// host. If there is none, this host reads from the object API itself.
 	Readers func() []string
 
-	skipped           map[string]skippedHost // by reader, after failures
-	waitingSince      map[string]time.Time   // by reader without a usable copy: time of the first failed request
-	directPausedUntil time.Time              // no request to the object API before
-	// usingDirect is set while the object API serves this host in place of the readers.
+	skipped           map[string]skippedHost // readers that have failed, by host name
+	waitingSince      map[string]time.Time   // by host name of a reader without a usable copy: its first failed request
+	directPausedUntil time.Time              // no request to the object API before; zero: not paused
+	// usingDirect is set by a request that the object API served, until a reader serves one or
+	// the object API fails.
 	usingDirect bool
 }
 
 // skippedHost is a reader that gets no requests for a while after a failure.
 type skippedHost struct {
-	until        time.Time
-	unresponsive int // 1: it did not respond, 0: it had no usable copy
+	until        time.Time // end of the exclusion
+	unresponsive int       // 1: it did not respond, 0: it had no usable copy
 }
 
 const (
@@ -74,11 +75,14 @@
 )
 
 var (
-	errPeer      = errors.New("follow: no usable response from reader")
+	// errPeer wraps the errors of a request to a reader, among them the next two.
+	errPeer      = errors.New("objectwatch: no usable response from reader")
 	errNotListed = errors.New("it has not listed the objects yet")
 	errStale     = errors.New("its copy is too old")
-	errNoReader  = errors.New("no reader has a usable copy")
-	errNoSource  = errors.New("follow: no reader has a usable copy and the object API does not respond")
+	// errNoReader makes request turn to the object API, errNoSource reports that this is known
+	// to be unresponsive.
+	errNoReader = errors.New("no reader has a usable copy")
+	errNoSource = errors.New("objectwatch: no reader has a usable copy and the object API does not respond")
 )
 
 // List implements Source.
@@ -132,8 +136,10 @@
 	return resp, err
 }
 
-// queryReaders sends the request to each reader in turn. It returns errNoReader if none of
-// them has a usable copy and none is worth waiting for.
+// queryReaders sends the request, which was started at started, to each reader in turn until
+// one has a usable copy or reports ErrHistoryGone. If none has, it returns errNoReader, or the
+// error of a reader that is still waited for. While requests to the object API are paused, it
+// returns the error of the first reader that it tries.
 func (s *PeerSource[T]) queryReaders(ctx context.Context, readers []string, req peerRequest, started time.Time) (resp Response[T], err error) {
 	pending := errNoReader
 	unresponsive := 0 // readers that did not respond at all
@@ -161,8 +167,8 @@
 	return resp, pending
 }
 
-// skip excludes a reader for skipTime. It returns 1 if the reader did not respond at all,
-// 0 otherwise.
+// skip excludes a reader that failed with cause for skipTime. It returns 1 if the reader did
+// not respond at all, 0 otherwise.
 func (s *PeerSource[T]) skip(host string, cause error) (unresponsive int) {
 	if !errors.Is(cause, errStale) && !errors.Is(cause, errNotListed) {
 		unresponsive = 1
@@ -172,10 +178,10 @@
 	return unresponsive
 }
 
-// maxWait returns how long to wait for reader i of the given number after a failure. The
-// readers of a host precede it in a common order, so the wait for stale readers grows with
-// the host's position: each host before it has time to read from the object API on behalf
-// of the others. A stale first reader is not waited for.
+// maxWait returns how long to wait, from its first failure, for the reader at index i of
+// readers in all. The readers of a host precede it in a common order, so the wait for stale
+// readers grows with the host's position: each host before it has time to read from the object
+// API on behalf of the others. A stale first reader is not waited for.
 func maxWait(cause error, i, readers int) time.Duration {
 	switch {
 	case errors.Is(cause, errNotListed):
@@ -208,8 +214,10 @@
 	(*m)[host] = value
 }
 
-// queryDirect sends the request to the object API. If that fails, the readers are tried
-// again first.
+// queryDirect sends the request to the object API. If that fails or the API is known to be
+// unresponsive, no reader is skipped any more, and the next requests go to the readers only
+// until one has a usable copy or directRetryDelay has passed. elapsed is the time already spent
+// on readers.
 func (s *PeerSource[T]) queryDirect(ctx context.Context, elapsed time.Duration, direct directRequest[T]) (resp Response[T], err error) {
 	if s.APIUnresponsive() {
 		// A request that waited for the API's recovery here would stop this host from
@@ -217,8 +225,9 @@
 		// recovers.
 		err = errNoSource
 	} else {
-		// The first time, the copy here is as old as those of the readers, and other hosts
-		// may wait for this one: it needs a confirmation at once, not the next change.
+		// At the first request after the readers failed, this host's copy is as old as theirs,
+		// and other hosts may wait for this one: it needs a confirmation at once, not the next
+		// change.
 		resp, err = direct(ctx, elapsed, !s.usingDirect)
 	}
 	s.usingDirect = err == nil
@@ -229,7 +238,8 @@
 	return resp, err
 }
 
-// queryReader sends the request to one reader and checks the age of its copy.
+// queryReader sends the request to one reader and checks the age of its copy. It returns
+// ErrHistoryGone if the reader no longer keeps the changes; any other error wraps errPeer.
 func (s *PeerSource[T]) queryReader(ctx context.Context, reader string, req peerRequest) (resp Response[T], err error) {
 	if !req.List {
 		watchCtx, cancel := context.WithTimeout(ctx, time.Duration(req.WaitMS)*time.Millisecond+peerResponseTimeout)
--- a/process/objectwatch/serve.go
+++ b/process/objectwatch/serve.go
@@ -10,8 +10,8 @@
 
 // peerRequest requests a list or the changes from another host's follower.
 type peerRequest struct {
-	List bool
-	From Revision
+	List bool     // a list in place of a watch
+	From Revision // revision after which a watch returns the changes
 	// WaitMS limits the wait for a change, or for the first list.
 	WaitMS int64
 	// MaxAgeUS ends the wait as soon as the age of the responding host's copy exceeds it.
@@ -29,20 +29,20 @@
 	Revision Revision
 	Value    T
 	Deleted  bool
-	Error    string
+	Error    string // text of Object.Err; empty: none
 }
 
 // peerResponse is the response to a peerRequest.
 type peerResponse[T any] struct {
-	Objects []peerObject[T]
-	AsOf    Revision
-	AgeUS   int64 // of the responding host's copy when it responds
-	// AgeAtRequestUS is the time from the last confirmation of the copy to the arrival of
+	Objects []peerObject[T] // all objects for a list, the changes for a watch
+	AsOf    Revision        // revision that Objects leads to
+	AgeUS   int64           // microseconds from the last confirmation of the copy to the response
+	// AgeAtRequestUS is the time in microseconds from the last confirmation of the copy to the arrival of
 	// the request; it is negative if the copy was confirmed later. It does not depend on
 	// when the response is sent, because the host may be suspended in between.
 	AgeAtRequestUS int64
-	HistoryGone    bool
-	Listed         bool
+	HistoryGone    bool   // the changes after From are no longer kept
+	Listed         bool   // false: the responding host has no list yet, and only this field is valid
 	Compressed     []byte // a compressed list, in place of Objects
 }
 
@@ -88,7 +88,8 @@
 	return peerResponse[T]{Objects: encode(objects), AsOf: revision, Listed: ok}, confirmedAt, nil
 }
 
-// serveWatch waits for changes after req.From.
+// serveWatch returns the changes after req.From as soon as there are any, or none at the end of
+// the wait that req specifies.
 func (f *Follower[T]) serveWatch(ctx context.Context, req peerRequest) (resp peerResponse[T], confirmedAt time.Time, err error) {
 	end := f.opts.Clock.Now().Add(time.Duration(req.WaitMS) * time.Millisecond)
 	for {
@@ -99,7 +100,7 @@
 		case !u.listed: // the first list is expected soon
 		case !req.WaitUntilFresh:
 			until = earlier(end, staleAt)
-		case staleAt.After(now):
+		case staleAt.After(now): // the copy is recent enough: respond at once
 			until = now
 		}
 		if len(u.objects) > 0 || u.trimmed || !now.Before(until) {
