--- a/process/apihealth/apihealth.go
+++ b/process/apihealth/apihealth.go
@@ -27,8 +27,8 @@
 	// FullProbeRate reports whether the API has to be probed at the full rate, because no
 	// other host would notify this process of the API's recovery.
 	FullProbeRate func() bool
-	// OnChange is called when the API has become unresponsive, with the time since the
-	// first unanswered request, and when it responds again, with the length of the outage.
+	// OnChange is called when an outage is confirmed and when it ends. after is the time
+	// since the outage was first suspected. It is called without locks held.
 	OnChange func(unresponsive bool, after time.Duration)
 }
 
@@ -38,15 +38,16 @@
 	opts    Options
 	outages chan struct{} // signals Run that an outage has started
 
-	mu     sync.Mutex
-	outage *outage // nil while the API responds
+	mu     sync.Mutex // guards outage and its fields
+	outage *outage    // nil while the API responds
 }
 
-// outage lasts from a request without a response to the next response.
+// outage lasts from the time at which a request fails or its response is overdue to the next
+// response.
 type outage struct {
-	since time.Time
-	// confirmed is set once a probe has had no response either. Until then the one request
-	// may just be slow, or may have been lost with its connection.
+	since time.Time // when the outage was first suspected
+	// confirmed is set once a probe has had no response within probeInterval either. Until
+	// then the request may just be slow, or may have been lost with its connection.
 	confirmed bool
 	ended     chan struct{} // closed when the outage ends
 }
@@ -90,7 +91,8 @@
 	}
 }
 
-// probeUntilAnswered sends probes until the outage ends.
+// probeUntilAnswered sends probes until the outage or ctx ends, and confirms the outage after
+// the first probe without a response.
 func (m *Monitor) probeUntilAnswered(ctx context.Context) {
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -110,7 +112,7 @@
 	}
 }
 
-// sleep waits for d with a jitter of 20%. It returns false if the outage or ctx ends
+// sleep waits for d, changed by a random part of up to 20%. It returns false if the outage or ctx ends
 // first.
 func (m *Monitor) sleep(ctx context.Context, o *outage, d time.Duration) bool {
 	d = time.Duration((0.8 + 0.4*m.opts.Rand.Float64()) * float64(d))
@@ -133,13 +135,14 @@
 	}
 }
 
+// currentOutage returns the current outage, confirmed or not, or nil.
 func (m *Monitor) currentOutage() *outage {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.outage
 }
 
-// confirmOutage records that a probe had no response.
+// confirmOutage confirms outage o, unless it has ended, and reports it to OnChange.
 func (m *Monitor) confirmOutage(o *outage) {
 	m.mu.Lock()
 	changed := m.outage == o && !o.confirmed
@@ -150,7 +153,8 @@
 	}
 }
 
-// endOutage records a response: it ends outage o, or the current outage if o is nil.
+// endOutage ends outage o, or the current outage if o is nil, because the API has responded.
+// It does nothing if that outage has ended already.
 func (m *Monitor) endOutage(o *outage) {
 	m.mu.Lock()
 	if m.outage == nil || o != nil && m.outage != o {
@@ -181,7 +185,8 @@
 	return m.outage
 }
 
-// awaitRecovery blocks during a confirmed outage. recovered reports whether there was one.
+// awaitRecovery blocks during a confirmed outage. recovered reports whether there was one. If
+// ctx ends first, the error wraps objectapi.ErrUnavailable and objectapi.ErrNoResponse.
 func (m *Monitor) awaitRecovery(ctx context.Context) (recovered bool, err error) {
 	o := m.currentOutage()
 	if o == nil || !m.Unresponsive() {
@@ -220,10 +225,11 @@
 // reports that the API has just recovered from an outage.
 type RequestFunc[T any] func(ctx context.Context, recovered bool) (T, error)
 
-// Call sends a request whose response is expected after wait. During a confirmed outage it
+// Call sends a request whose response may take up to wait in normal operation, 0 for one
+// without a wait at the API. During a confirmed outage it
 // blocks until the API recovers. If the response is overdue when the API is found to
 // respond, the request was most likely lost in an outage: it is sent once more, and the
-// first response is returned. If ctx ends while Call waits for recovery, the error wraps
+// first response to either is returned. If ctx ends while Call waits for recovery, the error wraps
 // objectapi.ErrUnavailable and objectapi.ErrNoResponse.
 func Call[T any](ctx context.Context, m *Monitor, wait time.Duration, request RequestFunc[T]) (T, error) {
 	recovered, err := m.awaitRecovery(ctx)
