--- a/version/plan/plan.go
+++ b/version/plan/plan.go
@@ -44,18 +44,18 @@
 type Route struct {
 	Name           string
 	Host           string // host name in requests, case-insensitive
-	PathPrefix     string
+	PathPrefix     string // of the paths that match; the longest match wins
 	Kind           RouteKind
 	Timeout        time.Duration // maximum time for a request, which a client may shorten; 0: not set
-	TargetLatency  time.Duration // a response up to this time has its full worth
+	TargetLatency  time.Duration // a response within this time has its full worth; 0: not set
 	MaxEventGap    time.Duration // longest gap between events that counts as on time
 	Priority       int           // 0: most urgent
-	Targets        []Target      // services, chosen by weight
-	MaxAttempts    int           // attempts that may have run a retryable request
-	Stages         []Stage
-	Public         bool // no API key is required
-	PrefixAffinity bool // requests share prompt prefixes and are routed by them
-	Resumable      bool // an interrupted stream may be resumed on another backend server
+	Targets        []Target      // services, one of which is chosen by weight for each request
+	MaxAttempts    int           // limit of the attempts that may have run a request, if it is retryable
+	Stages         []Stage       // in an order in which each stage depends on earlier ones only
+	Public         bool          // no API key is required
+	PrefixAffinity bool          // requests share prompt prefixes and are routed by them
+	Resumable      bool          // an interrupted stream may be resumed on another backend server
 	// Regions in which requests may be served; empty: all.
 	Regions []string
 }
@@ -63,7 +63,7 @@
 // Service is a group of interchangeable backend servers.
 type Service struct {
 	Name           string
-	HealthPath     string
+	HealthPath     string  // path of the servers' health check
 	MaxConnections int     // that one server accepts from all entry hosts together
 	Engine         *Engine // nil: its servers are no model engines
 	Batch          *Batch  // nil: its servers run no stages
@@ -74,8 +74,8 @@
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots    int   // requests that run concurrently
-	KVTokens int64 // capacity of the KV cache
-	// KVBytesPerToken is the size of a token in an engine's KV cache. LinkBytesPerSecond is the
+	KVTokens int64 // capacity of the KV cache in tokens
+	// KVBytesPerToken is the size of one token's entry in the KV cache. LinkBytesPerSecond is the
 	// rate at which an engine receives KV cache from another engine. 0: not known.
 	KVBytesPerToken    int64
 	LinkBytesPerSecond float64
@@ -107,7 +107,7 @@
 // Account is a client account with its API keys.
 type Account struct {
 	Name string
-	Keys []string
+	Keys []string // API keys
 	// Priority replaces the route's priority if HasPriority is set.
 	Priority    int
 	HasPriority bool
@@ -125,7 +125,7 @@
 
 // Config is the decoded configuration from which a Plan is compiled.
 type Config struct {
-	Version  int64
+	Version  int64 // increases with each new configuration
 	Routes   []Route
 	Services []Service
 	Accounts []Account
@@ -136,11 +136,11 @@
 type Plan struct {
 	Version       int64
 	Limits        Limits
-	services      map[string]*Service
+	services      map[string]*Service // by name
 	routesByHost  map[string][]*Route // by lower-case host name, longest path prefix first
-	accountsByKey map[string]*Account
-	accountCount  int
-	serviceNames  []string
+	accountsByKey map[string]*Account // by API key
+	accountCount  int                 // accounts, with or without keys
+	serviceNames  []string            // in alphabetical order
 }
 
 // Compile builds the indexes of a configuration. The Plan keeps references to c, which must
@@ -176,8 +176,8 @@
 	return p
 }
 
-// Match returns the route with the longest path prefix that matches, or nil. A port in host
-// is ignored.
+// Match returns the route of a request's host and path, or nil. If several match, it is the one
+// with the longest path prefix. A port in host is ignored.
 func (p *Plan) Match(host, path string) *Route {
 	name, _, _ := strings.Cut(host, ":")
 	for _, r := range p.routesByHost[strings.ToLower(name)] {
