--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -30,7 +30,7 @@
 	ErrClosed = errors.New("peerconn: closed")
 )
 
-// errTooManyCalls is the response to a call when MaxHandlers handlers of the peer are running.
+// errTooManyCalls is the response to a call, which did not run, when MaxHandlers handlers of the peer are running.
 var errTooManyCalls = errors.New("too many calls in flight")
 
 // Options configures connections. Zero values except Self and Secret are replaced by defaults.
@@ -60,6 +60,7 @@
 	return o
 }
 
+// setDefault replaces a value that is not positive by def.
 func setDefault[T int | time.Duration](v *T, def T) {
 	if *v <= 0 {
 		*v = def
@@ -74,19 +75,19 @@
 type Conn struct {
 	opts             Options
 	netConn          net.Conn
-	remote           peer.Identity
-	dispatch         peer.Dispatch
+	remote           peer.Identity // as the peer proved in the handshake
+	dispatch         peer.Dispatch // executes the calls of the peer
 	writeToken       chan struct{} // holds one element, which a writer takes while it writes a frame
 	handlerSlots     chan struct{} // holds one element per running handler
-	nextID           atomic.Uint64
-	lastCallNanos    atomic.Int64 // Unix time of the last call in either direction
-	lastWriteNanos   atomic.Int64 // Unix time of the last frame written
-	droppedResponses atomic.Int64
+	nextID           atomic.Uint64 // id of the last call of this end
+	lastCallNanos    atomic.Int64  // Unix time of the last call in either direction
+	lastWriteNanos   atomic.Int64  // Unix time of the last frame written
+	droppedResponses atomic.Int64  // see DroppedResponses
 
-	mu      sync.Mutex
+	mu      sync.Mutex             // guards pending, err and the closing of done
 	pending map[uint64]chan *frame // calls that wait for their responses, by id
-	err     error                  // why the connection ended
-	done    chan struct{}
+	err     error                  // why the connection ended; nil while it is open
+	done    chan struct{}          // closed when the connection ends
 }
 
 // Dial connects to address (host:port), performs the handshake and starts the connection. Calls
@@ -215,6 +216,7 @@
 	return r.conn.Read(b)
 }
 
+// handleFrame starts the handler of a request or delivers a response. It does not block.
 func (c *Conn) handleFrame(f *frame) {
 	switch f.Kind {
 	case framePing:
@@ -292,7 +294,7 @@
 
 // Call sends a request and waits for its response or the end of ctx. It returns
 // peer.ErrUnreachable if no byte of the request was sent, peer.ErrNoResponse if the peer may
-// have received it, and peer.ErrRefused if the peer responded with an error.
+// have received it, and peer.ErrFailureResponse if the peer responded with an error.
 func (c *Conn) Call(ctx context.Context, m peer.Method, payload []byte) ([]byte, error) {
 	c.recordCall()
 	f := &frame{Kind: frameRequest, ID: c.nextID.Add(1), Method: string(m), Body: payload, TimeoutMillis: remainingMillis(ctx)}
@@ -328,10 +330,10 @@
 	return uint32(min(max(remaining, 1), maxHandlerDuration.Milliseconds()))
 }
 
-// responseBody returns the body of a response, or peer.ErrRefused for a failure.
+// responseBody returns the body of a response, or peer.ErrFailureResponse for a failure.
 func responseBody(f *frame) ([]byte, error) {
 	if f.Kind == frameFailure {
-		return nil, fmt.Errorf("%w: %s", peer.ErrRefused, f.Body)
+		return nil, fmt.Errorf("%w: %s", peer.ErrFailureResponse, f.Body)
 	}
 	return f.Body, nil
 }
--- a/connection/peerconn/frame.go
+++ b/connection/peerconn/frame.go
@@ -42,7 +42,8 @@
 	Body          []byte // payload or error text
 }
 
-// encodeFrame returns the encoded frame with its length prefix.
+// encodeFrame returns the encoded frame with its length prefix, or ErrFrameTooLarge if it has
+// more than limit bytes without the prefix.
 func encodeFrame(f *frame, limit int) ([]byte, error) {
 	data, err := peer.Marshal(f)
 	if err != nil {
--- a/connection/peerconn/handshake.go
+++ b/connection/peerconn/handshake.go
@@ -16,8 +16,8 @@
 var ErrUnauthenticated = errors.New("peerconn: the other end did not prove the shared secret")
 
 const (
-	protocolVersion = 1
-	nonceBytes      = 32
+	protocolVersion = 1  // a greeting of another version is rejected
+	nonceBytes      = 32 // random bytes in a greeting, new for each connection
 	// maxHandshakeBytes is the maximum size of a handshake message. It bounds the memory that
 	// an unauthenticated peer can make this process allocate.
 	maxHandshakeBytes = 1 << 10
@@ -25,7 +25,7 @@
 
 // greeting is the first handshake message of each end. It is encoded as a msgpack array.
 type greeting struct {
-	Version  int
+	Version  int // protocolVersion
 	Identity peer.Identity
 	Nonce    []byte
 }
@@ -62,6 +62,7 @@
 	return m.Sum(nil), nil
 }
 
+// newGreeting returns this end's greeting with a new nonce.
 func newGreeting(self peer.Identity) greeting {
 	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce) // never returns an error
@@ -107,6 +108,7 @@
 	return t.dialer.Identity, nil
 }
 
+// sendProof sends this end's proof; r is the role of this end.
 func sendProof(w io.Writer, t *transcript, secret []byte, r role) error {
 	mac, err := t.mac(secret, r)
 	if err != nil {
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// sendMessage sends a handshake message.
 func sendMessage(w io.Writer, v any) error {
 	data, err := peer.Marshal(v)
 	if err != nil {
@@ -144,6 +147,7 @@
 	return err
 }
 
+// receiveMessage reads a handshake message into v.
 func receiveMessage(r io.Reader, v any) error {
 	data, err := readMessage(r, maxHandshakeBytes)
 	if err != nil {
@@ -155,6 +159,8 @@
 	return nil
 }
 
+// receiveGreeting reads and checks the greeting of the other end. Its identity is not yet
+// authenticated.
 func receiveGreeting(r io.Reader, g *greeting) error {
 	if err := receiveMessage(r, g); err != nil {
 		return err
--- a/connection/peerconn/listen.go
+++ b/connection/peerconn/listen.go
@@ -18,7 +18,8 @@
 // acceptRetryDelay is the delay after a failed accept.
 const acceptRetryDelay = 100 * time.Millisecond
 
-// Server accepts connections of peers. Its fields must not change while Run runs.
+// Server accepts connections of peers. Its fields must not change while Run runs; all but
+// OnReject are required.
 type Server struct {
 	Options  Options
 	Dispatch peer.Dispatch // executes the calls of the peers
@@ -73,13 +74,14 @@
 	}
 }
 
+// reject calls OnReject if it is set.
 func (s *Server) reject(address string, cause error) {
 	if s.OnReject != nil {
 		s.OnReject(address, cause)
 	}
 }
 
-// handshake authenticates an accepted connection.
+// handshake authenticates an accepted connection and passes it to OnAccept or OnReject.
 func (s *Server) handshake(netConn net.Conn) {
 	c, err := Accept(netConn, s.Options, s.Dispatch)
 	if err != nil {
--- a/connection/peerconn/peerconn_test.go
+++ b/connection/peerconn/peerconn_test.go
@@ -68,7 +68,7 @@
 	g.Expect(accepted.Call(ctx, "echo", []byte("y"))).To(BeEquivalentTo("bo:y"))
 	for _, m := range []peer.Method{"fail", "panic"} {
 		_, err = c.Call(ctx, m, nil)
-		g.Expect(err).To(MatchError(peer.ErrRefused), string(m))
+		g.Expect(err).To(MatchError(peer.ErrFailureResponse), string(m))
 	}
 }
 
@@ -216,7 +216,7 @@
 	}()
 	<-started
 	_, err = c.Call(context.Background(), "hang", nil)
-	g.Expect(err).To(MatchError(peer.ErrRefused))
+	g.Expect(err).To(MatchError(peer.ErrFailureResponse))
 	close(finish)
 	g.Expect(<-first).NotTo(HaveOccurred())
 }
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -15,7 +15,7 @@
 	// Peer returns the identity that the peer proved in the handshake.
 	Peer() Identity
 	// Call sends a request and returns the payload of the response. Failures are
-	// ErrUnreachable, ErrNoResponse or ErrRefused.
+	// ErrUnreachable, ErrNoResponse or ErrFailureResponse.
 	Call(ctx context.Context, m Method, payload []byte) ([]byte, error)
 	// Done returns a channel that is closed when the connection ends.
 	Done() <-chan struct{}
@@ -32,12 +32,13 @@
 // arrive on it go to serve.
 type Dial func(ctx context.Context, address string, serve Dispatch) (Conn, error)
 
-// MeshOptions configure a Mesh. Zero durations and bounds get the defaults.
+// MeshOptions configure a Mesh. Self, Dial, Clock and Rand are required; zero
+// durations and bounds get the defaults.
 type MeshOptions struct {
 	Self  Identity
 	Dial  Dial
 	Clock clock.Clock
-	Rand  clock.Rand
+	Rand  clock.Rand // for the jitter of the backoff
 	// MinBackoff and MaxBackoff bound the backoff after failed dials; defaults
 	// 100 ms and 5 s.
 	MinBackoff, MaxBackoff time.Duration
@@ -64,22 +65,23 @@
 type Mesh struct {
 	opts MeshOptions
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below and the peerStates
 	handlers    map[Method]Handler
-	peers       map[string]*peerState
-	sortedPeers []Identity // peers sorted by host; nil: has to be rebuilt
-	onConnect   func(Identity)
-	closed      bool
+	peers       map[string]*peerState // by host name
+	sortedPeers []Identity            // peers sorted by host; nil: has to be rebuilt
+	onConnect   func(Identity)        // nil: none; set before the mesh starts
+	closed      bool                  // Close was called
 }
 
-// peerState is the state of a Mesh for one peer.
+// peerState is the state of a Mesh for one peer. Connections that have ended
+// stay until they are replaced.
 type peerState struct {
 	identity    Identity
-	dialed      Conn // opened by this host
-	accepted    Conn // opened by the peer
-	dialing     chan struct{}
-	failedDials int
-	nextDialAt  time.Time // end of the backoff after failed dials
+	dialed      Conn          // opened by this host
+	accepted    Conn          // opened by the peer
+	dialing     chan struct{} // closed when the dial in progress ends; nil: none
+	failedDials int           // consecutive
+	nextDialAt  time.Time     // end of the backoff after failed dials
 }
 
 // NewMesh returns a mesh without connections.
@@ -189,6 +191,7 @@
 	}
 }
 
+// closeConn closes c, which may be nil.
 func closeConn(c Conn) {
 	if c != nil {
 		c.Close()
@@ -198,9 +201,10 @@
 // AddAccepted adds an authenticated connection that a peer opened.
 func (m *Mesh) AddAccepted(c Conn) { m.installConn(c, func(p *peerState) *Conn { return &p.accepted }) }
 
-// installConn replaces and closes the earlier connection of the same direction:
-// a peer opens a new one because it abandoned the older. It reports whether c
-// was installed; connections of older incarnations are closed.
+// installConn replaces and closes the earlier connection of the same direction,
+// which slot returns: a peer opens a new one because it abandoned the older. It
+// reports whether c was installed. Otherwise c is closed: it is of an older
+// incarnation, the peer cannot be added or the mesh is closed.
 func (m *Mesh) installConn(c Conn, slot func(*peerState) *Conn) bool {
 	id := c.Peer()
 	m.mu.Lock()
@@ -244,7 +248,8 @@
 }
 
 // connect returns an open connection to the newest known incarnation of host.
-// It dials if there is none, or waits for a dial in progress.
+// It dials if there is none, or waits for a dial in progress. The error is always
+// an ErrUnreachable: no byte of the call has been sent.
 func (m *Mesh) connect(ctx context.Context, host string) (Conn, error) {
 	for {
 		m.mu.Lock()
@@ -293,7 +298,8 @@
 	return nil
 }
 
-// dialForWaiters dials p and then wakes the callers that wait for this dial.
+// dialForWaiters dials p and then wakes the callers that wait for this dial. The
+// caller has set p.dialing.
 func (m *Mesh) dialForWaiters(ctx context.Context, p *peerState) (Conn, error) {
 	defer func() {
 		m.mu.Lock()
--- a/process/peer/peer.go
+++ b/process/peer/peer.go
@@ -16,8 +16,10 @@
 	// ErrNoResponse means that the call was sent and no response arrived; the
 	// peer may have executed it.
 	ErrNoResponse = errors.New("peer: no answer")
-	// ErrRefused means that the peer's handler returned an error.
-	ErrRefused = errors.New("peer: refused")
+	// ErrFailureResponse means that the peer responded with an error: its handler
+	// failed, it has no handler for the method, or too many calls are running. A
+	// handler that failed may have had an effect.
+	ErrFailureResponse = errors.New("peer: refused")
 )
 
 // Identity identifies one process of an entry host.
@@ -25,7 +27,7 @@
 	Host        string // name of the entry host
 	Incarnation uint64 // increases with every start of the process
 	Domain      string // failure domain
-	Region      string
+	Region      string // region of the failure domain
 	Address     string // peer address, host:port
 	// Cores is the processor time available to the host, in cores; 0: unknown.
 	// Hosts with more of it are preferred for work on behalf of others.
@@ -64,7 +66,8 @@
 	// Handle registers h for calls of method m. It must be called before the
 	// link starts.
 	Handle(m Method, h Handler)
-	// Call sends in to host and decodes the response into out; nil discards it.
-	// It returns ErrUnreachable, ErrNoResponse or ErrRefused if the call failed.
+	// Call sends in, encoded as msgpack, to the entry host named host and decodes the response into out; nil discards it.
+	// It returns ErrUnreachable, ErrNoResponse or ErrFailureResponse if the call
+	// failed, and another error if in or the response cannot be encoded or decoded.
 	Call(ctx context.Context, host string, m Method, in, out any) error
 }
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -132,7 +132,7 @@
 		return peer.ErrNoResponse
 	}
 	if h == nil {
-		return fmt.Errorf("%w: no handler for %s", peer.ErrRefused, m)
+		return fmt.Errorf("%w: no handler for %s", peer.ErrFailureResponse, m)
 	}
 	response, err := h(ctx, l.self, payload)
 	l.net.countBytes(l.self.Host, host, len(payload)+len(response))
@@ -140,7 +140,7 @@
 		return peer.ErrNoResponse
 	}
 	if err != nil {
-		return fmt.Errorf("%w: %w", peer.ErrRefused, err)
+		return fmt.Errorf("%w: %w", peer.ErrFailureResponse, err)
 	}
 	if out == nil {
 		return nil
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -123,7 +123,7 @@
 		response = runResponse{}
 		callStart := p.clock.Now()
 		err = p.link.Call(ctx, owner, methodRun, p.newRunRequest(r), &response)
-		if err == nil || ctx.Err() != nil || errors.Is(err, peer.ErrRefused) {
+		if err == nil || ctx.Err() != nil || errors.Is(err, peer.ErrFailureResponse) {
 			return response, err
 		}
 		if failingSince.IsZero() {
--- a/process/stages/pool_test.go
+++ b/process/stages/pool_test.go
@@ -90,7 +90,7 @@
 	}
 	answer, err := to.handlers[m](ctx, n.self, payload)
 	if err != nil {
-		return errors.Join(peer.ErrRefused, err)
+		return errors.Join(peer.ErrFailureResponse, err)
 	}
 	if out == nil {
 		return nil
