--- a/process/membership/heartbeat.go
+++ b/process/membership/heartbeat.go
@@ -11,13 +11,13 @@
 
 // heartbeat is both the request and the response of one exchange.
 type heartbeat struct {
-	Draining    bool
+	Draining    bool   // the sender takes no new requests
 	Hash        uint64 // of the hosts that are not gone for the sender
 	Updates     []memberUpdate
 	Attachments []attachedData
 }
 
-// attachedData is the data of one attachment.
+// attachedData is the data of one attachment in a heartbeat.
 type attachedData struct {
 	Name string
 	Data []byte
@@ -34,7 +34,9 @@
 	// maxAttachmentBytes bounds the data of one attachment; larger ones are not
 	// sent.
 	maxAttachmentBytes = 2 << 10
-	maxUpdates         = 8192
+	// maxUpdates bounds the updates that are applied from one heartbeat or member
+	// list; the others are ignored.
+	maxUpdates = 8192
 )
 
 // Attach adds a small payload to every heartbeat and heartbeat response. Other
@@ -81,6 +83,8 @@
 	return nil
 }
 
+// handleHeartbeat applies the heartbeat of a peer and returns this host's. It
+// returns errOldIncarnation if a newer incarnation of the peer is known.
 func (m *Monitor) handleHeartbeat(_ context.Context, from peer.Identity, payload []byte) ([]byte, error) {
 	var hb heartbeat
 	if err := peer.Unmarshal(payload, &hb); err != nil {
@@ -129,6 +133,7 @@
 	}
 }
 
+// handleMembers returns the hosts that are not gone for this host.
 func (m *Monitor) handleMembers(context.Context, peer.Identity, []byte) ([]byte, error) {
 	return peer.Marshal(m.liveMembers())
 }
@@ -160,10 +165,10 @@
 // different reachability may disagree for hours, so a pull without effect
 // doubles the backoff before the next one.
 type pullState struct {
-	mu         sync.Mutex
-	mismatches int
-	nextPull   time.Time
-	backoff    time.Duration
+	mu         sync.Mutex    // guards the fields below
+	mismatches int           // consecutive heartbeats with a different hash
+	nextPull   time.Time     // no pull before this time
+	backoff    time.Duration // between pulls; 0 before the first one
 }
 
 const (
--- a/process/membership/links.go
+++ b/process/membership/links.go
@@ -29,6 +29,7 @@
 	return index
 }
 
+// ranksBefore reports whether host a is before host b in the order for key.
 func ranksBefore(key, a, b string) bool {
 	if sa, sb := score(key, a), score(key, b); sa != sb {
 		return sa > sb
@@ -36,7 +37,8 @@
 	return a < b
 }
 
-// score hashes key and host separately first, so that different pairs with the
+// score returns the rendezvous hash of a key and a host; the highest is first. It
+// hashes key and host separately first, so that different pairs with the
 // same concatenation get different scores.
 func score(key, host string) uint64 {
 	var pair [16]byte
@@ -70,7 +72,8 @@
 // fixed distances on the hash ring of its domain and, if self is one of the
 // hosts that link two domains, one in the other domain. Their number does not
 // grow with the hosts of a domain, and every host of a domain with at least two
-// gets heartbeats from its predecessors on the ring.
+// gets heartbeats from its predecessors on the ring. successors is the number of
+// targets in the own domain, links that of the hosts that link two domains.
 func heartbeatTargets(self peer.Identity, peers []Peer, successors, links int) []string {
 	domains := map[string][]string{self.Domain: {self.Host}}
 	for _, p := range peers {
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -11,8 +11,8 @@
 // States of an entry host.
 const (
 	Alive   State = iota
-	Suspect       // being checked on a new connection
-	Gone          // new connections failed
+	Suspect       // being checked on a new connection after a sign that it is dead
+	Gone          // this host's new connections to it failed
 )
 
 // String returns the name of the state: alive, suspect or gone.
@@ -42,9 +42,9 @@
 type View interface {
 	// Peers returns the other entry hosts, sorted by name.
 	Peers() []Peer
-	// Lookup returns the peer called host.
+	// Lookup returns the peer with the name host; false if it is unknown.
 	Lookup(host string) (Peer, bool)
 	// OnChange registers f, which is called after each change. Calls do not run
-	// concurrently.
+	// concurrently. f must not call OnChange.
 	OnChange(f func())
 }
--- a/process/membership/monitor.go
+++ b/process/membership/monitor.go
@@ -29,17 +29,19 @@
 	// Reconnect returns nil when host authenticated itself on a new connection.
 	Reconnect(ctx context.Context, host string) error
 	// DialAddress opens a connection to an address (host:port) and returns the
-	// identity of the entry host that answers there.
+	// identity of the entry host that runs there.
 	DialAddress(ctx context.Context, address string) (peer.Identity, error)
 }
 
-// Options configure a Monitor. Zero durations and counts get the defaults.
+// Options configure a Monitor. Link, Clock and Rand are required; zero durations
+// and counts get the defaults.
 type Options struct {
 	Link  Transport
 	Clock clock.Clock
 	Rand  clock.Rand
-	// Seeds returns addresses at which entry hosts may run, for example from the
-	// settings and from the platform's host list. May be nil.
+	// Seeds returns addresses (host:port) at which entry hosts may run, for example
+	// from the settings and from the platform's host list. This host connects to them
+	// to find the other entry hosts. May be nil.
 	Seeds func() []string
 	// Draining reports whether this host takes no new requests. May be nil.
 	Draining func() bool
@@ -58,8 +60,8 @@
 	// first to the maximum, which bounds the time to detect a healed partition.
 	firstProbeIntervals = 2
 	maxProbeIntervals   = 30
-	probesPerRound      = 3
-	updatesPerHeartbeat = 8
+	probesPerRound      = 3 // bounds the gone hosts that are probed per heartbeat interval
+	updatesPerHeartbeat = 8 // bounds the updates of hosts that a heartbeat carries
 	checkAttempts       = 2 // failed new connections before a host is declared gone
 )
 
@@ -73,6 +75,7 @@
 	setDefault(&o.MaxPeers, 4096)
 }
 
+// setDefault replaces a value that is not positive by def.
 func setDefault[T int | time.Duration](v *T, def T) {
 	if *v <= 0 {
 		*v = def
@@ -95,11 +98,11 @@
 	Counters Counters
 
 	opts            Options
-	attachments     []attachment
-	wake            chan struct{}
+	attachments     []attachment  // not changed after Run is called
+	wake            chan struct{} // HeartbeatNow was called; holds one element
 	tasks           taskgroup.Group
 	pull            pullState
-	seedMu          sync.Mutex
+	seedMu          sync.Mutex // guards nextSeedContact
 	nextSeedContact time.Time
 	ctx             context.Context // cancelled when Run ends; handlers use it before Run too
 	cancel          context.CancelFunc
@@ -235,6 +238,8 @@
 	}
 }
 
+// reconnect returns nil if host authenticated itself on a new connection within
+// Options.Timeout.
 func (m *Monitor) reconnect(host string) error {
 	ctx, cancel := context.WithTimeout(m.ctx, m.opts.Timeout)
 	defer cancel()
--- a/process/membership/table.go
+++ b/process/membership/table.go
@@ -15,34 +15,35 @@
 // peerRecord is the table's state of one other entry host.
 type peerRecord struct {
 	Peer
-	lastContact       time.Time // last direct evidence that it is alive; zero: gossip only
-	goneAt            time.Time // when it was declared gone
-	nextProbe         time.Time // next probe of a gone host
-	probeBackoff      time.Duration
-	checking          bool // a check on a new connection is in progress
-	pendingHeartbeats int  // heartbeats that still carry this update
+	lastContact       time.Time     // last direct evidence that it is alive; zero: gossip only
+	goneAt            time.Time     // when it was declared gone
+	nextProbe         time.Time     // next probe of a gone host
+	probeBackoff      time.Duration // between probes of a gone host; doubles with each failure
+	checking          bool          // a check on a new connection is in progress
+	pendingHeartbeats int           // number of heartbeats that still have to carry the record by gossip
 }
 
 // snapshot is one immutable state of the membership.
 type snapshot struct {
-	peers  []Peer // by host
+	peers  []Peer // sorted by host name
 	byHost map[string]Peer
-	hash   uint64 // of all hosts not gone, including this one
+	hash   uint64 // of all hosts not gone, including this one; equal on hosts that agree
 }
 
-// table implements View. Readers load the current snapshot; writers modify the
-// records under the lock and publish the next snapshot.
+// table holds the state of the other entry hosts as seen by this one, and
+// implements View. Readers load the current snapshot; writers modify the records
+// under mu and publish the next snapshot.
 type table struct {
 	self     peer.Identity
-	maxPeers int
+	maxPeers int // bound of records; further hosts are ignored
 
-	mu       sync.Mutex
-	records  map[string]*peerRecord
-	draining bool
+	mu       sync.Mutex             // guards records and draining
+	records  map[string]*peerRecord // by host name
+	draining bool                   // this host takes no new requests
 
-	current  atomic.Pointer[snapshot]
-	changeMu sync.Mutex // serializes notifications
-	onChange []func()
+	current   atomic.Pointer[snapshot]
+	changeMu  sync.Mutex // guards listeners and serializes their calls
+	listeners []func()
 }
 
 func newTable(self peer.Identity, maxPeers int) *table {
@@ -64,13 +65,14 @@
 func (t *table) OnChange(f func()) {
 	t.changeMu.Lock()
 	defer t.changeMu.Unlock()
-	t.onChange = append(t.onChange, f)
+	t.listeners = append(t.listeners, f)
 }
 
+// notify calls the listeners after a change. The caller must not hold t.mu.
 func (t *table) notify() {
 	t.changeMu.Lock()
 	defer t.changeMu.Unlock()
-	for _, f := range t.onChange {
+	for _, f := range t.listeners {
 		f()
 	}
 }
@@ -119,7 +121,8 @@
 
 // findOrAdd returns the record of id. It adds one for an unknown host and
 // replaces that of an older incarnation; isNew reports both. It returns nil if
-// id is an older incarnation or this host, or if the table is full.
+// id is an older incarnation, this host or has no name, or if the table is full.
+// The caller holds the lock.
 func (t *table) findOrAdd(id peer.Identity) (r *peerRecord, isNew bool) {
 	if id.Host == "" || id.Host == t.self.Host {
 		return nil, false
@@ -151,7 +154,8 @@
 }
 
 // recordContact records direct evidence that a peer is alive: it authenticated
-// itself on a connection or responded to a call.
+// itself on a connection, called this host or responded to a call. draining set
+// means that the peer takes no new requests; it stays so for the incarnation.
 func (t *table) recordContact(id peer.Identity, draining bool, now time.Time) {
 	t.update(func() bool {
 		r, changed := t.findOrAdd(id)
@@ -176,7 +180,7 @@
 
 // scheduleDomainProbes makes the probes of all gone hosts of a domain due. It
 // is called when one of them is reachable again: most likely a network partition
-// has healed.
+// has healed. The caller holds the lock.
 func (t *table) scheduleDomainProbes(domain string, now time.Time) {
 	for _, r := range t.records {
 		if r.Domain == domain && r.State == Gone {
@@ -186,8 +190,8 @@
 }
 
 // applyGossip records updates of another host. It returns the hosts to check on a
-// new connection: no host is declared gone on gossip alone. Contact within
-// recent outweighs a report that the host is unresponsive.
+// new connection: no host is declared gone on gossip alone. Contact less than
+// recent ago outweighs a report that the host is unresponsive.
 func (t *table) applyGossip(updates []memberUpdate, now time.Time, recent time.Duration) (toCheck []string) {
 	t.update(func() bool {
 		changed := false
@@ -235,7 +239,9 @@
 	return begin
 }
 
-// finishCheck records the outcome of a check that started at startedAt. Direct
+// finishCheck records the outcome of a check that started at startedAt. If it
+// failed, the host is gone; firstProbe and maxProbe bound the backoff between
+// probes of it. Direct
 // evidence that arrived since then outweighs a failure: the host reached this
 // one on another connection.
 func (t *table) finishCheck(host string, startedAt, now time.Time, alive bool, firstProbe, maxProbe time.Duration) {
