--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -34,8 +34,8 @@
 	Queued  int      // requests waiting
 	Slots   int      // requests that it executes concurrently
 	Models  []string // loaded models, as model/adapter@version
-	Role    string
-	Leaving bool // the server is leaving and must not get new requests
+	Role    string   // that the server has; empty: none
+	Leaving bool     // the server is leaving and must not get new requests
 }
 
 // Prober polls backend servers. Implementations are safe for concurrent use.
@@ -54,7 +54,8 @@
 	Domain string // failure domain
 }
 
-// Options configure a Poller. Zero durations and counts get the defaults.
+// Options configure a Poller. Link, View, Clock, Rand, Prober and Targets are
+// required; zero durations and counts get the defaults.
 type Options struct {
 	Link    peer.Link
 	View    membership.View
@@ -62,14 +63,14 @@
 	Clock   clock.Clock
 	Rand    clock.Rand
 	Prober  Prober
-	// Targets returns the backend servers of all domains.
+	// Targets returns the backend servers of all domains in the tables in force.
 	Targets func() []Target
 	// ListHosts reads the platform's host list. May be nil.
 	ListHosts func(ctx context.Context) ([]objectapi.Host, error)
 
 	Interval            time.Duration // between polls; default 1 s
 	Owners              int           // hosts of the domain that poll each server; default 2
-	ShareBytesPerSecond int           // limit for sharing load with peers; default 750
+	ShareBytesPerSecond int           // limit of the bytes sent to all peers together for sharing loads; default 750
 }
 
 func (o *Options) setDefaults() {
@@ -106,17 +107,17 @@
 	Counters Counters
 
 	opts Options
-	mu   sync.Mutex
+	mu   sync.Mutex // guards the fields below except tasks, and the serverRecords
 	// servers is keyed by address. Servers that the tables no longer have are
 	// dropped.
 	servers       map[string]*serverRecord
 	byAddressHash map[uint32]*serverRecord // by the hash that shared loads carry
 	seeds         []string                 // addresses of listed hosts that are not backend servers
-	nextShare     time.Time
-	shares        int // calls of loadRows that were due
-	rounds        int
-	incarnations  map[string]uint64 // of the hosts that are not gone
-	hostJoined    atomic.Bool       // a host joined since statuses were last repeated
+	nextShare     time.Time                // no loads are shared before this time
+	shareRounds   int                      // shares that were due so far, also empty ones; selects those that repeat details
+	rounds        int                      // polling rounds so far; selects those in which standby owners poll
+	incarnations  map[string]uint64        // of the hosts that are not gone, by name
+	hostJoined    atomic.Bool              // a host joined since statuses were last repeated
 	tasks         taskgroup.Group
 }
 
@@ -124,15 +125,15 @@
 type serverRecord struct {
 	target            Target
 	status            serverStatus
-	pendingHeartbeats int  // heartbeats that still carry the status
-	down              bool // according to this host's own polls
-	nextCheck         time.Time
-	failedConnects    int
-	polling           bool
-	report            Report
-	primaryOwner      bool // this host is the first owner and shares the load
-	unshared          bool // polled by this host since the last share
-	detailsChanged    bool // models, role or slots changed since the last share
+	pendingHeartbeats int       // number of heartbeats that still have to carry the status by gossip
+	down              bool      // according to this host's own polls
+	nextCheck         time.Time // while down: next poll by a host that does not own the server
+	failedConnects    int       // polls that could not connect since the last response
+	polling           bool      // a poll is in progress
+	report            Report    // of the last poll by this host
+	primaryOwner      bool      // this host is the first owner and shares the load
+	unshared          bool      // polled by this host since the last share
+	detailsChanged    bool      // models, role or slots changed since the last share
 }
 
 // New returns a poller and registers it on the link and the heartbeats. It must
@@ -304,6 +305,7 @@
 	}
 }
 
+// equal reports whether a and b have the same elements in the same order.
 func equal(a, b []string) bool {
 	if len(a) != len(b) {
 		return false
--- a/process/loadreport/share.go
+++ b/process/loadreport/share.go
@@ -19,27 +19,28 @@
 // change rarely and are sent rarely; nil: unchanged.
 type loadRow struct {
 	Server  uint32
-	Running uint32
-	Queued  uint32
+	Running uint32 // requests being executed
+	Queued  uint32 // requests waiting
 	Details *loadDetails
 }
 
 // loadDetails is the part of a load that rarely changes.
 type loadDetails struct {
-	Slots  int
+	Slots  int // requests that the server executes concurrently
 	Models []string
 	Role   string
 }
 
 const (
-	sharesPerDetails = 10 // shares between repeated details, for hosts that missed them
-	maxRows          = 4096
+	sharesPerDetails = 10   // shares between repeated details, for hosts that missed them
+	maxRows          = 4096 // bounds the loads that are accepted in one call
 )
 
+// addressHash returns the hash by which loadRow names a server.
 func addressHash(address string) uint32 { return uint32(xxhash.Sum64String(address)) }
 
 // shareLoads sends the loads that this host polled as first owner to the peers
-// of its domain. The time to the next share grows with the bytes sent, so that a
+// of its domain; hosts are the names of all hosts of the domain. The time to the next share grows with the bytes sent, so that a
 // larger domain gets older loads instead of more traffic.
 func (p *Poller) shareLoads(ctx context.Context, hosts []string, now time.Time) {
 	rows := p.loadRows(now)
@@ -67,21 +68,22 @@
 	calls.Wait()
 }
 
-// loadRows returns the loads to share now; none until the next share is due.
+// loadRows returns the loads to share now and marks them as shared; nil until the
+// next share is due.
 func (p *Poller) loadRows(now time.Time) []loadRow {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if now.Before(p.nextShare) {
 		return nil
 	}
-	p.shares++
+	p.shareRounds++
 	var out []loadRow
 	for address, rec := range p.servers {
 		if !rec.unshared || !rec.primaryOwner {
 			continue
 		}
 		row := loadRow{Server: addressHash(address), Running: uint32(rec.report.Running), Queued: uint32(rec.report.Queued)}
-		if rec.detailsChanged || p.shares%sharesPerDetails == 1 {
+		if rec.detailsChanged || p.shareRounds%sharesPerDetails == 1 {
 			row.Details = &loadDetails{rec.report.Slots, rec.report.Models, rec.report.Role}
 		}
 		rec.unshared, rec.detailsChanged = false, false
@@ -90,6 +92,8 @@
 	return out
 }
 
+// handleLoads stores the loads that a peer shares. Those of unknown servers are
+// ignored.
 func (p *Poller) handleLoads(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var rows []loadRow
 	if err := peer.Unmarshal(payload, &rows); err != nil {
--- a/process/loadreport/status.go
+++ b/process/loadreport/status.go
@@ -16,20 +16,21 @@
 // Version increases with each change, so that an outdated status does not
 // override a newer one without comparing clocks of different hosts.
 type serverStatus struct {
-	Address         string
+	Address         string // host:port; empty in serverRecord
 	Version         uint64
 	ReportedLeaving bool // by the server itself
 	ListedLeaving   bool // by the platform's host list
 	Down            bool // the sender's polls failed; others verify it
 }
 
+// leaving reports whether the server must not get new requests.
 func (s *serverStatus) leaving() bool { return s.ReportedLeaving || s.ListedLeaving }
 
 // statusesPerHeartbeat bounds the statuses in one heartbeat.
 const statusesPerHeartbeat = 16
 
-// updateStatus applies evidence of this host and, if it changes the status,
-// shares the new one by gossip. It ends the poll of rec.
+// updateStatus applies evidence of this host by change and, if that changes the
+// status, shares the new one by gossip. It marks the poll of rec as ended.
 func (p *Poller) updateStatus(rec *serverRecord, change func(*serverStatus)) {
 	p.mu.Lock()
 	before := rec.status
@@ -53,6 +54,7 @@
 }
 
 // applyStatus copies the status of rec to the state that request routing reads.
+// The caller holds the lock.
 func (p *Poller) applyStatus(rec *serverRecord) {
 	rec.target.State.SetLeaving(rec.status.leaving())
 	rec.target.State.SetDown(rec.down)
@@ -136,7 +138,9 @@
 	return (s.leaving() && !old.leaving()) || (s.leaving() == old.leaving() && s.Down && !old.Down)
 }
 
-// verifyDown polls a server that other hosts reported as down or up again.
+// verifyDown polls a server that other hosts reported as down or up again, on new
+// connections: it is down if two polls cannot connect. The caller has set
+// rec.polling.
 func (p *Poller) verifyDown(rec *serverRecord) {
 	down := true
 	for attempt := 0; attempt < 2 && down; attempt++ {
@@ -190,11 +194,14 @@
 	}
 }
 
+// hasPort reports whether address is host:port.
 func hasPort(address string) bool {
 	_, _, err := net.SplitHostPort(address)
 	return err == nil
 }
 
+// updateListed records whether the platform's host list says that the server is
+// leaving.
 func (p *Poller) updateListed(rec *serverRecord, leaving bool) {
 	p.mu.Lock()
 	same := rec.status.ListedLeaving == leaving
@@ -222,8 +229,11 @@
 // hosts that are not entry hosts.
 const maxSeeds = 4
 
-// Seeds returns up to maxSeeds addresses from the platform's host list at which
-// entry hosts may run, chosen at random.
+// Seeds returns up to maxSeeds random addresses (host:port) from the platform's
+// host list at which entry hosts may run: live hosts that are not backend servers.
+// The membership monitor connects to them to find the other entry hosts. An
+// address may be returned twice. The result is empty on hosts that do not read the
+// list.
 func (p *Poller) Seeds() []string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
