--- a/process/serverstate/health.go
+++ b/process/serverstate/health.go
@@ -24,7 +24,7 @@
 const (
 	ejectAfterFailures   = 3
 	firstEjection        = time.Second
-	maxEjectionDoublings = 2
+	maxEjectionDoublings = 2 // of the period of a server that accepts connections
 	// The load report of a disconnected server shows when it is back. Trial
 	// requests are needed only for servers without reports, and a failed one wastes
 	// the work of the stages before it, so they are rarer.
@@ -33,16 +33,16 @@
 
 // health is the state of a server derived from the outcomes of attempts.
 type health struct {
-	consecutiveFailures atomic.Int64 // Failed adds 1, Unreachable adds ejectAfterFailures
-	unreachable         atomic.Bool  // the last failure was Unreachable
-	ejections           atomic.Int64 // ejection periods since the last success
-	ejectedUntil        atomic.Int64 // unix nanoseconds of the next trial
-	lastFailureAt       atomic.Int64 // unix nanoseconds of the last failure
-	latency             estimate.Latency
+	consecutiveFailures atomic.Int64     // Failed adds 1, Unreachable adds ejectAfterFailures
+	unreachable         atomic.Bool      // the last failure was Unreachable
+	ejections           atomic.Int64     // ejection periods since the last success
+	ejectedUntil        atomic.Int64     // unix nanoseconds of the next trial
+	lastFailureAt       atomic.Int64     // unix nanoseconds of the last failure
+	latency             estimate.Latency // of successful attempts
 }
 
 // RecordOutcome records the outcome of an attempt that ended at now after
-// the given duration.
+// the given duration. The duration is used only if the attempt succeeded.
 //
 // A single failure is weak evidence: one request may crash the server, or the
 // network may drop one connection. After several consecutive ones the next
--- a/process/serverstate/load.go
+++ b/process/serverstate/load.go
@@ -36,7 +36,7 @@
 
 // EstimatedRequests returns an estimate of the requests on the server at now:
 // those of this host, plus those of other hosts from the last report, weighted
-// by its age.
+// by its age. The weight makes it a fraction.
 func (s *State) EstimatedRequests(now time.Time) float64 {
 	return s.EstimatedRequestsAt(now.UnixNano())
 }
@@ -53,7 +53,8 @@
 }
 
 // ReportedRequests returns the requests on the server according to its last
-// report, and how many of them are of this host.
+// report, and how many of them are of this host; 0 without a report. They are
+// whole numbers, returned as float64 for use with EstimatedRequests.
 func (s *State) ReportedRequests() (all, own float64) {
 	n := s.report.ownRequests.Load()
 	return float64(n + s.report.otherRequests.Load()), float64(n)
--- a/process/serverstate/serverstate.go
+++ b/process/serverstate/serverstate.go
@@ -15,13 +15,13 @@
 // State is the state of one backend server. Its address is fixed: a server that
 // moves gets a new State. It is safe for concurrent use.
 type State struct {
-	Name    string
-	Address string
+	Name    string // in the tables
+	Address string // host:port
 	hash    uint64 // of the address, for rendezvous hashing
 
-	inFlight  atomic.Int64
-	down      atomic.Bool
-	leaving   atomic.Bool
+	inFlight  atomic.Int64 // requests of this entry host
+	down      atomic.Bool  // see SetDown
+	leaving   atomic.Bool  // see SetLeaving
 	firstSeen atomic.Int64 // unix nanoseconds, for slow start
 
 	report loadReport
@@ -76,14 +76,15 @@
 // Registry holds the states by server name and address. It is safe for
 // concurrent use.
 type Registry struct {
-	mu     sync.Mutex
-	states map[string]*State
+	mu     sync.Mutex        // guards states
+	states map[string]*State // by name|address; never removed
 }
 
 // NewRegistry returns an empty registry.
 func NewRegistry() *Registry { return &Registry{states: map[string]*State{}} }
 
-// Get returns the state of a server and creates it on the first call. It takes a
+// Get returns the state of a server and creates it on the first call, with now as
+// FirstSeen. It takes a
 // lock: it is called when a snapshot is built, never for a request.
 func (r *Registry) Get(name, address string, now time.Time) *State {
 	r.mu.Lock()
