--- a/process/objectapi/backoff.go
+++ b/process/objectapi/backoff.go
@@ -9,7 +9,7 @@
 	"bilberrydale/process/clock"
 )
 
-// Bounds of the pause after a rate-limited call.
+// Bounds of the pause after a rate-limited call, before jitter.
 const (
 	minPause = 100 * time.Millisecond
 	maxPause = 2 * time.Second
@@ -21,11 +21,11 @@
 // of the hosts.
 type rateBackoff struct {
 	clock clock.Clock
-	rand  clock.Rand
+	rand  clock.Rand // for the jitter
 
-	mu          sync.Mutex
+	mu          sync.Mutex // guards the fields below
 	pausedUntil time.Time
-	pause       time.Duration // before jitter
+	pause       time.Duration // last pause before jitter; 0 after a success
 }
 
 // allowed reports whether calls may be sent now.
@@ -50,6 +50,7 @@
 	b.pausedUntil = b.clock.Now().Add(time.Duration((0.5 + 0.5*b.rand.Float64()) * float64(b.pause)))
 }
 
+// counters count the calls of a Client; see Counts.
 type counters struct {
 	reads, writes, watches, retriedReads, notSent, rateLimited, unavailable, unknownOutcome atomic.Int64
 }
@@ -66,7 +67,8 @@
 	}
 }
 
-// Counts are the calls of a Client since it was created.
+// Counts are numbers of calls of a Client since it was created. A call may be
+// counted in several fields.
 type Counts struct {
 	Reads          int64 `json:"reads"`
 	Writes         int64 `json:"writes"`
@@ -78,7 +80,7 @@
 	UnknownOutcome int64 `json:"unknown"`     // writes with an unknown outcome
 }
 
-// Counts returns the calls since the client was created.
+// Counts returns the numbers of calls since the client was created.
 func (c *Client) Counts() Counts {
 	n := &c.counters
 	return Counts{
--- a/process/objectapi/client.go
+++ b/process/objectapi/client.go
@@ -30,7 +30,7 @@
 // no response, and counts calls.
 type Client struct {
 	store    Store
-	timeout  time.Duration
+	timeout  time.Duration // ClientOptions.Timeout
 	backoff  rateBackoff
 	counters counters
 }
@@ -120,7 +120,8 @@
 	return c.call(ctx, c.timeout/2, send)
 }
 
-// call sends one call with a timeout, unless calls are paused after a rate limit.
+// call sends one call with a timeout. While calls are paused after a rate limit it
+// returns ErrRateLimited instead.
 func (c *Client) call(ctx context.Context, timeout time.Duration, send func(context.Context) error) error {
 	if !c.backoff.allowed() {
 		c.counters.notSent.Add(1)
--- a/process/objectapi/objectapi.go
+++ b/process/objectapi/objectapi.go
@@ -41,7 +41,7 @@
 // Object is one stored value. Version is a store-wide revision: it increases
 // with every write of any key, so versions of different keys are comparable.
 type Object struct {
-	Key     string
+	Key     string // parts separated by slashes
 	Value   []byte
 	Version uint64
 }
@@ -61,8 +61,9 @@
 )
 
 // Store is the object API. Every method is one call that counts towards the rate
-// limit of the platform. Implementations are safe for concurrent use and honour
-// the deadline of the context.
+// limit of the platform, and may return ErrUnavailable or ErrRateLimited; Put and
+// Delete may return ErrUnknownOutcome. Implementations are safe for concurrent use
+// and honour the deadline of the context.
 type Store interface {
 	// Get returns the object with the given key, or ErrNotFound.
 	Get(ctx context.Context, key string) (Object, error)
--- a/process/objectapi/retry.go
+++ b/process/objectapi/retry.go
@@ -12,7 +12,7 @@
 // exponential backoff. Such a call wrote nothing, so a retry is safe. It is meant
 // for the operators' commands: a procedure of several calls continues where it
 // was, and does not start again and spend the budget on calls that it has already
-// made. Watch and Hosts are not retried.
+// made. Watch and Hosts are not retried. All fields but MaxAttempts are required.
 type RetryingStore struct {
 	Store
 	Clock clock.Clock
@@ -24,12 +24,12 @@
 
 const (
 	defaultMaxAttempts = 30
-	minRetryWait       = 100 * time.Millisecond
-	maxRetryWait       = 2 * time.Second
+	minRetryWait       = 100 * time.Millisecond // upper bound of the first backoff, which doubles
+	maxRetryWait       = 2 * time.Second        // upper bound of all backoffs
 )
 
 // retry calls call until it is not rate-limited, the attempts are used up or ctx
-// is done.
+// is done, and returns its last error.
 func (s RetryingStore) retry(ctx context.Context, call func() error) error {
 	attempts := s.MaxAttempts
 	if attempts <= 0 {
