--- a/process/telemetry/telemetry.go
+++ b/process/telemetry/telemetry.go
@@ -22,9 +22,9 @@
 
 // Names of span exporters.
 const (
-	ExportNone   = "none"
-	ExportStdout = "stdout"
-	ExportOTLP   = "otlp"
+	ExportNone   = "none"   // spans are not recorded
+	ExportStdout = "stdout" // JSON on standard output
+	ExportOTLP   = "otlp"   // OTLP over HTTP to Options.Endpoint
 )
 
 // Options configure the logger and the tracer of a process.
@@ -35,7 +35,7 @@
 	LogJSON      bool      // JSON lines instead of logfmt
 	ExporterName string    // ExportNone, ExportStdout or ExportOTLP; empty: ExportNone
 	Endpoint     string    // host:port of the OTLP collector; plain HTTP
-	SampleRatio  float64   // share of traced requests, 0 to 1
+	SampleRatio  float64   // fraction of traced requests, 0 to 1; a request with a trace context follows that
 	LogOutput    io.Writer // default standard error
 	// SpanExporter, if set, gets each span synchronously instead of the exporter
 	// that ExporterName names.
@@ -87,6 +87,8 @@
 	return newTracer(o, sdktrace.WithBatcher(exp))
 }
 
+// newTracer returns a tracer that exports by export, and the function that shuts
+// it down.
 func newTracer(o Options, export sdktrace.TracerProviderOption) (trace.Tracer, func(context.Context) error, error) {
 	res := resource.NewSchemaless(attribute.String("service.name", o.Service), attribute.String("host.name", o.Host))
 	tp := sdktrace.NewTracerProvider(export, sdktrace.WithResource(res),
