--- a/request/entry/claim.go
+++ b/request/entry/claim.go
@@ -13,7 +13,8 @@
 
 // acquireClaim claims the request's key for this entry host and waits for an earlier
 // request with the same key that runs here. done is set if the response of an earlier
-// request was sent instead.
+// request was sent instead. If done is not set and err is nil, the claim is held and has
+// to be settled.
 func (c *callerRequest) acquireClaim() (done bool, err *errkind.Error) {
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.admitted.Deadline)
 	defer cancel()
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -32,7 +32,7 @@
 
 // Headers are the names of the headers that callers send.
 type Headers struct {
-	RequestID string // returned on the response
+	RequestID string // id of the request, chosen by the caller; returned on the response
 	Account   string // client account
 	Timeout   string // a duration such as 2s; shortens the route's deadline
 	Key       string // idempotency key or ticket
@@ -57,14 +57,14 @@
 func DefaultLimits() Limits { return Limits{Body: 4 << 20, Key: 256, Account: 128} }
 
 // Handler is the http.Handler for callers. A process creates one; its fields must not
-// change after the first request.
+// change after the first request. All fields but LogLimit are required.
 type Handler struct {
-	InForce    *current.Value[snapshot.Snapshot]
+	InForce    *current.Value[snapshot.Snapshot] // the active release; its value is nil before the first one
 	Runner     *pipeline.Runner
 	Admission  admission.Admitter
 	Claims     claim.Claims
 	Quarantine quarantine.Guard
-	Gate       *drain.Gate
+	Gate       *drain.Gate // closed while the host shuts down; counts requests in flight
 	Clock      clock.Clock
 	Log        *log.Logger
 	LogLimit   *rate.Limiter // of log lines about errors; nil: unlimited
@@ -81,17 +81,17 @@
 	r                *http.Request
 	id               string // sent by the caller, or generated; need not be unique
 	backendRequestID string // unique; sent to backend servers
-	account          string
-	key              string
+	account          string // client account; may be empty
+	key              string // idempotency key or ticket; may be empty
 	body             []byte
 	snap             *snapshot.Snapshot
-	route            *snapshot.Route
+	route            *snapshot.Route // nil until it is matched
 	admitted         admission.Request
-	stream           *streamWriter
-	claimed          bool // the claim is held and its outcome is not recorded yet
-	neverRan         bool // the claim was granted and proves that no earlier request with the key ran
-	responseStarted  bool // the head of an unstreamed response has been written
-	claimKey         claim.Key
+	stream           *streamWriter // nil: the response is not streamed
+	claimed          bool          // the claim is held and its outcome is not recorded yet
+	neverRan         bool          // the claim was granted and proves that no earlier request with the key ran
+	responseStarted  bool          // the headers of an unstreamed response have been written
+	claimKey         claim.Key     // set with the route, also if the request needs no claim
 }
 
 // ServeHTTP implements http.Handler.
@@ -283,10 +283,12 @@
 	return nil
 }
 
+// writeJSON sends a complete response with the media type of JSON.
 func (c *callerRequest) writeJSON(status int, body []byte) {
 	c.writeResponse(status, "application/json", body)
 }
 
+// writeResponse sends a complete response. An empty contentType means JSON.
 func (c *callerRequest) writeResponse(status int, contentType string, body []byte) {
 	c.responseStarted = true
 	if contentType == "" {
--- a/request/entry/record.go
+++ b/request/entry/record.go
@@ -37,6 +37,7 @@
 	}
 }
 
+// span returns the span of the request.
 func (c *callerRequest) span() trace.Span { return trace.SpanFromContext(c.r.Context()) }
 
 // routeName returns the name of the route, or "" before it is matched.
--- a/request/entry/response.go
+++ b/request/entry/response.go
@@ -14,7 +14,7 @@
 
 // Counters count responses for expvar.
 type Counters struct {
-	Completed      atomic.Int64
+	Completed      atomic.Int64 // requests run by this host, without replayed responses
 	Refused        atomic.Int64 // errors with "ran: no"
 	Failed         atomic.Int64 // all other errors
 	UnloggedErrors atomic.Int64 // errors not logged because of Handler.LogLimit
@@ -29,12 +29,12 @@
 
 // Problem is the body of every error response (RFC 9457).
 type Problem struct {
-	Type       string       `json:"type"`
-	Title      string       `json:"title"`
-	Status     int          `json:"status"`
+	Type       string       `json:"type"`   // about:blank# and the kind
+	Title      string       `json:"title"`  // text of the kind
+	Status     int          `json:"status"` // HTTP status
 	Detail     string       `json:"detail,omitempty"`
 	Kind       errkind.Kind `json:"kind"`
-	Ran        errkind.Ran  `json:"ran"`
+	Ran        errkind.Ran  `json:"ran"` // whether the request may have run
 	RequestID  string       `json:"request_id"`
 	RetryAfter float64      `json:"retry_after,omitempty"` // seconds
 }
@@ -46,7 +46,7 @@
 	return last.Stream && strings.Contains(c.r.Header.Get("Accept"), StreamMediaType)
 }
 
-// writeError logs and counts the error and sends it as the response. A stream that has
+// writeError logs and counts the error, sets its EarlierAttempt and sends it as the response. A stream that has
 // started is aborted with it.
 func (c *callerRequest) writeError(e *errkind.Error) {
 	e.EarlierAttempt = c.mayHaveRunEarlier(e)
@@ -83,17 +83,17 @@
 // streamWriter writes chunks to the caller and flushes each of them.
 type streamWriter struct {
 	w       http.ResponseWriter
-	started bool
+	started bool  // write has been called
 	offset  int64 // data bytes written
 }
 
 // streamError is the last line of an aborted stream.
 type streamError struct {
-	Offset  int64   `json:"offset"`
+	Offset  int64   `json:"offset"` // data bytes sent before the error
 	Problem Problem `json:"problem"`
 }
 
-// write sends a chunk, preceded by the response head if it is the first.
+// write sends a chunk, preceded by the response headers if it is the first.
 func (s *streamWriter) write(ch backend.Chunk) error {
 	if !s.started {
 		s.w.Header().Set("Content-Type", StreamMediaType)
