--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -26,7 +26,7 @@
 // attempt is one call of a stage on a backend server.
 type attempt struct {
 	server   *pick.Server
-	number   int
+	number   int  // from 1, over all stages and resumptions of the request
 	isolated bool // suspected of crashing servers: no other suspect runs on the server
 }
 
@@ -225,7 +225,7 @@
 // maxAttemptNumber limits the attempts of a request over all stages and resumptions.
 const maxAttemptNumber = 64
 
-// acquireRetry takes a retry from the pool's budget. It fails if the budget is used up or
+// acquireRetry takes a retry from the pool's budget. It returns false if the budget is used up or
 // the time left is shorter than the pool's mean delay to the first byte.
 func (x *execution) acquireRetry(st *snapshot.Stage) bool {
 	p := x.pool(st)
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -17,10 +17,11 @@
 	err error
 }
 
+// errPanic is the error of an attempt whose code panicked; the server may have run it.
 var errPanic = errors.New("pipeline: attempt panicked")
 
 // startAttempt runs an attempt in the background and sends its result to results, whose
-// buffer must have a free slot for it.
+// buffer must have a free slot for it. onStall is passed to the call as OnStall.
 func (x *execution) startAttempt(ctx context.Context, st *snapshot.Stage, a *attempt, in []byte, onStall func(reused bool) bool, results chan<- attemptResult) {
 	c := x.newCall(st, a, in)
 	p := x.pool(st)
--- a/request/pipeline/options.go
+++ b/request/pipeline/options.go
@@ -7,9 +7,10 @@
 	"bilberrydale/process/retrybudget"
 )
 
-// Options limit retries and set the timeouts of attempts.
+// Options limit retries and set the timeouts of attempts. Zero values are used as they
+// are; start from DefaultOptions.
 type Options struct {
-	MaxAttempts int     // per stage
+	MaxAttempts int     // servers tried per stage, the first one included
 	RetryRatio  float64 // retries per first attempt, for each pool
 	RetryBurst  float64 // unused retries that a pool may accumulate
 	// MinStallTimeout is the lower bound of the time without progress after which a
--- a/request/pipeline/pipeline.go
+++ b/request/pipeline/pipeline.go
@@ -22,7 +22,7 @@
 )
 
 // Runner executes requests. A process creates one; it is safe for concurrent use and
-// must not be copied.
+// must not be copied. All exported fields but Isolator and Counters have to be set.
 type Runner struct {
 	Backend     backend.Client
 	Admission   admission.Admitter
@@ -37,7 +37,7 @@
 	Counters    Counters
 
 	pools  poolStates
-	probes singleflight.Group
+	probes singleflight.Group // probes in progress, by server address
 }
 
 // Request is an admitted request.
@@ -49,9 +49,9 @@
 	URI         string // path and query of the caller's request
 	ContentType string // of Body
 	Body        []byte
-	Snapshot    *snapshot.Snapshot
-	Route       *snapshot.Route
-	Admitted    *admission.Request
+	Snapshot    *snapshot.Snapshot // under which the request runs
+	Route       *snapshot.Route    // of Snapshot
+	Admitted    *admission.Request // holds the deadline; updated while the request runs
 	Fingerprint quarantine.Fingerprint
 	// Sink receives the chunks of a streamed last stage. If it is nil, the response is
 	// only collected in Result.Body.
@@ -74,8 +74,8 @@
 
 // LateResult is the result of a stage that ended after Run returned.
 type LateResult struct {
-	Complete    bool // Body is the complete response of the request
-	ContentType string
+	Complete    bool   // Body is the complete response of the request
+	ContentType string // of Body
 	Body        []byte
 	NotStarted  bool // the stage is known not to have run
 }
@@ -84,11 +84,11 @@
 type execution struct {
 	*Runner
 	req                     *Request
-	attempts                int  // made so far, over all stages and resumptions
-	dispatched              bool // a byte may have reached a backend server
-	nonRepeatableMayHaveRun bool // see Result
-	late                    <-chan LateResult
-	triedServers            []*serverstate.State // by the current stage
+	attempts                int                  // made so far, over all stages and resumptions
+	dispatched              bool                 // a byte may have reached a backend server
+	nonRepeatableMayHaveRun bool                 // see Result
+	late                    <-chan LateResult    // see Result
+	triedServers            []*serverstate.State // by the current stage, except those that may be picked again
 	// contentType is the media type of the current stage's input.
 	contentType string
 }
--- a/request/pipeline/pool_state.go
+++ b/request/pipeline/pool_state.go
@@ -10,13 +10,13 @@
 )
 
 // poolStates holds the state of each pool by name. It outlives releases.
-type poolStates struct{ byName sync.Map }
+type poolStates struct{ byName sync.Map } // string -> *poolState
 
 // poolState is the retry budget and the measured delays of a pool.
 type poolState struct {
 	retryBudget    *retrybudget.Budget // shared by all requests
-	firstByteDelay delayEstimator
-	chunkInterval  delayEstimator // between chunks of a streamed response
+	firstByteDelay delayEstimator      // from sending to the complete response or the first chunk
+	chunkInterval  delayEstimator      // between chunks of a streamed response
 }
 
 // pool returns the state of the stage's pool and creates it on first use.
@@ -36,7 +36,7 @@
 const (
 	meanShift         = 3 // weight 1/8 for a new delay
 	deviationShift    = 2 // weight 1/4 for a new deviation
-	timeoutDeviations = 8
+	timeoutDeviations = 8 // mean deviations above the mean after which a connection counts as stalled
 )
 
 // observe adds a measured delay.
--- a/request/pipeline/repeatable.go
+++ b/request/pipeline/repeatable.go
@@ -13,20 +13,20 @@
 // is used.
 type hedgedStage struct {
 	*execution
-	ctx          context.Context
+	ctx          context.Context // ends with the stage
 	st           *snapshot.Stage
-	in           []byte
+	in           []byte // input of the stage
 	results      chan attemptResult
-	stalls       chan *attempt
+	stalls       chan *attempt // attempts that have stalled, each at most once
 	probeResults chan probeResult
-	inFlight     int
-	lastErr      *errkind.Error
+	inFlight     int            // attempts without a result
+	lastErr      *errkind.Error // of the last failure
 }
 
 // probeResult is the result of probing the server of a stalled attempt.
 type probeResult struct {
 	attempt *attempt
-	alive   bool
+	alive   bool // the server responded
 }
 
 // runRepeatable runs a repeatable stage with an unstreamed response.
--- a/request/pipeline/streamed.go
+++ b/request/pipeline/streamed.go
@@ -11,10 +11,13 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Errors of passing on the chunks of a stream. Use errors.Is.
+// Errors of handling the chunks of a stream. Use errors.Is.
 var (
+	// errResumeMismatch means that a chunk does not continue the data accepted before or
+	// repeats it with changes.
 	errResumeMismatch = errors.New("pipeline: resumed stream differs from what was sent before")
-	errSinkFailed     = errors.New("pipeline: the caller does not take the answer")
+	// errSinkFailed means that Request.Sink returned an error, so the response cannot be written to the caller.
+	errSinkFailed = errors.New("pipeline: the caller does not take the answer")
 )
 
 // maxResumes limits the resumptions of a stream.
@@ -24,13 +27,13 @@
 type streamedStage struct {
 	*execution
 	st           *snapshot.Stage
-	in           []byte
+	in           []byte        // input of the stage
 	offset       int64         // bytes accepted so far
 	lastChunk    backend.Chunk // the last chunk with data that was accepted
-	body         []byte
-	resumes      int
-	lastProgress time.Time // when the current attempt was sent or its last chunk arrived
-	firstByteAt  time.Time // when the first chunk arrived
+	body         []byte        // collected response; see Request.Sink and CollectBody
+	resumes      int           // resumptions so far
+	lastProgress time.Time     // when the current attempt was sent or its last chunk arrived
+	firstByteAt  time.Time     // when the first chunk arrived
 }
 
 // runStreamed runs a streamed stage. If the connection is lost, it resumes on the same
