--- a/connection/backend/backend.go
+++ b/connection/backend/backend.go
@@ -16,23 +16,23 @@
 // Call is one attempt of a stage on a backend server.
 type Call struct {
 	Server      *serverstate.State
-	Path        string
-	RequestID   string
-	Stage       string
-	Attempt     int
+	Path        string // on the server
+	RequestID   string // unique across all hosts and incarnations
+	Stage       string // name of the stage
+	Attempt     int    // from 1, over all stages of the request
 	Host        string // name of the sending entry host
-	Incarnation uint64
+	Incarnation uint64 // of the sending entry host
 	Method      string // of the caller's request
 	URI         string // path and query of the caller's request
 	ContentType string // of Body; empty: JSON
 	Body        []byte
-	Account     string
-	Priority    int // 0 is the most urgent
+	Account     string // client account; may be empty
+	Priority    int    // 0 is the most urgent
 	// Key is the operation key, by which services detect repeats; may be empty.
 	Key string
 	// ResumeOffset is the byte offset at which a stream continues; 0: from the start.
 	ResumeOffset int64
-	// FirstByteTimeout limits the time until the head of the response, IdleTimeout the
+	// FirstByteTimeout limits the time until the headers of the response, IdleTimeout the
 	// time between later reads of its body. 0: only ctx limits them.
 	FirstByteTimeout time.Duration
 	IdleTimeout      time.Duration
@@ -45,7 +45,7 @@
 
 // Response is a complete response.
 type Response struct {
-	Status      int
+	Status      int // HTTP status
 	ContentType string
 	Body        []byte
 }
@@ -68,7 +68,8 @@
 	// or repeats. It returns nil only after the final chunk, an error of sink as it is,
 	// and an *Error otherwise.
 	Stream(ctx context.Context, c *Call, sink func(Chunk) error) error
-	// Probe checks the server's health on a new connection.
+	// Probe checks the server's health on a new connection. It returns nil if the server
+	// reports that it is healthy.
 	Probe(ctx context.Context, s *serverstate.State) error
 	// CloseIdleConnections closes all idle connections to the server.
 	CloseIdleConnections(s *serverstate.State)
@@ -110,5 +111,6 @@
 	ErrTruncated = errors.New("backend: answer cut off")
 	// ErrTooLarge: the response exceeds HTTPOptions.MaxResponseBytes.
 	ErrTooLarge = errors.New("backend: answer too large")
-	errStalled  = errors.New("no progress on the connection")
+	// errStalled: the call was aborted because of Call.OnStall or a timeout without it.
+	errStalled = errors.New("no progress on the connection")
 )
--- a/connection/backend/exchange.go
+++ b/connection/backend/exchange.go
@@ -21,17 +21,17 @@
 	cancel    context.CancelFunc
 	connected atomic.Bool // a connection was obtained: bytes may have been sent
 	reused    atomic.Bool // the connection served an earlier exchange
-	stalled   atomic.Bool
+	stalled   atomic.Bool // aborted by abortStalled
 
-	mu         sync.Mutex // guards the fields below
-	timer      *time.Timer
-	generation int // incremented on each progress
-	timeout    time.Duration
-	closed     bool
+	mu         sync.Mutex    // guards the fields below
+	timer      *time.Timer   // calls onTimeout; nil until it is first started
+	generation int           // incremented on each progress
+	timeout    time.Duration // current timeout of timer
+	closed     bool          // close was called
 }
 
-// open sends the call, waits for the head of the response and checks that it belongs to the
-// call.
+// open sends the call, waits for the headers of the response and checks that it belongs to the
+// call and has status 200. The error is an *Error.
 func (h *HTTPClient) open(ctx context.Context, c *Call) (*exchange, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	x := &exchange{call: c, cancel: cancel}
--- a/connection/backend/http.go
+++ b/connection/backend/http.go
@@ -39,7 +39,7 @@
 	clients sync.Map // *serverstate.State -> *http.Client
 }
 
-// NewHTTPClient returns an HTTPClient.
+// NewHTTPClient returns an HTTPClient without connections.
 func NewHTTPClient(opts HTTPOptions) *HTTPClient {
 	if opts.MaxResponseBytes <= 0 {
 		opts.MaxResponseBytes = 16 << 20
@@ -67,6 +67,7 @@
 	return c.(*http.Client)
 }
 
+// newClient returns a client for one backend server, with a connection pool of its own.
 func (h *HTTPClient) newClient() *http.Client {
 	return &http.Client{
 		Transport: &http.Transport{
@@ -83,7 +84,7 @@
 // CloseIdleConnections implements Client.
 func (h *HTTPClient) CloseIdleConnections(s *serverstate.State) { h.client(s).CloseIdleConnections() }
 
-// Probe implements Client.
+// Probe implements Client: GET /health has to return status 200.
 func (h *HTTPClient) Probe(ctx context.Context, s *serverstate.State) error {
 	c := h.newClient()
 	defer c.CloseIdleConnections()
@@ -196,6 +197,7 @@
 }
 
 // validateResponse checks that the response carries the ids of the call and has status 200.
+// The error is an *Error; of an error response it contains the start of the body.
 func (x *exchange) validateResponse(c *Call, names *Headers) error {
 	h := x.resp.Header
 	if h.Get(names.RequestID) != c.RequestID || h.Get(names.Stage) != c.Stage || h.Get(names.Attempt) != strconv.Itoa(c.Attempt) {
