--- a/connection/engineorder/engineorder.go
+++ b/connection/engineorder/engineorder.go
@@ -14,23 +14,24 @@
 
 // Paths on an engine.
 const (
-	pathOrders = "/orders"
-	pathLoad   = "/load"
+	pathOrders = "/orders" // PUT: executes an order
+	pathLoad   = "/load"   // GET: returns the engine's state as JSON
 )
 
+// maxResponseBytes limits what is read of a response; the rest is ignored.
 const maxResponseBytes = 64 << 10
 
 // Client implements order.Sender. It opens a connection for each call: orders are rare, and
 // an order sent on an idle connection whose state a middlebox has dropped would be lost.
 type Client struct{ http *http.Client }
 
-// New returns a Client.
+// New returns a Client that opens a connection for each call.
 func New() *Client {
 	return &Client{http: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
 }
 
 // Send implements order.Sender. It returns order.ErrStaleFence if the engine has seen a
-// higher fencing number.
+// higher fencing number. After any other error the engine may have executed the order.
 func (c *Client) Send(ctx context.Context, address string, o order.Order) error {
 	body, err := json.Marshal(o)
 	if err != nil {
@@ -48,7 +49,8 @@
 	return nil
 }
 
-// ReadState implements order.Sender.
+// ReadState implements order.Sender. It returns an error if the engine does not respond with
+// status 200 and a valid report.
 func (c *Client) ReadState(ctx context.Context, address string) (order.State, error) {
 	status, data, err := c.call(ctx, http.MethodGet, address, pathLoad, nil)
 	if err != nil {
@@ -69,7 +71,7 @@
 }
 
 // call sends a request to the engine and returns the status and at most maxResponseBytes
-// of the body.
+// of the body. address is host:port.
 func (c *Client) call(ctx context.Context, method, address, path string, body []byte) (int, []byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
