--- a/connection/serverprobe/serverprobe.go
+++ b/connection/serverprobe/serverprobe.go
@@ -23,17 +23,17 @@
 
 const (
 	defaultTimeout = 800 * time.Millisecond
-	maxReportBytes = 64 << 10
+	maxReportBytes = 64 << 10 // read of a report; a longer one is invalid
 )
 
 // Client implements loadreport.Prober. It is safe for concurrent use.
 type Client struct {
-	path             string
-	timeout          time.Duration
-	keepAlive, fresh *http.Client
+	path             string        // URL path of the report
+	timeout          time.Duration // per poll
+	keepAlive, fresh *http.Client  // keepAlive reuses connections; fresh opens one per poll
 }
 
-// New returns a Client.
+// New returns a Client without connections.
 func New(opts Options) *Client {
 	if opts.Path == "" {
 		opts.Path = "/load"
@@ -62,7 +62,8 @@
 }
 
 // Poll implements loadreport.Prober. It returns loadreport.ErrNoReport if the server responds
-// without a valid report, and loadreport.ErrNoConnection if no connection could be opened.
+// without a valid report, loadreport.ErrNoConnection if no connection could be opened, and
+// another error if no complete response arrived.
 func (c *Client) Poll(ctx context.Context, address string, fresh bool) (loadreport.Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
