--- a/version/snapshot/snapshot.go
+++ b/version/snapshot/snapshot.go
@@ -19,7 +19,7 @@
 // Snapshot is a compiled release. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	Number uint64           // of the release
-	Hash   string           // of the release
+	Hash   string           // of the release's rows
 	Routes []*Route         // in matching order: most specific first
 	Pools  map[string]*Pool // by name
 }
@@ -49,7 +49,7 @@
 	Picker pick.Picker
 }
 
-// Options configure Build.
+// Options configure Build. Registry and NewPicker are required.
 type Options struct {
 	Registry   *serverstate.Registry                                    // holds the states of backend servers across releases
 	NewPicker  func(pool table.Pool, servers []pick.Server) pick.Picker // creates the picker of each pool
@@ -78,6 +78,7 @@
 	return s, nil
 }
 
+// buildPool returns the pool with the states of its servers and its picker.
 func buildPool(p table.Pool, opts Options) *Pool {
 	if opts.AdjustPool != nil {
 		opts.AdjustPool(&p)
@@ -89,6 +90,7 @@
 	return &Pool{Pool: p, Picker: opts.NewPicker(p, servers)}
 }
 
+// buildRoute returns the route with its stages resolved; pools are by name.
 func buildRoute(r table.Route, pools map[string]*Pool) *Route {
 	out := &Route{Route: r, Repeatable: true}
 	for i, st := range r.Stages {
