--- a/version/pick/explain.go
+++ b/version/pick/explain.go
@@ -6,12 +6,12 @@
 	"bilberrydale/process/serverstate"
 )
 
-// Candidate describes a server of the pool as the picker evaluates it.
+// Candidate describes a server of the pool as the picker evaluates it, for operators.
 type Candidate struct {
 	Name        string  `json:"name"`
-	Tier        string  `json:"tier"` // domain, region, remote or unused
-	Load        float64 `json:"load"` // requests in flight per slot
-	State       string  `json:"state"`
+	Tier        string  `json:"tier"`             // domain, region, remote, or unused: not in this host's subsets
+	Load        float64 `json:"load"`             // requests in flight per slot
+	State       string  `json:"state"`            // usable, leaving, down, on trial or ejected, with the reason
 	OwnInFlight int64   `json:"own"`              // requests in flight sent by this host
 	ReportAge   float64 `json:"report,omitempty"` // age of the load report in seconds
 	// MeanLatency is the mean duration of this host's successful attempts in seconds.
@@ -73,6 +73,7 @@
 	return append(p.region.states(), p.remote.states()...)
 }
 
+// states returns the states of the servers in t.
 func (t tier) states() []*serverstate.State {
 	out := make([]*serverstate.State, len(t))
 	for i, s := range t {
--- a/version/pick/load.go
+++ b/version/pick/load.go
@@ -6,7 +6,8 @@
 	"bilberrydale/process/serverstate"
 )
 
-// Load is the load of a pool's servers that this entry host may use.
+// Load is the load of a pool's servers that this entry host may use. Slots are fractions because
+// of weights and spare slots, and requests because they are estimated from aging load reports.
 type Load struct {
 	// Slots counts the slots of healthy servers in the own region, and a fraction of the free
 	// slots in other regions.
@@ -14,7 +15,7 @@
 	InFlight    float64 // requests running or queued on the servers of the own region
 	OwnInFlight float64 // of those, sent by this host
 	// ReportedInFlight and OwnInFlightAtReport are InFlight and OwnInFlight at the time of the
-	// servers' last reports.
+	// servers' last reports; a server without a report counts 0.
 	ReportedInFlight    float64
 	OwnInFlightAtReport float64
 	// ProbesDue is the number of ejected servers that are due for a trial request. Admission
--- a/version/pick/locality.go
+++ b/version/pick/locality.go
@@ -7,7 +7,8 @@
 	"bilberrydale/version/table"
 )
 
-// Options configure a LocalityPicker. Loads are requests in flight per slot.
+// Options configure a LocalityPicker. Loads are requests in flight per slot. Zero values are
+// used as they are; start from DefaultOptions.
 type Options struct {
 	Host   string // name of this entry host; determines its subsets of servers
 	Domain string // failure domain of this entry host
@@ -29,7 +30,7 @@
 	DegradedSpilloverLoad float64
 	// MaxRemoteLoad is the load below which a server in another region is used for spillover.
 	MaxRemoteLoad float64
-	// RemoteLoadPerMB is the minimum difference between the loads of the own region and of a
+	// MinRemoteGainPerMB is the minimum difference between the loads of the own region and of a
 	// server in another region, for each billed megabyte of input sent there.
 	MinRemoteGainPerMB float64
 	// MaxAffinityLoadFactor is the load up to which a server receives requests for the
@@ -122,7 +123,8 @@
 func (p *LocalityPicker) Preview(attempt *Attempt) (*Server, error) { return p.selectServer(attempt) }
 
 // selectServer returns the server for the attempt or ErrNoServer. Its result may be due for a
-// trial, which the caller has to claim.
+// trial, which the caller has to claim. A tier is used only if the servers of the preceding
+// ones are above the spillover loads or are not usable.
 func (p *LocalityPicker) selectServer(attempt *Attempt) (*Server, error) {
 	best, load := p.chooseFromTier(p.domain, attempt)
 	if best != nil && load < p.opts.SpilloverLoad {
@@ -201,11 +203,11 @@
 	if la < p.opts.SpilloverLoad {
 		return a, la
 	}
-	return p.leastLoaded(t, attempt)
+	return p.scanLeastLoaded(t, attempt)
 }
 
 // nextUsable returns the first usable server other than exclude at or after index start,
-// wrapping around, and its load.
+// wrapping around, and its load; nil if there is none.
 func (p *LocalityPicker) nextUsable(t tier, attempt *Attempt, start int, exclude *Server) (*Server, float64) {
 	for i := range t {
 		s := t[(start+i)%len(t)]
@@ -216,9 +218,10 @@
 	return nil, 0
 }
 
-// leastLoaded returns the least loaded usable server and its load. It is called only if two
-// random servers are both full, to find a free slot before the request leaves the tier.
-func (p *LocalityPicker) leastLoaded(t tier, attempt *Attempt) (*Server, float64) {
+// scanLeastLoaded returns the least loaded usable server of the whole tier and its load in
+// requests in flight per slot; nil if none is usable. It is called only if no randomly drawn
+// server has a load below SpilloverLoad, to find one before the request leaves the tier.
+func (p *LocalityPicker) scanLeastLoaded(t tier, attempt *Attempt) (*Server, float64) {
 	var best *Server
 	var load float64
 	start := attempt.Rand.IntN(len(t))
--- a/version/pick/pick.go
+++ b/version/pick/pick.go
@@ -18,7 +18,7 @@
 type Server struct {
 	table.Server
 	State *serverstate.State
-	Slots int // requests that the server runs concurrently, before its weight is applied
+	Slots int // requests that the server runs concurrently, before its weight is applied; below 1: 1
 
 	outsideDomain bool // in another failure domain than the picker's host
 }
--- a/version/pick/subset.go
+++ b/version/pick/subset.go
@@ -25,7 +25,9 @@
 	return sorted[:n]
 }
 
-// mixHashes combines two hashes into one that depends on every bit of both.
+// mixHashes combines two hashes into one by the 128-bit product of both. The constants are
+// arbitrary, but must be the same on all hosts, since pickByPrefix has to assign a prefix to the
+// same server everywhere.
 func mixHashes(a, b uint64) uint64 {
 	hi, lo := bits.Mul64(a^0x9e3779b97f4a7c15, b^0xd1b54a32d192ed03)
 	return hi ^ lo
