--- a/version/table/decode.go
+++ b/version/table/decode.go
@@ -13,7 +13,7 @@
 // decoder decodes YAML nodes into typed values. It continues after an error, so that the errors
 // of all fields are reported together.
 type decoder struct {
-	file      string
+	file      string         // name of the file in errors
 	rowOffset map[string]int // number of rows in earlier files, by table
 	positions positions      // filled with the position of each value
 	errs      ValidationErrors
@@ -38,7 +38,7 @@
 	d.decodeValue("", doc.Content[0], reflect.ValueOf(t).Elem())
 }
 
-// addError records an error of the value at path.
+// addError records an error of the value at path. fix tells the operator how to correct it.
 func (d *decoder) addError(line int, path, problem, fix string) {
 	row, field := splitPath(path)
 	d.errs = append(d.errs, ValidationError{File: d.file, Line: line, Row: row, Field: field, Problem: problem, Fix: fix, path: path})
@@ -85,6 +85,7 @@
 	}
 }
 
+// decodeScalar decodes n into v, a text, number, boolean or Duration.
 func (d *decoder) decodeScalar(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.ScalarNode {
 		d.addError(n.Line, path, "is a list or a mapping", "write one "+typeName(v.Type()))
@@ -112,6 +113,7 @@
 	}
 }
 
+// decodeList appends the items of n to the slice v.
 func (d *decoder) decodeList(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.SequenceNode {
 		d.addError(n.Line, path, "is not a list", "write a list with a dash before each item")
@@ -125,6 +127,7 @@
 	}
 }
 
+// decodeMap decodes n into v, a map with string keys.
 func (d *decoder) decodeMap(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
 		d.addError(n.Line, path, "is not a mapping", "write name: value pairs")
@@ -138,6 +141,8 @@
 	}
 }
 
+// decodeStruct decodes n into the struct v by the YAML names of its fields. Unknown fields are
+// errors.
 func (d *decoder) decodeStruct(path string, n *yaml.Node, v reflect.Value) {
 	if n.Kind != yaml.MappingNode {
 		d.addError(n.Line, path, "is not a mapping", "write name: value pairs")
--- a/version/table/dir.go
+++ b/version/table/dir.go
@@ -46,7 +46,7 @@
 
 // File is the name and content of a YAML file with rows of the tables.
 type File struct {
-	Name string
+	Name string // in errors
 	Data []byte
 }
 
--- a/version/table/errors.go
+++ b/version/table/errors.go
@@ -8,11 +8,11 @@
 // ValidationError is an error in the tables that an operator has to correct.
 type ValidationError struct {
 	File    string `json:"file,omitempty"` // empty: the row was not read from a file
-	Line    int    `json:"line,omitempty"`
-	Row     string `json:"row"`     // "routes/draft", or "routes[2]" if the row has no name
-	Field   string `json:"field"`   // "stages[1].pool"
-	Problem string `json:"problem"` // what is invalid
-	Fix     string `json:"fix"`     // how to correct it
+	Line    int    `json:"line,omitempty"` // from 1
+	Row     string `json:"row"`            // "routes/draft", or "routes[2]" if the row has no name
+	Field   string `json:"field"`          // "stages[1].pool"
+	Problem string `json:"problem"`        // what is invalid
+	Fix     string `json:"fix"`            // how to correct it
 
 	path string // path of the field from the root: "routes[2].stages[1].pool"
 }
@@ -40,8 +40,8 @@
 
 // position is a line of a file.
 type position struct {
-	file string
-	line int
+	file string // name
+	line int    // from 1
 }
 
 // positions maps the path of a value ("routes[2].stages[1].pool") to its position in a file.
--- a/version/table/table.go
+++ b/version/table/table.go
@@ -116,7 +116,7 @@
 
 // Server is one backend server of a pool.
 type Server struct {
-	Name    string  `json:"name" yaml:"name"`
+	Name    string  `json:"name" yaml:"name"`                         // the same in all pools that list the server
 	Address string  `json:"address" yaml:"address"`                   // host:port
 	Domain  string  `json:"domain" yaml:"domain"`                     // failure domain
 	Region  string  `json:"region" yaml:"region"`                     // region of the failure domain
--- a/version/table/validate_pools.go
+++ b/version/table/validate_pools.go
@@ -9,8 +9,8 @@
 // serverIndex holds the backend servers of all pools. A server may be listed in several pools,
 // but always with the same address, and a failure domain has the same region everywhere.
 type serverIndex struct {
-	addressByName  map[string]string
-	nameByAddress  map[string]string
+	addressByName  map[string]string // of servers
+	nameByAddress  map[string]string // of servers
 	regionByDomain map[string]string
 }
 
