--- a/connection/backend/exchange.go
+++ b/connection/backend/exchange.go
@@ -58,8 +58,9 @@
 	return x, nil
 }
 
-// detectLeaving reports a server whose response says for the first time that it is leaving.
-// A response is often the earliest sign, since it needs no load report, host list or peer.
+// detectLeaving calls OnLeaving if the response says that its server is leaving and this is not
+// yet known. A response is often the earliest source, since it needs no load report, host list
+// or peer.
 func (h *HTTPClient) detectLeaving(s *serverstate.State, header http.Header) {
 	if h.opts.OnLeaving != nil && header.Get(h.opts.Headers.Leaving) == "true" && !s.Leaving() {
 		h.opts.OnLeaving(s)
--- a/connection/peerconn/conn.go
+++ b/connection/peerconn/conn.go
@@ -49,6 +49,8 @@
 	IdleTimeout      time.Duration // without a call until the connection is closed; default 2 min
 }
 
+// withDefaults returns a copy in which sizes, counts and durations that are not positive are
+// replaced by the defaults.
 func (o Options) withDefaults() Options {
 	setDefault(&o.MaxFrameBytes, 4<<20)
 	setDefault(&o.MaxHandlers, 64)
--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -73,6 +73,7 @@
 	ShareBytesPerSecond int           // limit of the bytes sent to all peers together for sharing loads; default 750
 }
 
+// setDefaults replaces durations and counts that are not positive.
 func (o *Options) setDefaults() {
 	if o.Interval <= 0 {
 		o.Interval = time.Second
--- a/process/membership/membership.go
+++ b/process/membership/membership.go
@@ -11,7 +11,7 @@
 // States of an entry host.
 const (
 	Alive   State = iota
-	Suspect       // being checked on a new connection after a sign that it is dead
+	Suspect       // being checked on a new connection, since it may be dead
 	Gone          // this host's new connections to it failed
 )
 
--- a/process/membership/monitor.go
+++ b/process/membership/monitor.go
@@ -65,6 +65,7 @@
 	checkAttempts       = 2 // failed new connections before a host is declared gone
 )
 
+// setDefaults replaces durations and counts that are not positive.
 func (o *Options) setDefaults() {
 	setDefault(&o.Interval, time.Second)
 	setDefault(&o.Timeout, 800*time.Millisecond)
--- a/process/membership/table.go
+++ b/process/membership/table.go
@@ -46,6 +46,7 @@
 	listeners []func()
 }
 
+// newTable returns the table of host self, without other hosts.
 func newTable(self peer.Identity, maxPeers int) *table {
 	t := &table{self: self, maxPeers: maxPeers, records: map[string]*peerRecord{}}
 	t.publish()
--- a/process/peer/mesh.go
+++ b/process/peer/mesh.go
@@ -47,6 +47,7 @@
 	MaxPeers int
 }
 
+// setDefaults replaces durations and bounds that are not positive.
 func (o *MeshOptions) setDefaults() {
 	if o.MinBackoff <= 0 {
 		o.MinBackoff = 100 * time.Millisecond
--- a/process/peer/peertest/network.go
+++ b/process/peer/peertest/network.go
@@ -16,10 +16,10 @@
 // Network delivers calls between the links that joined it. It is safe for
 // concurrent use.
 type Network struct {
-	mu     sync.Mutex
-	links  map[string]*Link
+	mu     sync.Mutex          // guards the fields below and the handlers of the links
+	links  map[string]*Link    // by host name
 	faults map[[2]string]fault // by caller and callee
-	bytes  map[string]int64    // payloads, by host
+	bytes  map[string]int64    // of payloads sent and received, by host
 	calls  map[string]int64    // by calling host
 }
 
@@ -41,7 +41,7 @@
 type Link struct {
 	net      *Network
 	self     peer.Identity
-	handlers map[peer.Method]peer.Handler
+	handlers map[peer.Method]peer.Handler // guarded by Network.mu
 }
 
 // Join adds a host. It replaces a host of the same name, as a restart does.
@@ -73,6 +73,7 @@
 // Heal removes all faults between a and b, in both directions.
 func (n *Network) Heal(a, b string) { n.setFault(a, b, 0); n.setFault(b, a, 0) }
 
+// setFault sets the fault of calls from a to b; 0 removes it.
 func (n *Network) setFault(a, b string, f fault) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -148,6 +149,7 @@
 	return msgpack.Unmarshal(response, out)
 }
 
+// countBytes adds the payload bytes of a call to the traffic of both hosts.
 func (n *Network) countBytes(a, b string, size int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
