--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -15,13 +15,12 @@
 // would only wait after their start, occupying results and memory, and requests that will
 // miss their target latency could no longer be separated from those that need not.
 type Admission struct {
-	lookupService func(name string) (Service, bool)
-	// serviceCache holds the services as of the start of the current decision. Looking
-	// them up for each waiting request would use the whole processor of an overloaded
-	// host.
+	lookupService func(name string) (Service, bool) // false: there is no service of that name
+	// serviceCache holds the services by name as of the start of the current decision. Looking them
+	// up for each waiting request would use the whole processor of an overloaded host.
 	serviceCache map[string]Service
-	inFlight     map[string]workAmount // admitted and not finished, by service
-	// lateInFlight is the part of inFlight that was late at its start.
+	inFlight     map[string]workAmount // admitted and not finished, by service name
+	// lateInFlight is the part of inFlight that belongs to late requests.
 	lateInFlight map[string]workAmount
 	onTime       []*Ticket // waiting, by worth per second of server time, highest first
 	late         []*Ticket // waiting, by deadline, earliest first
@@ -30,24 +29,25 @@
 // Ticket is a request that waits for admission or is in flight.
 type Ticket struct {
 	Request *Request
-	Start   func()                 // called once, on admission
-	Reject  func(r batcher.Reason) // called once instead
+	Start   func()                 // called once, on admission; must not block
+	Reject  func(r batcher.Reason) // called once instead, if the request is rejected; must not block
 
 	// BlockedBy is the service that last kept the request from starting;
 	// BlockedByMemory reports whether that service lacked result memory.
 	BlockedBy       string
 	BlockedByMemory bool
-	StageTimes      []time.Duration // by stage, once the work is done
+	StageTimes      []time.Duration // duration by stage, as in Request.Stages, once the work is done
 	TargetID        string          // server chosen to run the request, once the work is done
 	TargetWait      time.Duration   // for other prompts pending at that server
 	FetchFrom       string          // server from which that server transfers a prompt prefix
 
-	late          bool
+	late          bool          // see Late
 	serverSeconds float64       // time that its items occupy all servers of a service, summed over services
-	criticalPath  time.Duration // duration of its stages once started, as last computed
+	criticalPath  time.Duration // expected duration of its stages once started, as last computed
 }
 
-// NewAdmission returns an empty admission; services looks up a service by name.
+// NewAdmission returns an admission without requests; services looks up a service by name and
+// reports whether it exists.
 func NewAdmission(services func(name string) (Service, bool)) *Admission {
 	return &Admission{lookupService: services, serviceCache: map[string]Service{}, inFlight: map[string]workAmount{}, lateInFlight: map[string]workAmount{}}
 }
@@ -64,7 +64,7 @@
 	return s, ok
 }
 
-// Enqueue adds a request to those that wait for admission.
+// Enqueue adds a request to those that wait for admission. Schedule has to be called to start it.
 func (a *Admission) Enqueue(t *Ticket) {
 	clear(a.serviceCache)
 	t.serverSeconds = a.serverSeconds(t.Request)
@@ -80,8 +80,8 @@
 	return list
 }
 
-// Late reports whether the request could no longer meet its target latency when it was
-// admitted or rejected.
+// Late reports whether the request could no longer meet its target latency when this was last
+// computed: by Schedule while it waited, or by Restart.
 func (t *Ticket) Late() bool { return t.late }
 
 // worthPerSecond returns the worth that a request earns per second of server time.
@@ -117,7 +117,7 @@
 	return false
 }
 
-// RejectAll rejects all waiting requests.
+// RejectAll rejects all waiting requests with a reason.
 func (a *Admission) RejectAll(r batcher.Reason) {
 	for _, list := range [][]*Ticket{a.onTime, a.late} {
 		for _, t := range list {
@@ -127,7 +127,8 @@
 	a.onTime, a.late = nil, nil
 }
 
-// StageFinished removes the items of a stage from the work in flight.
+// StageFinished removes the items of a stage from the work in flight. late is whether its request
+// was late when the items were counted.
 func (a *Admission) StageFinished(s Stage, late bool) {
 	a.inFlight[s.Service] = a.inFlight[s.Service].minus(s)
 	if late {
@@ -139,7 +140,9 @@
 // latency, and late ones.
 func (a *Admission) Waiting() (onTime, late int) { return len(a.onTime), len(a.late) }
 
-// Schedule admits and rejects waiting requests according to the state at now.
+// Schedule admits and rejects waiting requests according to the state at now. Late requests near
+// their latest start come first, up to the late reserve; then those that can be on time, then the
+// other late ones.
 func (a *Admission) Schedule(now time.Time) {
 	clear(a.serviceCache)
 	a.classify(now)
@@ -216,7 +219,8 @@
 	return longest
 }
 
-// startFitting starts the requests that fit, in order, and returns the others.
+// startFitting starts the requests for which fits is true, in the order of the list, and returns
+// the others.
 func (a *Admission) startFitting(list []*Ticket, fits func(*Ticket) bool) []*Ticket {
 	kept := list[:0]
 	for _, t := range list {
@@ -230,10 +234,11 @@
 	return kept
 }
 
-// reservations are the services for which a request of more worth waits.
+// reservations is the capacity, by service name, that is kept for requests which are earlier in the
+// order of admission and do not fit.
 type reservations struct {
 	services    map[string]bool  // services at their limit in flight
-	resultBytes map[string]int64 // result memory that such a request needs, by service
+	resultBytes map[string]int64 // the most result memory that such a request needs at the service, in bytes
 }
 
 // fits reports whether all services of a request have capacity for it. A request that does not
@@ -266,8 +271,8 @@
 	return fits
 }
 
-// smallNeedDivisor: a request that needs less than 1/smallNeedDivisor of the memory that
-// another request waits for need not wait behind it, because it hardly delays the other.
+// smallNeedDivisor sets which requests need not wait behind another one that waits for result
+// memory: those that need at most 1/smallNeedDivisor of its memory, because they hardly delay it.
 const smallNeedDivisor = 20
 
 // Restart counts the work of a request as in flight again for a repetition. It reports false
@@ -283,7 +288,7 @@
 	return true
 }
 
-// start admits a request.
+// start admits a request and calls its Start.
 func (a *Admission) start(t *Ticket) {
 	a.addInFlight(t)
 	t.Start()
--- a/process/stages/announce.go
+++ b/process/stages/announce.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// waitForPeers waits until the other hosts are known, at most for peerDiscoveryTimeout.
+// waitForPeers waits until the other hosts are known, at most for peerDiscoveryTimeout, after
+// which no request waits any more. The error is ctx's.
 func (p *Pool) waitForPeers(ctx context.Context) error {
 	select {
 	case <-p.peersKnown:
@@ -43,18 +44,20 @@
 	return nil
 }
 
-// Ping returns an error if the host does not respond.
+// Ping calls another host and returns nil once it has responded; host is its name. The error is
+// that of Link.Call.
 func (p *Pool) Ping(ctx context.Context, host string) error {
 	return p.link.Call(ctx, host, methodHello, nil, nil)
 }
 
 // maxAnnouncedHosts is the number of potential owners that are notified of a new host
-// directly; the others find it in the platform's list. Notifying all of them would need a
+// directly; the other hosts find it in the platform's list. Notifying all of them would need a
 // handshake between every two hosts when a fleet starts, which takes weak hosts seconds.
 const maxAnnouncedHosts = 4
 
-// Announce makes this host known to the hosts that are preferred as owners. The call itself
-// authenticates the caller.
+// Announce makes this host known to the maxAnnouncedHosts hosts that are preferred as owners of
+// stage work (see Pool). The call has no content: opening its connection tells the other host
+// which host and incarnation this is. Announce does not wait for the calls.
 func (p *Pool) Announce() {
 	list := slices.Clone(p.link.Peers())
 	sort.Slice(list, func(i, j int) bool { return peer.Outranks(list[i], list[j]) })
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -20,9 +20,10 @@
 
 // Log receives the outcome of each request's stage work.
 type Log interface {
-	// StageWorkEnded is called once per request. waited is the time until admission or
-	// refusal and took the total time. onTime and lateWaiting are the numbers of requests
-	// that still wait: those that can meet their target latency and those that can't.
+	// StageWorkEnded is called once per request, with no lock held. waited is the time until
+	// admission or rejection, took the total time, and err nil on success. onTime and
+	// lateWaiting are the numbers of requests that still wait for admission: those that can
+	// meet their target latency and those that can't.
 	StageWorkEnded(t *Ticket, waited, took time.Duration, err error, onTime, lateWaiting int)
 }
 
@@ -33,14 +34,14 @@
 	clock         clock.Clock
 	log           Log
 
-	prompts promptTracker
-	// announcePrefix passes on that a server has cached a shared prefix which other
-	// regions would not expect there.
+	prompts promptTracker // has its own lock
+	// announcePrefix notifies the owners of other regions that a server has cached a shared
+	// prefix which they would not expect there. NewPool sets it.
 	announcePrefix func(cachedPrefix)
 
-	mu           sync.Mutex
+	mu           sync.Mutex // guards admission, timerPending and meanWait
 	admission    *Admission
-	timerPending bool          // a call of schedule is scheduled
+	timerPending bool          // the next periodic call of schedule is scheduled
 	meanWait     time.Duration // moving mean of the waits for admission
 }
 
@@ -60,8 +61,9 @@
 	return Service{b.Options(), b.Capacity()}, true
 }
 
-// Run runs the stages of a request and chooses the server that the request runs on. The
-// error is an *Error or ctx's.
+// Run waits until a request is admitted, runs its stages on the backend servers, and chooses
+// the server that the request itself runs on. The error is an *Error or ctx's; the results are
+// freed in that case.
 func (k *Coordinator) Run(ctx context.Context, r *Request) (Results, error) {
 	queuedAt := k.clock.Now()
 	t, err := k.waitForAdmission(ctx, r)
@@ -88,7 +90,8 @@
 	return Results{Inputs: inputs, TargetID: t.TargetID, FetchFrom: t.FetchFrom, RequestID: r.ID, Round: r.Round}, nil
 }
 
-// chooseTarget sets the server on which a request runs.
+// chooseTarget chooses the server on which a request runs, sets the ticket's target fields, and
+// announces the server to other regions if they would not expect the prefix there.
 func (k *Coordinator) chooseTarget(t *Ticket, now time.Time, inputs []Input) {
 	r := t.Request
 	targets := k.withCachingServers(now, r)
@@ -134,12 +137,14 @@
 	return k.meanWait
 }
 
+// isInputGone reports whether stage work failed because the result of an earlier stage was lost.
 func isInputGone(err error) bool {
 	var failed *Error
 	return errors.As(err, &failed) && failed.Reason == batcher.InputLost
 }
 
-// restart admits a request's work once more, if there is time for it.
+// restart counts a request's work as in flight again. It reports false if there is no time to
+// repeat the work.
 func (k *Coordinator) restart(t *Ticket) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -157,14 +162,16 @@
 // reasonMoved rejects work that another host has to run.
 const reasonMoved batcher.Reason = "moved"
 
-// rejectWaiting rejects all requests that wait for admission, so that another host runs them.
+// rejectWaiting rejects all requests that wait for admission with reasonMoved, so that another
+// host runs them.
 func (k *Coordinator) rejectWaiting() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.admission.RejectAll(reasonMoved)
 }
 
-// waitForAdmission queues a request and returns once it is admitted.
+// waitForAdmission queues a request and returns its ticket once it is admitted. Otherwise the
+// error is an *Error with the reason for the rejection, or ctx's; the ticket is returned too.
 func (k *Coordinator) waitForAdmission(ctx context.Context, r *Request) (*Ticket, error) {
 	admitted, rejected := make(chan struct{}, 1), make(chan batcher.Reason, 1)
 	t := &Ticket{
@@ -193,7 +200,8 @@
 	return t, ctx.Err()
 }
 
-// releaseStages removes stages from the work in flight. The caller holds k.mu.
+// releaseStages removes the items of stages from the work in flight; late is the ticket's. The
+// caller holds k.mu.
 func (k *Coordinator) releaseStages(list []Stage, late bool) {
 	for _, s := range list {
 		k.admission.StageFinished(s, late)
@@ -204,7 +212,8 @@
 // whether they can be on time changes with time alone.
 const scheduleInterval = 40 * time.Millisecond
 
-// schedule admits and rejects waiting requests, and schedules itself while any wait.
+// schedule admits and rejects waiting requests, and calls itself again after scheduleInterval
+// while any wait.
 func (k *Coordinator) schedule() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -221,12 +230,14 @@
 	}
 }
 
-// lateAllowance sets the target time of a late request: after those of requests that can
-// still be on time, before those of much newer ones.
+// lateAllowance is the time from its admission to the new target time of a late request. It puts
+// the request after those that can still be on time, and before much newer ones.
 const lateAllowance = 2 * time.Second
 
-// execute runs the stages of an admitted request. retried is true if results of the first
-// execution were lost.
+// execute runs the stages of an admitted request, sets the ticket's StageTimes and returns the
+// results of the final stages, which are the inputs of the request itself. A late request gets a
+// new target time. retried is true if results of the first execution were lost. The error is an
+// *Error, or ctx's: then the work is cancelled.
 func (k *Coordinator) execute(ctx context.Context, t *Ticket, retried bool) ([]Input, error) {
 	r, late := t.Request, t.late
 	w := &requestWork{
@@ -255,13 +266,14 @@
 	return w.inputs, w.err
 }
 
-// releaseResults frees the results of a request whose prompt was prefilled or will not be.
+// releaseResults frees the results of a request whose prompt was prefilled or will not be, and
+// removes the prompt from those pending at the target server.
 func (k *Coordinator) releaseResults(m Results) {
 	k.prompts.promptDone(m.TargetID, workKey{m.RequestID, m.Round})
 	k.freeInputs(m.Inputs...)
 }
 
-// freeInputs frees results at the servers that store them.
+// freeInputs frees results at the servers that store them. Inputs without a handle are skipped.
 func (k *Coordinator) freeInputs(list ...Input) {
 	for _, in := range list {
 		if in.Handle == "" {
--- a/process/stages/expectedwait.go
+++ b/process/stages/expectedwait.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// reportedWait is the mean wait in a host's last response.
+// reportedWait is the mean wait for admission that a region's owner reported last.
 type reportedWait struct {
 	wait time.Duration
-	at   time.Time
+	at   time.Time // when the report arrived
 }
 
-// recordWait records the mean wait of a region's owner.
+// recordWait records the mean wait for admission that a region's owner has reported.
 func (p *Pool) recordWait(region string, wait time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -22,11 +22,12 @@
 }
 
 // waitHalfLife is the half-life of reported waits: they decay so that a region that gets no
-// work because of its waits is tried again.
+// requests because of its waits, and therefore reports none, gets requests again.
 const waitHalfLife = time.Second
 
-// ExpectedWait returns the expected wait for admission of stage work for a failure domain; 0 if
-// nothing is known. It takes no lock because each request calls it for several domains.
+// ExpectedWait returns the expected wait for admission of stage work whose results are used in a
+// failure domain; 0 if nothing is known. It takes no lock because each request calls it for several
+// domains.
 func (p *Pool) ExpectedWait(domain string) time.Duration {
 	reported := (*p.reportedWaits.Load())[p.regionOfDomain(domain)]
 	if reported.wait <= 0 {
--- a/process/stages/latereserve.go
+++ b/process/stages/latereserve.go
@@ -2,23 +2,24 @@
 
 import "time"
 
-// lateReserveShare of the in-flight limit is for late requests close to their latest start
-// time: an overload would otherwise refuse the requests of the least worth for its whole
-// duration.
+// lateReserveShare is the share of the in-flight limit up to which late requests start before
+// all others if they are close to their latest start time: an overload would otherwise refuse
+// the requests of the least worth for its whole duration.
 const lateReserveShare = 0.35
 
 // lateReserveLead is how long before its latest start time a late request may use the
 // reserve.
 const lateReserveLead = 700 * time.Millisecond
 
-// nearLatestStart reports whether a late request may use the reserve.
+// nearLatestStart reports whether a late request is close enough to its latest start time to use
+// the reserve. The latest start time is the deadline less latePath.
 func (a *Admission) nearLatestStart(t *Ticket, now time.Time) bool {
 	return now.Add(t.latePath() + lateReserveLead).After(t.Request.Deadline)
 }
 
 // latePathFactor is the factor by which the stages of a late request may take longer than
-// their critical path: late requests run after those that can be on time, when there are the
-// most of them. With less time, many would not finish and their work would be lost.
+// their critical path: late requests run after those that can be on time, and during an overload
+// there are many of those. With less time, many would not finish and their work would be lost.
 const latePathFactor = 1.5
 
 // latePath returns the time to allow for the stages of a late request.
--- a/process/stages/limits.go
+++ b/process/stages/limits.go
@@ -12,13 +12,13 @@
 	batcher.Capacity
 }
 
-// callOverhead is the usual wait for a server, plus the round trip.
+// callOverhead is added to the time of a call: the usual wait for a server, and the round trip.
 const callOverhead = 60 * time.Millisecond
 
 // workAmount is an amount of work of one service: items and the size of their results.
 type workAmount struct {
 	items int
-	bytes int64
+	bytes int64 // estimated size of the results of the items
 }
 
 // plus adds the work of a stage.
@@ -31,7 +31,8 @@
 	return workAmount{max(a.items-s.Items, 0), max(a.bytes-int64(s.Items)*s.ResultBytes, 0)}
 }
 
-// exceeds reports whether a is more than a share of limit.
+// exceeds reports whether items or bytes are more than a share of limit; limit.bytes of 0 is
+// unlimited.
 func (a workAmount) exceeds(limit workAmount, share float64) bool {
 	return float64(a.items) > share*float64(limit.items) || limit.bytes > 0 && float64(a.bytes) > share*float64(limit.bytes)
 }
--- a/process/stages/messages.go
+++ b/process/stages/messages.go
@@ -6,19 +6,19 @@
 	"bilberrydale/process/residency"
 )
 
-// Methods of the protocol between hosts.
+// Methods of the protocol between hosts. The strings are the wire format.
 const (
-	methodRun            peer.Method = "stages.run"
-	methodCancel         peer.Method = "stages.cancel"
-	methodFree           peer.Method = "stages.free"
-	methodLeave          peer.Method = "stages.leave"
-	methodCachedPrefixes peer.Method = "stages.holds"
-	methodHello          peer.Method = "stages.hello"
+	methodRun            peer.Method = "stages.run"    // run the stage work of a request and return its outcome
+	methodCancel         peer.Method = "stages.cancel" // cancel that work
+	methodFree           peer.Method = "stages.free"   // free the stored results of that work
+	methodLeave          peer.Method = "stages.leave"  // the caller is shutting down
+	methodCachedPrefixes peer.Method = "stages.holds"  // notices of servers that have cached prompt prefixes
+	methodHello          peer.Method = "stages.hello"  // no content; used by Ping and Announce
 )
 
-// runRequest requests stage work from another host. Times are relative to now because the
-// clocks of two hosts differ. Structs are encoded as arrays, so the order of fields is
-// the format.
+// runRequest is the payload of methodRun; its fields are those of Request. Times are relative to
+// now because the clocks of two hosts differ. Structs are encoded as arrays, so the order of
+// fields is the format.
 type runRequest struct {
 	ID             string
 	Round          int
@@ -27,14 +27,15 @@
 	HostDomain     string
 	AllowedRegions residency.Set
 	Stages         []Stage
-	TargetMS       int64
-	DeadlineMS     int64
+	TargetMS       int64 // milliseconds from now to Request.TargetTime
+	DeadlineMS     int64 // milliseconds from now to Request.Deadline
 	Worth          float64
 	Targets        []Target
 	Prompt         Prompt
 }
 
-// runResponse is the outcome of a runRequest. Reason is empty on success.
+// runResponse is the outcome of a runRequest. On success Reason is empty; otherwise Stage and
+// RetryAfterMS are those of the Error, and Inputs is empty.
 type runResponse struct {
 	Inputs       []Input
 	TargetID     string
@@ -45,11 +46,13 @@
 	MeanWaitMS   int64 // mean wait for admission at the host that ran the work
 }
 
+// cancelRequest is the payload of methodCancel. It names the work by Request.ID and Request.Round.
 type cancelRequest struct {
 	ID    string
 	Round int
 }
 
+// newRunRequest returns the message that requests the stage work of r.
 func (p *Pool) newRunRequest(r *Request) runRequest {
 	now := p.clock.Now()
 	return runRequest{
--- a/process/stages/owner.go
+++ b/process/stages/owner.go
@@ -12,10 +12,10 @@
 // after a power failure, several failed hosts may be ordered before a live one.
 const maxOwnerAttempts = 5
 
-// suspect is a host that did not respond.
+// suspect is a host that did not respond. It is not used as owner for a time.
 type suspect struct {
-	until    time.Time
-	failures int
+	until    time.Time // until when it is skipped
+	failures int       // consecutive failures, at most 8
 }
 
 // ownerConfirmTimeout bounds the wait for a host's first response: a few round trips between
@@ -49,7 +49,8 @@
 	return ""
 }
 
-// confirmOwner pings a host and records the incarnation that responded.
+// confirmOwner pings a host and records the incarnation that responded. The error is that of Ping,
+// at the latest after ownerConfirmTimeout.
 func (p *Pool) confirmOwner(ctx context.Context, host string) error {
 	ctx, cancel := context.WithTimeout(ctx, ownerConfirmTimeout)
 	defer cancel()
@@ -128,6 +129,7 @@
 	p.log.OwnerFailed(host, d, err)
 }
 
+// clearSuspect records that a host has responded, which makes it usable as owner again.
 func (p *Pool) clearSuspect(host string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/process/stages/pool.go
+++ b/process/stages/pool.go
@@ -21,16 +21,16 @@
 	clock       clock.Clock
 	coordinator *Coordinator
 	log         PoolLog
-	// region returns the region whose hosts run the stage work of requests in a
-	// failure domain; empty: any host may.
+	// regionOfDomain returns the region whose hosts run the stage work of requests whose
+	// RunDomain is the given failure domain; empty: one owner runs the work of all regions.
 	regionOfDomain func(domain string) string
 
 	reportedWaits atomic.Pointer[map[string]reportedWait] // by region; copied on change
 
-	mu                    sync.Mutex
-	suspects              map[string]suspect
-	confirmedIncarnations map[string]uint64       // by host; incarnations that have responded
-	leavingIncarnations   map[string]uint64       // by host; incarnations that are shutting down
+	mu                    sync.Mutex              // guards the fields below, except that peersKnown may be read without it
+	suspects              map[string]suspect      // by host name; hosts that did not respond
+	confirmedIncarnations map[string]uint64       // by host name; incarnations that have responded
+	leavingIncarnations   map[string]uint64       // by host name; incarnations that are shutting down
 	remoteWork            map[workKey]*remoteWork // work for other hosts
 	leaving               bool                    // this host is shutting down
 	peersKnown            chan struct{}           // closed once the other hosts are known
@@ -54,7 +54,9 @@
 	OwnerFailed(host string, skipped time.Duration, err error)
 }
 
-// NewPool returns a pool and registers its handlers with the link.
+// NewPool returns a pool that runs its own work on local, and registers its handlers with the
+// link. region returns the region whose hosts run the stage work of a failure domain; empty: any
+// host may run it.
 func NewPool(link Link, c clock.Clock, local *Coordinator, region func(domain string) string, log PoolLog) *Pool {
 	p := &Pool{
 		link: link, clock: c, coordinator: local, regionOfDomain: region, log: log,
@@ -71,8 +73,9 @@
 	return p
 }
 
-// Run runs the stage work of a request on its owner, or on this host if no owner responds.
-// The error is an *Error or ctx's.
+// Run runs the stage work of a request on its owner, or on this host if no owner responds. The
+// caller has to pass the results to Free. The error is an *Error or ctx's; the caller has
+// nothing to free then.
 func (p *Pool) Run(ctx context.Context, r *Request) (Results, error) {
 	if err := p.waitForPeers(ctx); err != nil {
 		return Results{}, err
@@ -116,7 +119,9 @@
 	ownerRetryPause  = 40 * time.Millisecond
 )
 
-// runAtOwner runs the work on another host and retries after connection errors.
+// runAtOwner runs the work on another host and retries after connection errors for up to
+// ownerRetryWindow. A nil error means that the host has responded; the response may still hold a
+// reason for a failure. After an error the owner may be running the work.
 func (p *Pool) runAtOwner(ctx context.Context, owner string, r *Request) (response runResponse, err error) {
 	failingSince := time.Time{}
 	for {
@@ -147,8 +152,8 @@
 // meet their target latency, and late ones.
 func (p *Pool) Waiting() (onTime, late int) { return p.coordinator.Waiting() }
 
-// notify sends a message that may be lost: a host that misses it finds the change in the
-// platform's list.
+// notify sends a message without content that may be lost: a host that misses it finds the change
+// in the platform's list.
 func (p *Pool) notify(host string, m peer.Method) { p.sendAsync(host, m, nil) }
 
 // sendAsync calls a method of another host in the background and ignores errors.
@@ -173,6 +178,7 @@
 	}()
 }
 
+// serveCancel handles methodCancel. Unknown work is ignored.
 func (p *Pool) serveCancel(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var q cancelRequest
 	if err := peer.Unmarshal(payload, &q); err != nil {
@@ -187,8 +193,9 @@
 	return peer.Marshal(nil)
 }
 
-// Free releases results once the request has read them or has ended. It returns
-// immediately.
+// Free releases results, once the request has read them or has ended, on the host that ran the
+// work. It does not wait for that host. If the call fails, this host frees them at their
+// servers itself.
 func (p *Pool) Free(m Results) {
 	if len(m.Inputs) == 0 && m.TargetID == "" {
 		return
@@ -206,6 +213,7 @@
 	}()
 }
 
+// serveFree handles methodFree.
 func (p *Pool) serveFree(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var m Results
 	if err := peer.Unmarshal(payload, &m); err != nil {
--- a/process/stages/prefixes.go
+++ b/process/stages/prefixes.go
@@ -8,9 +8,10 @@
 	"bilberrydale/process/residency"
 )
 
-// cachedPrefix names a shared prompt prefix and a server that has it in its cache.
+// cachedPrefix names a shared prompt prefix and a server that has it in its cache. It is an
+// element of the payload of methodCachedPrefixes.
 type cachedPrefix struct {
-	Prefix   string
+	Prefix   string // key of the prefix, as in Prompt.LongPrefix
 	ServerID string
 }
 
@@ -76,6 +77,8 @@
 	return out
 }
 
+// serveCachedPrefixes handles methodCachedPrefixes: it records the notices of another region's
+// owner.
 func (p *Pool) serveCachedPrefixes(_ context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var notices []cachedPrefix
 	if err := peer.Unmarshal(payload, &notices); err != nil {
--- a/process/stages/serve.go
+++ b/process/stages/serve.go
@@ -18,15 +18,17 @@
 // remoteWork is work for another host. If its connection breaks, that host retries and waits
 // for the same work instead of running it twice.
 type remoteWork struct {
-	done     chan struct{}
-	response runResponse // set before done is closed
-	cancel   context.CancelFunc
+	done     chan struct{}      // closed when the work has ended
+	response runResponse        // set before done is closed; not to be read earlier
+	cancel   context.CancelFunc // cancels the work; may be called after its end
 }
 
 // responseTTL is how long a response is kept for a host that did not receive it: the host
 // detects an unresponsive connection and reconnects within that time.
 const responseTTL = 3 * time.Second
 
+// serveRun handles methodRun. It responds once the work has ended; if ctx ends earlier, the work
+// continues.
 func (p *Pool) serveRun(ctx context.Context, _ peer.Identity, payload []byte) ([]byte, error) {
 	var q runRequest
 	if err := peer.Unmarshal(payload, &q); err != nil {
@@ -101,8 +103,8 @@
 // validateStages checks that stages depend on earlier stages only.
 func validateStages(list []Stage) error {
 	for i, s := range list {
-		for _, a := range s.DependsOn {
-			if a < 0 || a >= i {
+		for _, dependency := range s.DependsOn {
+			if dependency < 0 || dependency >= i {
 				return errStageOrder
 			}
 		}
--- a/process/stages/stages.go
+++ b/process/stages/stages.go
@@ -16,18 +16,18 @@
 // Stage is one stage of a request.
 type Stage struct {
 	Service     string
-	DependsOn   []int // indexes of the stages whose results it needs
-	Items       int   // 0: the stage is skipped
-	ResultBytes int64 // approximate size of the result of one item
+	DependsOn   []int // indexes in Request.Stages of the earlier stages whose results it needs
+	Items       int   // number of items to run; 0: the stage is skipped
+	ResultBytes int64 // approximate size of the result of one item, in bytes
 }
 
 // Request describes the stage work of one request.
 type Request struct {
-	ID string
+	ID string // unique among the requests of all hosts
 	// Round numbers the executions of the request's stages: lost results are recomputed
 	// in the next round.
 	Round      int
-	InputKey   string // input of the stages that depend on no other
+	InputKey   string // key of the input of the stages that depend on no other
 	RunDomain  string // failure domain where the request is expected to use the results
 	HostDomain string // failure domain of the host that runs the request
 	// AllowedRegions restricts where the work may run and which hosts may own it.
@@ -37,8 +37,8 @@
 	// latency. Deadline is when they become useless.
 	TargetTime, Deadline time.Time
 	Worth                float64 // weight of one completed request relative to others
-	// Targets are the candidate servers for the request itself. One is chosen when the
-	// results are ready. Prompt describes what that server will prefill.
+	// Targets are the candidate servers for the request itself, which follows the stages. One is
+	// chosen when the results are ready. Prompt describes what that server will prefill.
 	Targets []Target
 	Prompt  Prompt
 }
@@ -47,8 +47,8 @@
 func (r *Request) finalStages() []int {
 	followed := make([]bool, len(r.Stages))
 	for _, s := range r.Stages {
-		for _, a := range s.DependsOn {
-			followed[a] = true
+		for _, dependency := range s.DependsOn {
+			followed[dependency] = true
 		}
 	}
 	var out []int
@@ -73,9 +73,9 @@
 // stages don't count.
 func (r *Request) depth(i int) int {
 	d := 0
-	for _, a := range r.Stages[i].DependsOn {
-		n := r.depth(a)
-		if r.Stages[a].Items > 0 {
+	for _, dependency := range r.Stages[i].DependsOn {
+		n := r.depth(dependency)
+		if r.Stages[dependency].Items > 0 {
 			n++
 		}
 		d = max(d, n)
@@ -85,21 +85,21 @@
 
 // Input is the handle of one stage result that the request needs.
 type Input struct {
-	Handle   string
+	Handle   string // identifies the result at the server
 	ServerID string // server that stores the result
-	Service  string
-	Bytes    int64
+	Service  string // service of that server
+	Bytes    int64  // approximate size of the result
 	Domain   string `msgpack:"-"` // failure domain of the server; set only on the host that ran the work
 }
 
 // Results lists the stage results of a request, the host that owns them, and the server
 // chosen to run the request.
 type Results struct {
-	Inputs    []Input
-	Owner     string // host that ran the work; empty: this host
-	TargetID  string // server to run on; empty: none was chosen
-	FetchFrom string // server that has cached a prefix of the prompt; empty: none
-	RequestID string
+	Inputs    []Input // results of the final stages
+	Owner     string  // host that ran the work; empty: this host
+	TargetID  string  // server to run on; empty: none was chosen
+	FetchFrom string  // server that has cached a prefix of the prompt; empty: none
+	RequestID string  // Request.ID and Request.Round of the work
 	Round     int
 }
 
@@ -114,8 +114,8 @@
 
 // Error reports why a request's stage work failed.
 type Error struct {
-	Stage  int
-	Reason batcher.Reason
+	Stage  int            // index in Request.Stages of the stage that failed; 0 too if no single stage did
+	Reason batcher.Reason // never empty
 	// RetryAfter is the time until capacity may be available again; 0: unknown.
 	RetryAfter time.Duration
 }
--- a/process/stages/target.go
+++ b/process/stages/target.go
@@ -51,10 +51,10 @@
 // to prefill, or which other server cached a prefix while its home server was busy. Load
 // reports of servers arrive too late for this.
 type promptTracker struct {
-	mu              sync.Mutex
-	pendingByServer map[string][]pendingPrompt
-	holdersByPrefix map[string][]prefixHolder
-	announcedAt     map[string]time.Time // when other regions were last notified, by prefix
+	mu              sync.Mutex                 // guards the maps
+	pendingByServer map[string][]pendingPrompt // by server id, oldest first
+	holdersByPrefix map[string][]prefixHolder  // by key of the prefix, the last recorded one last
+	announcedAt     map[string]time.Time       // when other regions were last notified, by prefix
 }
 
 // pendingPrompt is a prompt that was assigned to a server and whose response has not started.
@@ -80,13 +80,14 @@
 	// prefixTTL is how long a server is expected to keep a prefix: the caches of engines
 	// hold the prompts of a minute, and less during bursts.
 	prefixTTL = 20 * time.Second
-	// maxTrackedPrefixes bounds the number of prefixes in each map.
+	// maxTrackedPrefixes bounds the number of prefixes in each map: at that number the map is
+	// cleared.
 	maxTrackedPrefixes = 8192
 )
 
 const (
-	// waitWeight is the cost per unit of a wait that does not make its request late: other
-	// requests queue behind it, and its results occupy memory of their servers meanwhile.
+	// waitWeight is the cost of each unit of a wait, if the wait does not make its request late:
+	// other requests queue behind it, and its results occupy memory of their servers meanwhile.
 	waitWeight = 0.3
 	// slackShare is the share of the time until a request's target time that it may spend
 	// waiting: the pending prefill time of a server is only an estimate.
@@ -114,8 +115,8 @@
 	announce bool
 }
 
-// choose returns the cheapest target for a request with some slack until its target time, and
-// counts its prompt as pending there.
+// choose returns the cheapest target for a request with some slack until its target time. It counts
+// the prompt as pending there and records the server as a holder of the prompt's prefixes.
 func (r *promptTracker) choose(now time.Time, request workKey, slack time.Duration, p Prompt, list []Target) choice {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,10 +145,10 @@
 // option is one target with its cost for a request.
 type option struct {
 	Target
-	totalCost  time.Duration
+	totalCost  time.Duration // Target.Cost with the wait, less the gain from a cached prefix
 	wait       time.Duration // for other prompts pending there
 	duration   time.Duration // to prefill the prompt, or to transfer its prefix
-	cached     bool          // the server has the shared prefix
+	cached     bool          // the server has the long prefix
 	fetchFrom  string        // server to transfer the prefix from; empty: it is cached or prefilled
 	unexpected bool          // no other region would expect the prefix there
 }
@@ -172,9 +173,9 @@
 	return o
 }
 
-// claimAnnouncement reports whether other regions must be notified of the holder of a prefix,
-// and records that they are. unexpected is true if no other region would expect the prefix
-// there. The caller holds r.mu.
+// claimAnnouncement reports whether other regions must be notified that the server chosen for p has
+// its long prefix, and records that they are. unexpected is true if no other region would expect
+// the prefix there. The caller holds r.mu.
 func (r *promptTracker) claimAnnouncement(now time.Time, p Prompt, unexpected bool) bool {
 	if p.LongPrefix == "" || p.SharedPrefill < minAnnouncedPrefill || !unexpected && !r.announcementDue(now, p) {
 		return false
@@ -218,7 +219,8 @@
 	return best
 }
 
-// holderIDs returns the known servers that have cached a prefix.
+// holderIDs returns the ids of the servers that are known to have cached a prefix or to be
+// prefilling it.
 func (r *promptTracker) holderIDs(now time.Time, prefix string) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -245,13 +247,16 @@
 	return slices.ContainsFunc(holders, func(h prefixHolder) bool { return h.serverID == t.ID })
 }
 
-// currentHolders returns the servers that have a prefix and used it within prefixTTL. The caller
-// holds r.mu.
+// currentHolders returns the servers that have a prefix or are prefilling it and got a request with
+// it within prefixTTL. The result shares its array with holdersByPrefix. The caller holds r.mu.
 func (r *promptTracker) currentHolders(now time.Time, prefix string) []prefixHolder {
 	return slices.DeleteFunc(r.holdersByPrefix[prefix], func(h prefixHolder) bool { return now.Sub(h.lastUsed) >= prefixTTL })
 }
 
-// recordHolder records that a server has or prefills a prefix. The caller holds r.mu.
+// recordHolder records that a server has cached a prefix or is prefilling it. holders are the
+// current holders of the prefix. If added is one of them, it replaces that entry but keeps an
+// earlier readyAt: a server that has the prefix does not lose it by another request with it. At
+// maxTrackedPrefixes all prefixes are dropped first. The caller holds r.mu.
 func (r *promptTracker) recordHolder(prefix string, holders []prefixHolder, added prefixHolder) {
 	if prefix == "" {
 		return
@@ -283,7 +288,8 @@
 	return sum
 }
 
-// promptDone records that a prompt was prefilled, or will not be.
+// promptDone records that the prompt of a request was prefilled, or will not be, so that it is no
+// longer pending at the server.
 func (r *promptTracker) promptDone(server string, request workKey) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/process/stages/work.go
+++ b/process/stages/work.go
@@ -7,28 +7,30 @@
 	"bilberrydale/process/batcher"
 )
 
-// requestWork is the state of one execution of a request's stages.
+// requestWork is the state of one execution of a request's stages. Slices by stage are indexed as
+// Request.Stages.
 type requestWork struct {
 	coordinator *Coordinator
 	request     *Request
-	late        bool
+	late        bool // as Ticket.Late, at the start of the execution
 	retried     bool // results of the first execution were lost
 	startedAt   time.Time
-	targetTime  time.Time
+	targetTime  time.Time     // of the final results: Request.TargetTime, or later if the request is late
 	finished    chan struct{} // closed when the work has succeeded or failed
 	inputs      []Input       // results of the final stages
-	err         error
+	err         error         // nil if the work has succeeded
 	// mu guards the fields below, inputs and err.
 	mu            sync.Mutex
-	results       [][]batcher.Result
-	openItems     []int  // items of each stage without outcome; -1: not started
-	inputsFetched []bool // by stage; its servers have fetched all inputs
-	stageStarts   []time.Time
-	stageTimes    []time.Duration // by stage; from its start to its last result
-	doneStages    int             // number of complete stages
-	ended         bool
+	results       [][]batcher.Result // by stage and item; nil once takeResults has removed them
+	openItems     []int              // items of each stage without outcome; -1: not started
+	inputsFetched []bool             // by stage; its servers have fetched all inputs
+	stageStarts   []time.Time        // by stage
+	stageTimes    []time.Duration    // by stage; from its start to its last result
+	doneStages    int                // number of complete stages
+	ended         bool               // finished is closed
 }
 
+// startStages submits the stages that can start at once.
 func (w *requestWork) startStages() {
 	w.mu.Lock()
 	for i := range w.openItems {
@@ -39,8 +41,8 @@
 	w.submit(ready)
 }
 
-// takeReadyStages marks the stages that can start now as started and returns those with
-// items. The caller holds w.mu.
+// takeReadyStages marks the stages that can start now as started and returns the indexes of those
+// with items. Stages without items complete at once. The caller holds w.mu.
 func (w *requestWork) takeReadyStages() []int {
 	var out []int
 	for again := true; again; {
@@ -74,7 +76,8 @@
 	return true
 }
 
-// submit passes the items of stages to the batchers of their services.
+// submit passes the items of stages, given by index, to the batchers of their services. If a
+// service has no batcher, the work fails with NoServer.
 func (w *requestWork) submit(stages []int) {
 	for _, i := range stages {
 		s := &w.request.Stages[i]
@@ -87,13 +90,14 @@
 	}
 }
 
-// newJob returns the batcher job of a stage.
+// newJob returns the batcher job of a stage, whose dependencies are complete. Its target time and
+// deadline are earlier than those of the work by the minimum duration of the stages that follow.
 func (w *requestWork) newJob(i int) *batcher.Job {
 	s := &w.request.Stages[i]
 	var inputs []string
 	w.mu.Lock()
-	for _, a := range s.DependsOn {
-		for _, r := range w.results[a] {
+	for _, dependency := range s.DependsOn {
+		for _, r := range w.results[dependency] {
 			inputs = append(inputs, r.Handle)
 		}
 	}
@@ -130,12 +134,12 @@
 	domain, mostBytes := w.request.RunDomain, int64(minDomainBytes)
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, a := range s.DependsOn {
-		for _, r := range w.results[a] {
+	for _, dependency := range s.DependsOn {
+		for _, r := range w.results[dependency] {
 			if r.Domain == "" {
 				continue
 			}
-			bytes[r.Domain] += w.request.Stages[a].ResultBytes
+			bytes[r.Domain] += w.request.Stages[dependency].ResultBytes
 			if bytes[r.Domain] > mostBytes {
 				domain, mostBytes = r.Domain, bytes[r.Domain]
 			}
@@ -153,8 +157,8 @@
 	var longest time.Duration
 	for j := i + 1; j < len(w.request.Stages); j++ {
 		s := &w.request.Stages[j]
-		for _, a := range s.DependsOn {
-			if a != i {
+		for _, dependency := range s.DependsOn {
+			if dependency != i {
 				continue
 			}
 			d := w.minTimeAfter(j)
@@ -191,7 +195,8 @@
 	go w.onStageComplete(stage, next)
 }
 
-// onStageComplete starts the stages that became ready and releases what a complete stage held.
+// onStageComplete starts the stages that became ready (next, by index), frees the inputs that no
+// stage needs any more, and removes the complete stage from the work in flight.
 func (w *requestWork) onStageComplete(stage int, next []int) {
 	w.submit(next)
 	w.freeConsumedResults(stage)
@@ -215,7 +220,8 @@
 	close(w.finished)
 }
 
-// fail ends the work with an error and frees the results so far.
+// fail ends the work with an error and frees the results so far. It does nothing if the work has
+// ended.
 func (w *requestWork) fail(e *Error) {
 	w.mu.Lock()
 	if w.ended {
