--- a/process/batcher/batcher.go
+++ b/process/batcher/batcher.go
@@ -12,10 +12,11 @@
 // Backend sends requests to the backend servers of one service. Its methods are
 // called concurrently.
 type Backend interface {
-	// Run sends a call and returns one result per item, or a response with Err set.
+	// Run sends a call and returns one result per item, in the order of c.Items, or a
+	// response with Err set. If Err is set, the server may have run the call.
 	Run(ctx context.Context, c *Call) Response
-	// ReleaseResults tells a server that the results with these handles are no
-	// longer needed.
+	// ReleaseResults lets a server drop the results with these handles. After an error
+	// they may stay there until they expire.
 	ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error
 	// FreeResultMemory returns an upper bound on the free result memory of a
 	// server, in bytes.
@@ -26,6 +27,8 @@
 // items left in the queue. CallEnded is called concurrently.
 type CallLogger interface {
 	CallSent(service string, c *Call, waiting int)
+	// CallEnded gets the outcome that counts: the response, or an Err of
+	// context.DeadlineExceeded if the call timed out earlier.
 	CallEnded(service string, c *Call, took time.Duration, resp Response)
 }
 
@@ -36,9 +39,9 @@
 	backend Backend
 	clock   clock.Clock
 	log     CallLogger
-	wakeup  chan struct{}
+	wakeup  chan struct{} // buffered signal to Run that the queue has changed
 
-	mu              sync.Mutex
+	mu              sync.Mutex // guards queue and pendingReleases
 	queue           *Queue
 	pendingReleases map[string]*releaseBatch // by server id; the next release message to each
 }
@@ -47,7 +50,7 @@
 type releaseBatch struct {
 	server  *directory.Server
 	handles []string
-	bytes   int64
+	bytes   int64 // total size of the results
 }
 
 // New returns a batcher for a service. It sends nothing until Run is called.
@@ -68,7 +71,8 @@
 	b.signal()
 }
 
-// Submit queues a job. The job's OnResult is called once for each item.
+// Submit queues a job, which the caller must not change afterwards. The job's OnResult is
+// called once for each item, with the batcher's lock held: it must not call the batcher.
 func (b *Batcher) Submit(j *Job) {
 	b.mu.Lock()
 	b.queue.Submit(j, b.clock.Now())
@@ -76,7 +80,8 @@
 	b.signal()
 }
 
-// Cancel drops the items of a request that are not in a call yet.
+// Cancel ends the items of a request that are not in a call yet with reason Cancelled. Calls in
+// flight continue.
 func (b *Batcher) Cancel(requestID string) {
 	b.mu.Lock()
 	b.queue.Cancel(requestID)
@@ -168,8 +173,9 @@
 	b.finishCall(c, resp, resp.Err != nil)
 }
 
-// finishCall applies the response to a call. Results of a call that has already been
-// completed by its timeout are released.
+// finishCall applies the response to a call. failed is true if the call as a whole failed,
+// which counts as a failure of the server unless it was only busy. Results of a call that
+// has already been completed by its timeout are released.
 func (b *Batcher) finishCall(c *Call, resp Response, failed bool) {
 	now := b.clock.Now()
 	b.mu.Lock()
@@ -192,8 +198,8 @@
 	}
 }
 
-// ReleaseResult releases a result of the given size at a server. It returns at once;
-// the message is sent after releaseDelay.
+// ReleaseResult releases a result of the given size at a server. It returns at once; the
+// message is sent after releaseDelay. A server that is no longer listed gets none.
 func (b *Batcher) ReleaseResult(serverID, handle string, bytes int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/process/batcher/complete.go
+++ b/process/batcher/complete.go
@@ -4,10 +4,11 @@
 
 // Response is the outcome of a call.
 type Response struct {
-	Results []Result // one per item; an item with reason Failed may be retried on another server
+	Results []Result // one per item of the call, in their order; an item with reason Failed may be retried on another server
 	// Err is set if the call failed as a whole. Its items are retried on other servers.
 	Err error
-	// Busy is set if the server refused the call because it is overloaded.
+	// Busy is set together with Err if the server refused the call because it is overloaded.
+	// It has run none of the items, and the refusal does not count as a failed attempt.
 	Busy bool
 }
 
@@ -56,8 +57,8 @@
 	}
 }
 
-// requeue puts a job with items to retry back into the queue, or ends it if it must not be
-// retried. failed says whether one of its items failed.
+// requeue puts a job with items to retry back into the queue, or ends these items if they must
+// not be retried. failed is true if an item failed, false if servers only lacked capacity.
 func (q *Queue) requeue(j *Job, failed bool) {
 	if failed {
 		j.failedAttempts++
@@ -77,7 +78,7 @@
 	}
 }
 
-// remove takes a job out of the queue, if it is in it.
+// remove removes a job from the queue, if it is there.
 func (q *Queue) remove(j *Job) {
 	for i, other := range q.waiting {
 		if other == j {
@@ -87,6 +88,7 @@
 	}
 }
 
+// contains reports whether j is in the list.
 func contains(list []*Job, j *Job) bool {
 	for _, other := range list {
 		if other == j {
@@ -156,7 +158,7 @@
 // released there earlier. It is about the remaining time of a call of the next stage.
 const fullPause = 150 * time.Millisecond
 
-// Bounds of the estimated slowdown of a server.
+// Bounds of the estimated slowdown of a server: the ratio of observed to expected call times.
 const (
 	minSlowdown = 0.6
 	maxSlowdown = 8
--- a/process/batcher/compose.go
+++ b/process/batcher/compose.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// composeCall composes a call for one of the free servers, or returns nil if no
-// waiting job can go to any of them.
+// composeCall composes a call for one of the free servers and records it as in flight
+// there. It returns nil if no waiting job can go to any of them.
 func (q *Queue) composeCall(free []*server, now time.Time) *Call {
 	q.holdForLocalServers(now)
 	s := q.firstServer(free, now)
@@ -29,7 +29,7 @@
 	return c
 }
 
-// firstServer returns the server for the first waiting job that can be placed.
+// firstServer returns the server for the first waiting job that has one; nil if none has.
 func (q *Queue) firstServer(free []*server, now time.Time) *server {
 	for _, j := range q.waiting {
 		if s := q.chooseServer(j, free, now); s != nil {
@@ -39,9 +39,9 @@
 	return nil
 }
 
-// chooseServer returns the free server for a job, or nil. It prefers servers in the
-// job's failure domain, so that its results need not cross domains, unless those
-// are slow.
+// chooseServer returns the free server for a job, or nil if none takes an item of it or waiting for
+// a busy server is faster. It prefers servers in the job's failure domain, so that its results need
+// not cross domains, unless those are slow.
 func (q *Queue) chooseServer(j *Job, free []*server, now time.Time) *server {
 	var best *server
 	for _, s := range free {
@@ -61,7 +61,7 @@
 	return best
 }
 
-// hasOtherServer reports whether some permitted server has not failed on the job.
+// hasOtherServer reports whether some server in a region that the job allows has not failed on it.
 func (q *Queue) hasOtherServer(j *Job) bool {
 	for id, s := range q.servers {
 		if !j.failedServers[id] && j.AllowedRegions.Allows(s.Region) {
--- a/process/batcher/inputs.go
+++ b/process/batcher/inputs.go
@@ -23,8 +23,9 @@
 	return s.calls[:min(len(s.calls), q.opts.slotCount())]
 }
 
-// updateFetchedInputs notifies the jobs whose inputs have been fetched by now. It returns
-// when the next running call will have fetched its inputs, or zero if none is fetching.
+// updateFetchedInputs notifies the jobs whose inputs have been fetched by now, according to the
+// expected times. It returns when the next running call will have fetched its inputs, or the
+// zero time if none is fetching.
 func (q *Queue) updateFetchedInputs(now time.Time) (next time.Time) {
 	for _, s := range q.servers {
 		for _, c := range q.runningCalls(s) {
@@ -44,7 +45,8 @@
 	return next
 }
 
-// itemInputsFetched records that the inputs of one more item have been fetched.
+// itemInputsFetched records that the inputs of one more item have been fetched, and calls
+// OnInputsFetched after the last one.
 func (j *Job) itemInputsFetched() {
 	j.fetchedItems++
 	if j.OnInputsFetched != nil && j.fetchedItems == len(j.Items) {
@@ -52,7 +54,7 @@
 	}
 }
 
-// earlier returns the earlier of two times. A zero a means no time.
+// earlier returns the earlier of two times, or b if a is zero.
 func earlier(a, b time.Time) time.Time {
 	if a.IsZero() || b.Before(a) {
 		return b
--- a/process/batcher/job.go
+++ b/process/batcher/job.go
@@ -16,7 +16,7 @@
 // Item is a unit of work of a stage. It may run more than once.
 type Item struct {
 	RequestID string
-	Stage     int
+	Stage     int      // index of the stage in the request
 	Piece     int      // index of the item in its stage
 	Key       string   // input key, for items of stages without a preceding stage
 	Inputs    []string // handles of the results that it takes as input, for items of other stages
@@ -32,20 +32,20 @@
 	// AllowedRegions are the regions in which the items may run.
 	AllowedRegions residency.Set
 	// TargetTime is when the results are due; jobs are served in this order. After
-	// Deadline the results are useless.
+	// Deadline the results are useless: items that cannot end by then get TooLate.
 	TargetTime, Deadline time.Time
 	// ResultBytes is the approximate size of the result of one item.
 	ResultBytes int64
-	// OnResult is called once for each item, with its result or the reason for having
-	// none. It must not block.
+	// OnResult is called once for each item, with its index in Items and its result or the
+	// reason for having none. It must not block or call the Batcher.
 	OnResult func(index int, r Result)
 	// OnInputsFetched is called once all items are in calls whose servers have fetched
 	// their inputs. It may be nil. It must not block.
 	OnInputsFetched func()
 
-	pendingItems   []int // indices of items that are neither done nor in a call
-	queuedAt       time.Time
-	failedAttempts int
+	pendingItems   []int           // indices of items that are neither done nor in a call
+	queuedAt       time.Time       // time of Submit
+	failedAttempts int             // calls in which an item of the job failed
 	failedServers  map[string]bool // ids of servers that failed on an item
 	cancelled      bool
 	heldForLocal   bool        // waits for a server of its own failure domain
@@ -72,13 +72,14 @@
 
 // Result is the outcome of one item.
 type Result struct {
-	Handle   string // identifies the result at its server; empty if there is none
+	Handle   string // identifies the result at its server; empty if no result is stored there
 	ServerID string // server that holds the result
 	Domain   string // failure domain of that server
-	Reason   Reason
+	Reason   Reason // empty on success
 }
 
-// Options configure a service. They change with the configuration.
+// Options configure a service. They change with the configuration. Times are those at a server
+// with normal speed; they need not be exact, because a slowdown is estimated for each server.
 type Options struct {
 	Slots             int           // calls that a server runs concurrently; values below 1 count as 1
 	MaxItems          int           // maximum number of items in one call
--- a/process/batcher/memory.go
+++ b/process/batcher/memory.go
@@ -10,7 +10,8 @@
 // result sizes are approximate.
 const memoryFillShare = 0.96
 
-// resultMemory returns the usable result memory of a server in bytes; 0: unlimited.
+// resultMemory returns the usable result memory of a server in bytes: memoryFillShare of the
+// configured memory, or the learned limit if that is lower; 0: unlimited.
 func (q *Queue) resultMemory(s *server) int64 {
 	limit := int64(memoryFillShare * float64(q.opts.ResultMemoryBytes))
 	if s.memoryLimit > 0 {
@@ -38,11 +39,11 @@
 }
 
 const (
-	// probeInterval is the pause between probes of a server that holds results of other
-	// origin, which expire within seconds.
+	// probeInterval is the pause between probes of a server that holds results which this
+	// queue did not produce; they expire within seconds.
 	probeInterval = 250 * time.Millisecond
 	// minForeignShare is the fraction of the configured memory below which a discrepancy
-	// is not attributed to results of other origin: sizes are approximate, and a
+	// is not attributed to results that this queue did not produce: sizes are approximate, and a
 	// server's reports are some hundred milliseconds old.
 	minForeignShare = 0.15
 )
@@ -60,8 +61,8 @@
 	q.lastSubmit = now
 }
 
-// ServersToProbe returns the servers whose free memory is to be probed now. The responses
-// go to UpdateFreeMemory.
+// ServersToProbe returns the servers whose free memory the caller has to probe now, at most one
+// probe per server and probeInterval. The responses go to UpdateFreeMemory.
 func (q *Queue) ServersToProbe(now time.Time) []*directory.Server {
 	var out []*directory.Server
 	for _, s := range q.servers {
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -12,9 +12,9 @@
 // with a mutex.
 type Queue struct {
 	opts       Options
-	waiting    []*Job // jobs with items that are not in a call, by TargetTime
-	servers    map[string]*server
-	lastSubmit time.Time // time of the last Submit
+	waiting    []*Job             // jobs with items that are not in a call, by TargetTime
+	servers    map[string]*server // by server id
+	lastSubmit time.Time          // time of the last Submit
 }
 
 // NewQueue returns an empty queue without servers.
@@ -25,16 +25,16 @@
 // server is the queue's state of one backend server.
 type server struct {
 	*directory.Server
-	calls         []*Call
-	slowdown      float64 // ratio of observed to expected call times; 1: as expected
-	inFlightBytes int64   // estimated bytes of the results of calls in flight
-	results       []storedResults
-	memoryLimit   int64     // learned limit of the result memory, in bytes; 0: as configured
-	foreignBytes  int64     // bytes of results that this queue did not produce, from the last probe
-	needsProbe    bool      // its free memory is to be probed
-	nextProbe     time.Time // earliest time of the next probe
-	fullUntil     time.Time // it gets no calls before this time, after a refusal
-	oneWayLatency time.Duration
+	calls         []*Call         // in flight, in the order in which they were sent
+	slowdown      float64         // ratio of observed to expected call times; 1: as expected
+	inFlightBytes int64           // estimated bytes of the results of calls in flight
+	results       []storedResults // of completed calls, oldest first
+	memoryLimit   int64           // learned limit of the result memory, in bytes; 0: as configured
+	foreignBytes  int64           // bytes of results that this queue did not produce, from the last probe
+	needsProbe    bool            // its free memory is to be probed
+	nextProbe     time.Time       // earliest time of the next probe
+	fullUntil     time.Time       // it gets no calls before this time, after a refusal
+	oneWayLatency time.Duration   // network latency from this host
 }
 
 // Call is a batch of items sent to one server.
@@ -42,13 +42,13 @@
 	Server           *directory.Server
 	Items            []ItemRef
 	ExpectedDuration time.Duration // estimated processing time at the server
-	ExpectedStart    time.Time     // latest time at which the server should start
+	ExpectedStart    time.Time     // when the server should start: once the call has arrived and a slot is free
 	// ExpectedEnd is when the server should complete the call.
 	ExpectedEnd time.Time
 
-	resultBytes   int64
+	resultBytes   int64 // estimated size of the results of its items
 	sentAt        time.Time
-	completed     bool
+	completed     bool // CompleteCall was called for it
 	inputsFetched bool // the server has fetched the inputs of its items
 }
 
@@ -76,7 +76,7 @@
 	q.servers = next
 }
 
-// Submit adds a job.
+// Submit adds a job with all its items pending.
 func (q *Queue) Submit(j *Job, now time.Time) {
 	q.probeAfterIdle(now)
 	j.queuedAt = now
@@ -201,8 +201,8 @@
 	return out
 }
 
-// dropExpired ends the jobs that are cancelled, cannot meet their deadline or have no
-// permitted server.
+// dropExpired ends the jobs that are cancelled, cannot meet their deadline or have no server in
+// a region that they allow.
 func (q *Queue) dropExpired(now time.Time) {
 	minCallTime := q.opts.CallTime / 2 // the configured time is approximate
 	kept := q.waiting[:0]
@@ -245,7 +245,7 @@
 	}
 }
 
-// FailAll ends every waiting job, for a service that has lost all its servers.
+// FailAll ends every waiting job with a reason. It is for a service without any server.
 func (q *Queue) FailAll(r Reason) {
 	waiting := q.waiting
 	q.waiting = nil
--- a/process/batcher/wait.go
+++ b/process/batcher/wait.go
@@ -22,7 +22,7 @@
 // jobs than those servers can take in time: a free server would stay idle while the
 // queue grows.
 func (q *Queue) holdForLocalServers(now time.Time) {
-	ahead := map[string]int{} // queued items by domain
+	ahead := map[string]int{} // items of the jobs before j, by failure domain
 	for _, j := range q.waiting {
 		before := ahead[j.Domain]
 		ahead[j.Domain] += len(j.pendingItems)
@@ -47,7 +47,7 @@
 	return !s.InBackoff(now) && !now.Before(s.fullUntil) && s.slowdown <= slowThreshold && len(s.calls) <= q.opts.slotCount()
 }
 
-// localWaitEnd returns until when a job may wait for a server of its own domain.
+// localWaitEnd returns until when a job may wait for the server s of its own domain.
 func (q *Queue) localWaitEnd(s *server, j *Job) time.Time {
 	latest := j.TargetTime.Add(-q.jobCallTime(s, j) - localWaitMargin)
 	if maxWaitEnd := j.queuedAt.Add(maxLocalWait); maxWaitEnd.Before(latest) {
