--- a/process/balance/balance.go
+++ b/process/balance/balance.go
@@ -15,9 +15,9 @@
 // Query holds the inputs of a server selection.
 type Query struct {
 	Servers       directory.Candidates
-	OneWayLatency func(domain string) time.Duration // network latency to a failure domain
+	OneWayLatency func(domain string) time.Duration // network latency from the host of the request to a failure domain
 	// AffinityKey identifies the prompt prefix of PrefixTokens tokens that the request
-	// shares with earlier ones. Requests with the same key go to the same server in any
+	// may share with other ones. Requests with the same key go to the same server in any
 	// region, unless it is more heavily loaded than others. Empty: no shared prefix.
 	AffinityKey  string
 	PrefixTokens int
@@ -32,7 +32,7 @@
 	QueueingCost func(domain string) time.Duration
 	// Exclude reports whether a server must not be selected; nil: none is excluded.
 	Exclude func(*directory.Server) bool
-	Now     time.Time
+	Now     time.Time // time of the selection
 }
 
 const (
@@ -92,7 +92,7 @@
 	// Cost is comparable between the servers of one query only. Rank does not subtract the
 	// affinity discount from the cost of the home server.
 	Cost time.Duration
-	Home bool // the first server by rendezvous hashing for the affinity key
+	Home bool // whether it is the home server: the first server by rendezvous hashing for the affinity key
 }
 
 // Rank returns up to n servers: the home server of the shared prefix, the server that
@@ -151,9 +151,10 @@
 	return time.Duration(fraction*float64(maxAffinityDiscount)) + q.PrefillTime()
 }
 
-// Cost returns the cost of running the request on a server, without the affinity discount.
-// It adds the network round trip, the load, the transfer of inputs, queued stage work, the
-// failure rate, and a surcharge for servers in backoff or cold servers.
+// Cost returns the cost of running the request on a server, without the affinity discount. Costs
+// are durations: estimated time, or a penalty expressed as time. It adds the network round trip,
+// the load, the transfer of inputs, queued stage work, the failure rate, and a surcharge for
+// servers in backoff or cold servers.
 func (q *Query) Cost(s *directory.Server) time.Duration {
 	load := EstimatedLoad(s, q.Now)
 	cost := 2*q.OneWayLatency(s.Domain) + time.Duration(load)*concurrentRequestCost
@@ -193,14 +194,16 @@
 	return load
 }
 
-// homeServer returns the server that requests with this affinity key prefer, or nil.
+// homeServer returns the server that requests with this affinity key prefer. It is nil without a
+// key, for a prefix that is too short, and if all servers are in backoff.
 func (q *Query) homeServer() *directory.Server {
 	home, _ := q.homeServers()
 	return home
 }
 
-// homeServers returns the first two servers by rendezvous hashing, so that every host
-// selects the same ones. Servers in backoff are left out.
+// homeServers returns the home server and the one that replaces it: the first two servers by
+// rendezvous hashing, so that every host selects the same ones. Servers in backoff are left out,
+// and either result may be nil.
 func (q *Query) homeServers() (home, next *directory.Server) {
 	if q.AffinityKey == "" || q.PrefixTokens < minPrefixTokens {
 		return nil, nil
@@ -220,7 +223,8 @@
 	return home, next
 }
 
-// affinityHash orders equal servers differently for each affinity key.
+// affinityHash returns the rank of a server in the order for the affinity key; the highest is
+// preferred. The order of the same servers differs between keys.
 func (q *Query) affinityHash(s *directory.Server) uint64 {
 	return xxhash.Sum64String(q.AffinityKey + "\x00" + s.ID)
 }
--- a/process/coldstart/coldstart.go
+++ b/process/coldstart/coldstart.go
@@ -31,7 +31,7 @@
 func (l Limit) rateUnits() int { return max(int(math.Floor(l.RequestsPerSecond)), 1) }
 
 // Hosts returns the names of all known entry hosts, including this one. It returns none
-// until the other hosts are known.
+// until the other hosts are known; requests to cold servers are refused until then.
 type Hosts func() []string
 
 // Limiter decides whether this host may send a request to a cold server. It is safe for
@@ -42,17 +42,17 @@
 // While two hosts have different host lists, both may own the same unit; the platform's
 // limit is over twice the rate that is assigned.
 type Limiter struct {
-	self  string
+	self  string // name of this host
 	hosts Hosts
 
-	mu     sync.Mutex
+	mu     sync.Mutex        // guards quotas
 	quotas map[string]*quota // by server id
 }
 
-// quota is this host's share of the rate of one server.
+// quota is this host's part of the rate of one server.
 type quota struct {
-	units      int
-	assignedAt time.Time
+	units      int         // requests that this host may send per rateWindow
+	assignedAt time.Time   // when units was last computed; zero: never
 	sentAt     []time.Time // requests within the window, oldest first
 }
 
@@ -72,7 +72,8 @@
 	return limiter.quotaFor(s.ID, l, now).available()
 }
 
-// Allow reports whether a request may be sent to the server now. If so, it is counted.
+// Allow reports whether a request may be sent to the server now. If so, it is counted. It is
+// always true for servers that are not cold or have no limit.
 func (limiter *Limiter) Allow(s *directory.Server, l Limit, now time.Time) bool {
 	if !limiter.applies(s, l, now) {
 		return true
@@ -129,7 +130,8 @@
 	}
 }
 
-// available reports whether a unit is left in the current window.
+// available reports whether fewer requests than units were sent in the current window. The caller
+// has called expire.
 func (q *quota) available() bool { return len(q.sentAt) < q.units }
 
 // expire forgets requests that were sent before the current window.
@@ -141,8 +143,8 @@
 	q.sentAt = q.sentAt[n:]
 }
 
-// assignedUnits returns how many units of a server's rate are assigned to the host self; 0
-// if it is not among the hosts.
+// assignedUnits returns how many of the given number of units of a server's rate are assigned to
+// the host self; 0 if it is not among the hosts. server is the server's id.
 func assignedUnits(server, self string, hosts []string, units int) int {
 	hashes := make([]uint64, len(hosts))
 	selfIndex := -1
@@ -155,16 +157,17 @@
 	if selfIndex < 0 {
 		return 0
 	}
-	owned, seed := 0, xxhash.Sum64String(server)
+	owned, serverHash := 0, xxhash.Sum64String(server)
 	for unit := range units {
-		if owner(hashes, hashPair(seed, uint64(unit))) == selfIndex {
+		if owner(hashes, hashPair(serverHash, uint64(unit))) == selfIndex {
 			owned++
 		}
 	}
 	return owned
 }
 
-// owner returns the index of the host that owns a unit.
+// owner returns the index of the host that owns a unit by rendezvous hashing. hosts are the hashes
+// of the host names, unit is the hash of the server and the unit's number.
 func owner(hosts []uint64, unit uint64) int {
 	best, highest := 0, uint64(0)
 	for i, host := range hosts {
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -1,6 +1,6 @@
 // Package directory holds the backend servers that the platform lists, together with what
-// this host has observed of each. Readers load an immutable view without locking; only the
-// follower of the platform's lists publishes new ones.
+// this host has observed of each. Readers load an immutable view without locking; only the code
+// that follows the platform's lists publishes new ones.
 package directory
 
 import (
@@ -18,12 +18,12 @@
 type Entry struct {
 	ID            string // other processes at the same address have other ids
 	Service       string
-	Address       string // host:port
-	Domain        string // failure domain
-	Region        string // of the failure domain
-	Version       string // software version
-	Slots         int    // requests that it runs concurrently
-	Draining      bool
+	Address       string        // host:port
+	Domain        string        // failure domain
+	Region        string        // of the failure domain
+	Version       string        // version of the server's software
+	Slots         int           // requests that it runs concurrently
+	Draining      bool          // gets no new work
 	ColdRemaining time.Duration // time for which it is still slow after its start
 	StartedUnixMS int64         // start time by the server's own clock, in Unix milliseconds
 }
@@ -48,24 +48,25 @@
 // LocalState is what this host has observed of a backend server. It is safe for concurrent
 // use.
 type LocalState struct {
-	InFlight atomic.Int64 // requests of this host in flight at the server
+	InFlight atomic.Int64 // requests of this host in flight at the server; callers count them
 	// running and waiting are the requests in the server's last load report.
 	running, waiting    atomic.Int64
 	reportedAt          atomic.Int64 // Unix nanoseconds of the caller's clock; 0: never
 	backoffUntil        atomic.Int64 // Unix nanoseconds; 0: no backoff
 	lastFailureAt       atomic.Int64 // Unix nanoseconds; 0: never
 	coldUntil           atomic.Int64 // Unix nanoseconds, from the list; 0: not cold
-	consecutiveFailures atomic.Int64 // since the last success
-	delisted            atomic.Bool
+	consecutiveFailures atomic.Int64 // calls of RecordFailure since the last RecordSuccess
+	delisted            atomic.Bool  // see Delisted
 
-	mu            sync.Mutex
-	failureRate   float64   // at failureRateAt, 0 to 1
-	failureRateAt time.Time // last update of failureRate
+	mu            sync.Mutex // guards failureRate and failureRateAt
+	failureRate   float64    // at failureRateAt, 0 to 1
+	failureRateAt time.Time  // last update of failureRate
 }
 
-// Bounds of the backoff after failures. The minimum is the time of a server restart or of
-// the retransmission of one lost packet; the maximum is that of a few heartbeats, after
-// which the platform itself removes a dead server from the list.
+// Bounds of the backoff after failures. The minimum is about the time in which the process of a
+// backend server restarts, or one lost packet is retransmitted. The maximum is the time of a few
+// heartbeats of a backend server to the platform: without them for that time, the platform itself
+// removes the server from the list.
 const (
 	minBackoff = 300 * time.Millisecond
 	maxBackoff = 2 * time.Second
@@ -92,12 +93,12 @@
 	// with the few failures that all servers have.
 	newestResponseWeight = 0.08
 	// failureRateHalfLife is the half-life of the failure rate, so that a server that gets
-	// no requests because of its failures is tried again after some seconds.
+	// no requests because of its failures gets requests again after some seconds.
 	failureRateHalfLife = 3 * time.Second
 )
 
 // RecordResponse updates the failure rate with one response. failed reports whether the
-// response was a failure of the server.
+// response was a failure of the server. Unlike RecordFailure it does not affect the backoff.
 func (s *LocalState) RecordResponse(failed bool, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,7 +118,7 @@
 	return s.decayedFailureRate(now)
 }
 
-// decayedFailureRate has to be called with s.mu held.
+// decayedFailureRate returns the failure rate as decayed until now. The caller holds s.mu.
 func (s *LocalState) decayedFailureRate(now time.Time) float64 {
 	if s.failureRate == 0 {
 		return 0
@@ -157,9 +158,9 @@
 
 // View is an immutable snapshot of the directory.
 type View struct {
-	byService map[string][]*Server
-	byID      map[string]*Server
-	evacuated map[string]bool
+	byService map[string][]*Server // servers that accept work, by service name, ordered by id
+	byID      map[string]*Server   // all listed servers
+	evacuated map[string]bool      // by failure domain
 }
 
 // Servers returns the servers of a service that accept work, ordered by id. The caller
@@ -169,8 +170,8 @@
 
 // Candidates is the set of servers of a service on which one request may run.
 type Candidates struct {
-	servers []*Server
-	allowed residency.Set
+	servers []*Server     // of the service, in any region
+	allowed residency.Set // regions that the request allows
 }
 
 // Candidates returns the servers of a service that accept work and are in regions that the
@@ -220,7 +221,7 @@
 // Directory holds the current view. It is safe for concurrent use.
 type Directory struct {
 	view           atomic.Pointer[View]
-	mu             sync.Mutex // held by writers
+	mu             sync.Mutex // guards statesByID, evacuationEnds and the replacement of view
 	statesByID     map[string]*LocalState
 	evacuationEnds map[string]time.Time // end of the last evacuation, by failure domain
 }
