--- a/process/estimate/estimate.go
+++ b/process/estimate/estimate.go
@@ -1,6 +1,6 @@
 // Package estimate provides running estimates of fixed size that are read and written
-// concurrently without locks. An update may be computed from a value that another one is just
-// replacing; the following samples make up for the error.
+// concurrently without locks. If two updates coincide, one may be computed from a value that the
+// other one replaces; the following samples correct the error.
 package estimate
 
 import (
@@ -43,11 +43,12 @@
 type Latency struct {
 	mean       AtomicFloat64 // seconds
 	deviation  AtomicFloat64 // seconds
-	samples    atomic.Int64
-	lastSample atomic.Int64 // Unix time in nanoseconds
+	samples    atomic.Int64  // number of samples
+	lastSample atomic.Int64  // Unix time in nanoseconds
 }
 
-// Weights of a new sample. The first samples have larger weights, so that they are averaged.
+// Weights of a new sample in the mean and in the deviation. The first 16 samples have the weight
+// 1/n instead, so that the mean is their plain average.
 const (
 	meanWeight      = 1. / 16
 	deviationWeight = 1. / 16
--- a/process/logging/logging.go
+++ b/process/logging/logging.go
@@ -18,8 +18,8 @@
 // AsyncWriter is an io.Writer that never blocks. It is safe for concurrent use.
 type AsyncWriter struct {
 	out     io.Writer
-	lines   chan []byte
-	dropped atomic.Int64
+	lines   chan []byte  // queued lines
+	dropped atomic.Int64 // see Dropped
 }
 
 // NewAsyncWriter returns a writer to out. It writes nothing until Run is called.
@@ -37,7 +37,8 @@
 	return len(line), nil
 }
 
-// Dropped returns the number of lines that did not fit into the queue, and of failed writes.
+// Dropped returns the number of lines that did not fit into the queue plus the number of failed
+// writes, each of which may have held several lines.
 func (w *AsyncWriter) Dropped() int64 { return w.dropped.Load() }
 
 // Run writes lines until ctx is cancelled, then the queued ones. It returns nil.
@@ -53,7 +54,7 @@
 	}
 }
 
-// drain writes the queued lines.
+// drain writes the lines that are queued now.
 func (w *AsyncWriter) drain() {
 	for {
 		select {
@@ -92,13 +93,14 @@
 	return l.With("host", host)
 }
 
-// Limiter limits the log lines of one kind per second and counts the suppressed ones.
-// Ordinary lines and failures have separate limiters, so that neither suppresses the other.
+// Limiter limits the log lines of one kind per second and counts the suppressed ones. Ordinary
+// lines and failures have separate limiters, so that neither suppresses the other. It is safe for
+// concurrent use; PerSecond must not change.
 type Limiter struct {
-	PerSecond     int64 // number of lines allowed per second
-	currentSecond atomic.Int64
-	countInSecond atomic.Int64
-	suppressed    atomic.Int64
+	PerSecond     int64        // number of lines allowed per calendar second; 0: none
+	currentSecond atomic.Int64 // Unix time in seconds to which countInSecond belongs
+	countInSecond atomic.Int64 // calls of Allow in that second
+	suppressed    atomic.Int64 // see Suppressed
 }
 
 // Allow reports whether a line may be logged at the given time.
--- a/process/metrics/metrics.go
+++ b/process/metrics/metrics.go
@@ -33,8 +33,8 @@
 	counters expvar.Map
 	gauges   sync.Map // name -> func() float64
 
-	mu         sync.Mutex
-	histograms map[string]*hdrhistogram.Histogram
+	mu         sync.Mutex                         // guards histograms
+	histograms map[string]*hdrhistogram.Histogram // by name
 }
 
 // New returns a Meter without metrics.
@@ -51,11 +51,12 @@
 	return 0
 }
 
-// Gauge registers a function that returns the current value of the named gauge. It is called
-// on each WriteText, possibly concurrently.
+// Gauge registers a function that returns the current value of the named gauge, and replaces an
+// earlier one of that name. The function is called on each WriteText, possibly concurrently.
 func (m *Meter) Gauge(name string, f func() float64) { m.gauges.Store(name, f) }
 
-// Observe records a duration in the named histogram.
+// Observe records a duration in the named histogram, which is created if needed. Durations outside
+// the range of the histograms count as its nearest bound.
 func (m *Meter) Observe(name string, d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -80,7 +81,8 @@
 // percentiles of each histogram in the output; 100 is the maximum.
 var percentiles = []float64{50, 90, 99, 100}
 
-// WriteText writes all metrics, sorted by line, durations in milliseconds. It stops at the
+// WriteText writes all metrics, sorted by line: counters and gauges as "name value", and for each
+// histogram its count and percentiles (in milliseconds) since the start. It stops at the
 // first write error; the next call writes everything again.
 func (m *Meter) WriteText(w io.Writer) {
 	var lines []string
--- a/process/taskgroup/taskgroup.go
+++ b/process/taskgroup/taskgroup.go
@@ -8,13 +8,13 @@
 // goroutines started concurrently with the wait could outlive the component they belong to.
 // The zero value is ready for use.
 type Group struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards closed, and the start of goroutines against Close
 	closed  bool
 	running sync.WaitGroup
 }
 
-// Go runs f in a goroutine and returns true, or returns false if the group is closed. It is
-// safe for concurrent use.
+// Go starts f in a goroutine and returns true, or returns false if the group is closed and f does
+// not run. It is safe for concurrent use.
 func (g *Group) Go(f func()) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -25,7 +25,8 @@
 	return true
 }
 
-// Close prevents further goroutines and waits for the running ones.
+// Close prevents further goroutines and waits for the running ones. It does not stop them: their
+// owner does, for example by a context. A function run by the group must not call it.
 func (g *Group) Close() {
 	g.mu.Lock()
 	g.closed = true
