--- a/process/loadreport/loadreport.go
+++ b/process/loadreport/loadreport.go
@@ -108,7 +108,7 @@
 	Counters Counters
 
 	opts Options
-	mu   sync.Mutex // guards the fields below except tasks, and the serverRecords
+	mu   sync.Mutex // guards the fields from servers to incarnations, and the serverRecords
 	// servers is keyed by address. Servers that the tables no longer have are
 	// dropped.
 	servers       map[string]*serverRecord
--- a/request/entry/entry.go
+++ b/request/entry/entry.go
@@ -46,10 +46,10 @@
 // TicketPath is the path at which callers get a ticket by POST.
 const TicketPath = "/tickets"
 
-// Limits are the maximum sizes of what a caller may send.
+// Limits are the maximum sizes of what a caller may send. Zero allows none.
 type Limits struct {
 	Body    int64 // bytes
-	Key     int   // bytes of the idempotency key
+	Key     int   // bytes of the idempotency key; a longer request id is replaced
 	Account int   // bytes of the account name
 }
 
