--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -21,12 +21,12 @@
 // batchers holds one batcher for each service that runs stages.
 type batchers struct {
 	host          *Host
-	mu            sync.RWMutex
-	byService     map[string]*batcher.Batcher
-	plan          *plan.Plan      // active plan; nil before setPlan
-	ctx           context.Context // context of the batchers' goroutines; nil before start
-	group         *errgroup.Group
-	splitByRegion atomic.Bool // each region coordinates its own stage work
+	mu            sync.RWMutex                // guards byService, plan, ctx and group
+	byService     map[string]*batcher.Batcher // by service name
+	plan          *plan.Plan                  // active plan; nil before setPlan
+	ctx           context.Context             // context of the batchers' goroutines; nil before start
+	group         *errgroup.Group             // of the batchers' goroutines; nil before start
+	splitByRegion atomic.Bool                 // each region coordinates its own stage work
 	// ready is set once the batchers are configured with a plan and servers.
 	ready atomic.Bool
 }
@@ -42,7 +42,7 @@
 	return b.byService[service]
 }
 
-// start runs the batchers as goroutines of g until ctx ends.
+// start runs the batchers, also those created later, as goroutines of g until ctx ends.
 func (b *batchers) start(ctx context.Context, g *errgroup.Group) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -103,15 +103,18 @@
 // batcher.Backend.
 type stageBackend Host
 
-// Limits of stage calls. Requests stop waiting for a call much earlier; until
-// stageCallTimeout its late results are still received, so that they can be
-// released on the server.
+// Limits of stage calls.
 const (
-	stageCallTimeout      = 10 * time.Second
-	maxStageResponseBytes = 1 << 20
+	// stageCallTimeout is how long the response to a call is awaited. Requests stop
+	// waiting for it much earlier; late results are still received, so that they can be
+	// released on the server.
+	stageCallTimeout = 10 * time.Second
+	// maxStageResponseBytes is the size beyond which a response is cut off.
+	maxStageResponseBytes = 1 << 20 // 1 MiB
 )
 
-// Run implements batcher.Backend.
+// Run implements batcher.Backend. A call that failed may nevertheless have run on the
+// server.
 func (b *stageBackend) Run(ctx context.Context, call *batcher.Call) batcher.Response {
 	ctx, cancel := context.WithTimeout(ctx, stageCallTimeout)
 	defer cancel()
@@ -151,7 +154,8 @@
 	}
 }
 
-// FreeResultMemory implements batcher.Backend.
+// FreeResultMemory implements batcher.Backend. It returns the largest number of bytes that may
+// be free.
 func (b *stageBackend) FreeResultMemory(ctx context.Context, s *directory.Server) (int64, error) {
 	response, err := b.upstream.Do(ctx, s.Address, platform.NewStageReportRequest(s.ID))
 	if err != nil {
@@ -169,7 +173,8 @@
 	return freeBytes, nil
 }
 
-// readFreeBytes reads and closes the response of a report on free result memory.
+// readFreeBytes reads and closes the response to a status report request, and returns the
+// largest number of bytes of result memory that may be free.
 func readFreeBytes(response *upstream.Response) (int64, error) {
 	body, err := io.ReadAll(io.LimitReader(response, maxStageResponseBytes))
 	if err != nil {
@@ -180,7 +185,7 @@
 	return platform.DecodeStageReport(response.Status, body)
 }
 
-// ReleaseResults implements batcher.Backend.
+// ReleaseResults implements batcher.Backend. It does not check the status of the response.
 func (b *stageBackend) ReleaseResults(ctx context.Context, s *directory.Server, handles []string) error {
 	request, err := platform.NewStageFreeRequest(s.ID, handles)
 	if err != nil {
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -37,7 +37,7 @@
 
 // Options configure an entry host.
 type Options struct {
-	Settings platform.Settings
+	Settings platform.Settings // in use until the process ends
 	// Reload receives a value when the settings file has to be read again.
 	Reload <-chan struct{}
 	// ReadSettings reads the settings file. It is called for each value on Reload.
@@ -51,19 +51,19 @@
 // Create it with New and call Run once.
 type Host struct {
 	opts      Options
-	settings  platform.Settings
-	clock     clock.Clock // for requests and connections
-	bootClock clock.Clock // for the age of platform data; advances during system suspend
+	settings  platform.Settings // from opts
+	clock     clock.Clock       // for requests and connections
+	bootClock clock.Clock       // for the age of platform data; advances during system suspend
 	rand      clock.Rand
 
 	logWriter *logging.AsyncWriter
 	log       *log.Logger
-	logLimits logLimits
-	meter     *metrics.Meter
+	logLimits logLimits      // rate limits of lines about requests and stage work
+	meter     *metrics.Meter // counters and gauges, served on /metrics
 
-	store          *platform.StoreClient
-	plan           current.Value[plan.Plan]
-	directory      *directory.Directory
+	store          *platform.StoreClient    // the platform's object API
+	plan           current.Value[plan.Plan] // active configuration; not set before the first one
+	directory      *directory.Directory     // backend servers
 	configFollower *objectwatch.Follower[plan.Config]
 	serverFollower *objectwatch.Follower[directory.Entry]
 	hostFollower   *objectwatch.Follower[peer.Identity]
@@ -72,17 +72,17 @@
 	// evacuationsListed is set after the first list of evacuations.
 	evacuationsListed atomic.Bool
 	coldStart         *coldstart.Limiter
-	platformMonitor   *apihealth.Monitor
-	configConfirmedAt atomic.Int64 // bootClock time in nanoseconds; 0: never confirmed
+	platformMonitor   *apihealth.Monitor // detects outages of the object API
+	configConfirmedAt atomic.Int64       // bootClock time in nanoseconds; 0: never confirmed
 	upstream          *upstream.Client
 	retryLimiter      *retrylimit.Limiter
 	batchers          *batchers
 	stages            *stages.Pool
 	gateway           *gateway.Gateway
 
-	self       peer.Identity
-	mesh       *peer.Mesh
-	peerSecret atomic.Pointer[string]
+	self       peer.Identity          // this host
+	mesh       *peer.Mesh             // connections to the other entry hosts
+	peerSecret atomic.Pointer[string] // shared by all entry hosts; nil before the first registration
 	// configUnreadable is set while the newest configuration cannot be decoded: the
 	// API keys of the active configuration cannot be confirmed then.
 	configUnreadable atomic.Bool
@@ -95,13 +95,13 @@
 	clientServer    *http.Server
 	readinessServer *http.Server
 	operatorServer  *http.Server
-	stopping        atomic.Bool
-	stopRequested   chan struct{} // closed when the shutdown starts
-	stopDeadline    atomic.Pointer[time.Time]
+	stopping        atomic.Bool               // the shutdown has started
+	stopRequested   chan struct{}             // closed when the shutdown starts
+	stopDeadline    atomic.Pointer[time.Time] // when the remaining requests are aborted; nil before the shutdown
 	// refuseStreams is set once a new stream could not finish before the shutdown
 	// deadline.
 	refuseStreams  atomic.Bool
-	activeRequests atomic.Int64
+	activeRequests atomic.Int64 // client requests in flight
 }
 
 // New creates an entry host and opens its listeners. It fails if one of the
@@ -149,9 +149,9 @@
 // checked for each request; these only keep a stalled or oversized request header
 // from occupying a connection forever.
 const (
-	headerReadTimeout = 5 * time.Second
-	clientIdleTimeout = 2 * time.Minute
-	maxHeaderBytes    = 64 << 10
+	headerReadTimeout = 5 * time.Second // for the headers of a request to arrive
+	clientIdleTimeout = 2 * time.Minute // after which an idle connection is closed
+	maxHeaderBytes    = 64 << 10        // of a request
 )
 
 // countActive counts the requests in flight in activeRequests.
@@ -186,8 +186,8 @@
 
 // Offsets of this host's ports in the port range for traffic between hosts.
 const (
-	peerPort = iota
-	metricsPort
+	peerPort    = iota // calls of other entry hosts
+	metricsPort        // metrics and state page
 )
 
 // internalAddress returns the listen address of a port for traffic between hosts.
@@ -200,6 +200,7 @@
 	return net.JoinHostPort(h.settings.IP, strconv.Itoa(port))
 }
 
+// closeListeners closes the listeners that are open.
 func (h *Host) closeListeners() {
 	for _, l := range []net.Listener{h.listeners.clients, h.listeners.ready, h.listeners.peers, h.listeners.metrics} {
 		if l != nil {
@@ -214,14 +215,15 @@
 	return h.listeners.clients.Addr().String(), h.listeners.ready.Addr().String(), h.listeners.metrics.Addr().String()
 }
 
-// Limits of connections between hosts. A host that sends nothing for peerTimeout
-// counts as unresponsive. It is short because a stage call waits meanwhile, which
-// uses up part of a target latency of two seconds.
+// Limits of connections between hosts.
 const (
+	// peerTimeout is the time without received data after which a host counts as
+	// unresponsive. It is short because a stage call waits meanwhile, which uses up part
+	// of a target latency of two seconds.
 	peerTimeout          = 900 * time.Millisecond
-	peerPingInterval     = 300 * time.Millisecond
-	peerHandshakeTimeout = 700 * time.Millisecond
-	maxPeerHandlers      = 2048
+	peerPingInterval     = 300 * time.Millisecond // between pings, so that an idle peer is not taken for unresponsive
+	peerHandshakeTimeout = 700 * time.Millisecond // for opening and authenticating a connection
+	maxPeerHandlers      = 2048                   // calls of a peer that are handled concurrently
 	// peerIdleTimeout closes unused connections, which cost both ends their pings.
 	peerIdleTimeout = 10 * time.Second
 )
@@ -286,6 +288,8 @@
 // backend servers.
 const sweepInterval = time.Second
 
+// sweepConnections closes expired idle connections to backend servers periodically until ctx
+// ends.
 func (h *Host) sweepConnections(ctx context.Context) error {
 	for {
 		select {
@@ -343,6 +347,8 @@
 	}
 }
 
+// createHTTPServers creates the servers for clients' requests, for readiness probes, and for
+// the metrics and the state page.
 func (h *Host) createHTTPServers() {
 	discardLog := stdlog.New(io.Discard, "", 0) // errors of client connections are not logged
 	h.clientServer = &http.Server{
--- a/edge/followers.go
+++ b/edge/followers.go
@@ -19,10 +19,10 @@
 // the next reader and one retry pause later: 1.2 to 1.4 s in total. Each watch is a
 // call that the platform counts, so shorter waits cost more calls.
 const (
-	configWaitShare  = 0.2
-	serversWaitShare = 0.24
-	minWatchWait     = 200 * time.Millisecond
-	maxWatchWait     = 2 * time.Second
+	configWaitShare  = 0.2                    // of the limit for configurations or revoked keys
+	serversWaitShare = 0.24                   // of the limit for draining servers
+	minWatchWait     = 200 * time.Millisecond // lower bound of both waits
+	maxWatchWait     = 2 * time.Second        // upper bound of both waits
 	// hostsWatchWait may be long: hosts notify each other when they start and stop,
 	// so the platform's list only has to be correct eventually.
 	hostsWatchWait = 2 * time.Second
@@ -40,8 +40,8 @@
 
 // Defaults for limits that the settings omit, as in the existing deployments.
 const (
-	defaultConfigBound = 2500 * time.Millisecond
-	defaultDrainBound  = 2500 * time.Millisecond
+	defaultConfigBound = 2500 * time.Millisecond // for MaxConfigDelay
+	defaultDrainBound  = 2500 * time.Millisecond // for MaxDrainDelay
 )
 
 // watchWait returns the wait time of a watch whose changes have to be applied within
@@ -61,7 +61,7 @@
 	return watchWait(bound, configWaitShare)
 }
 
-// drainBound is the time after which a draining server may get no new requests.
+// drainBound returns the time after which a draining server may get no new requests.
 func (h *Host) drainBound() time.Duration { return cmp.Or(h.settings.MaxDrainDelay, defaultDrainBound) }
 
 // serversWatchWait returns the wait time of a watch on the backend servers.
--- a/edge/logging.go
+++ b/edge/logging.go
@@ -24,6 +24,7 @@
 // logLimits limits the rate of lines about requests and stage work.
 type logLimits struct{ ordinary, failures *logging.Limiter }
 
+// newLogLimits returns limits with the rates above.
 func newLogLimits() logLimits {
 	return logLimits{&logging.Limiter{PerSecond: ordinaryLinesPerSecond}, &logging.Limiter{PerSecond: failureLinesPerSecond}}
 }
--- a/edge/peers.go
+++ b/edge/peers.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// register gets the secret that entry hosts share, unless it is known already, and
-// writes this host's entry to the platform's list.
+// register gets the secret that entry hosts share, unless it is known already, and writes this
+// host's entry to the platform's list. It may be repeated, also after a failure.
 func (h *Host) register(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, 2*responseTimeout)
 	defer cancel()
@@ -206,7 +206,7 @@
 	})
 }
 
-// errNoPeerSecret is returned for connections to peers before the host is registered.
+// errNoPeerSecret is returned for connections to peers before this host has the shared secret.
 var errNoPeerSecret = errors.New("edge: peer secret has not been read from the platform yet")
 
 // peerOptions returns the options for connections to peers, or errNoPeerSecret.
--- a/edge/prune.go
+++ b/edge/prune.go
@@ -11,11 +11,12 @@
 // Entries of hosts that never come back stay in the platform's list, and all hosts
 // would keep calling them. The first reachable host removes these entries.
 const (
-	pruneInterval = 15 * time.Second
+	pruneInterval = 15 * time.Second // between two checks of all listed hosts
 	// lostHostTimeout is how long a host has to be unreachable before its entry is
 	// removed. A restart takes seconds. A host that was only disconnected restores
 	// its entry.
-	lostHostTimeout     = time.Minute
+	lostHostTimeout = time.Minute
+	// reachabilityTimeout is the time for a host's response to a ping.
 	reachabilityTimeout = time.Second
 )
 
--- a/edge/regions.go
+++ b/edge/regions.go
@@ -11,7 +11,7 @@
 // that requests are refused.
 const (
 	minServersToSplit       = 9 // of each service, in all regions: three in each of three
-	minRegionServersToSplit = 2
+	minRegionServersToSplit = 2 // of each service, in each region
 	// minServersToStaySplit is lower than minServersToSplit, so that a tolerable loss of
 	// servers does not move the stage work of all regions to one host: two in each of
 	// three regions. During such a move several hosts send work to the same servers:
--- a/edge/servers.go
+++ b/edge/servers.go
@@ -45,6 +45,7 @@
 	}
 }
 
+// serverStatus returns the status of a listed server for the log.
 func serverStatus(s *directory.Server) string {
 	if s.Draining {
 		return "draining"
--- a/edge/shutdown.go
+++ b/edge/shutdown.go
@@ -12,9 +12,9 @@
 // failed probes; until then it still sends connections. The remaining time, up to the
 // platform's limit less stopMargin, is for the requests in flight.
 const (
-	balancerDelay    = 2600 * time.Millisecond
-	stopMargin       = 900 * time.Millisecond
-	stopPollInterval = 20 * time.Millisecond
+	balancerDelay    = 2600 * time.Millisecond // until the balancer has removed this host
+	stopMargin       = 900 * time.Millisecond  // from the abort of the last requests to the platform's limit
+	stopPollInterval = 20 * time.Millisecond   // between checks for requests in flight
 	// lastRequestsTime is reserved for the last short requests. Streams that arrive late
 	// in a shutdown are refused, since they would be aborted.
 	lastRequestsTime = 700 * time.Millisecond
@@ -61,7 +61,8 @@
 // flight. Meanwhile responses carry "Connection: close", so that clients close their
 // connections. New connections are accepted until the last request has ended: a balancer
 // that finds too few ready hosts keeps sending them, and a closed port would reject
-// requests that can still be served.
+// requests that can still be served. Requests that exceed the platform's time to stop, less
+// stopMargin, are aborted. It returns nil.
 func (h *Host) shutdown() error {
 	start := h.clock.Now()
 	deadline := start.Add(h.settings.ShutdownGracePeriod - stopMargin)
--- a/edge/state.go
+++ b/edge/state.go
@@ -19,13 +19,13 @@
 	Ready                bool          `json:"ready"`
 	Stopping             bool          `json:"stopping"`
 	ConfigVersion        int64         `json:"config_version"`
-	ConfigAgeMS          float64       `json:"config_age_ms"` // time since the last confirmation
-	Readers              []string      `json:"readers"`       // hosts through which platform objects are read, in failover order
-	StageWorkByRegion    bool          `json:"stage_work_by_region"`
-	StageWorkWaiting     int           `json:"stage_work_waiting"`
-	StageWorkWaitingLate int           `json:"stage_work_waiting_late"`
-	Peers                []string      `json:"peers"`
-	EvacuatedDomains     []string      `json:"evacuated"` // failure domains that get no new work
+	ConfigAgeMS          float64       `json:"config_age_ms"`           // time since the last confirmation
+	Readers              []string      `json:"readers"`                 // hosts through which platform objects are read, in failover order
+	StageWorkByRegion    bool          `json:"stage_work_by_region"`    // each region coordinates its own stage work
+	StageWorkWaiting     int           `json:"stage_work_waiting"`      // requests that wait for stage work here and can still meet their target latency
+	StageWorkWaitingLate int           `json:"stage_work_waiting_late"` // requests that wait for stage work here and can no longer meet it
+	Peers                []string      `json:"peers"`                   // names of the other entry hosts
+	EvacuatedDomains     []string      `json:"evacuated"`               // failure domains that get no new work
 	Servers              []serverState `json:"servers"`
 }
 
@@ -33,13 +33,13 @@
 type serverState struct {
 	ID           string  `json:"id"`
 	Service      string  `json:"service"`
-	Address      string  `json:"address"`
-	Domain       string  `json:"domain"`
+	Address      string  `json:"address"`          // host:port
+	Domain       string  `json:"domain"`           // failure domain
 	UnusedReason string  `json:"unused,omitempty"` // why it gets no new work; empty: it gets work
 	Cold         bool    `json:"cold,omitempty"`   // its request rate is limited because it may be cold
-	InFlight     int64   `json:"inflight"`
-	Load         int     `json:"load"`
-	ErrorRate    float64 `json:"errors"` // share of recent responses that were failures
+	InFlight     int64   `json:"inflight"`         // of this host's requests
+	Load         int     `json:"load"`             // estimated requests at the server, from all hosts
+	ErrorRate    float64 `json:"errors"`           // share of recent responses that were failures
 }
 
 // state returns the current content of the state page.
