--- a/process/stages/admission.go
+++ b/process/stages/admission.go
@@ -10,6 +10,9 @@
 // Admission decides which requests start, and when. It does no I/O and reads no clock. It is
 // not safe for concurrent use; Coordinator guards it.
 //
+// A request is on time if its stages can end by its target time when started now, and late if
+// they cannot. Late requests still run if they can end before their deadline.
+//
 // Items in flight are limited for each service to what its servers complete in the time that
 // an item is in flight (Little's law). Up to this limit calls are full. Above it, requests
 // would only wait after their start, occupying results and memory, and requests that will
--- a/process/stages/coordinator.go
+++ b/process/stages/coordinator.go
@@ -73,7 +73,7 @@
 	if err == nil {
 		inputs, err = k.execute(ctx, t, false)
 	}
-	if isInputGone(err) && k.restart(t) {
+	if isInputLost(err) && k.restart(t) {
 		// The server that stored a result was lost. The client has already waited for
 		// most of its response, so its request skips the queue.
 		inputs, err = k.execute(ctx, t, true)
@@ -137,8 +137,8 @@
 	return k.meanWait
 }
 
-// isInputGone reports whether stage work failed because the result of an earlier stage was lost.
-func isInputGone(err error) bool {
+// isInputLost reports whether stage work failed because the result of an earlier stage was lost.
+func isInputLost(err error) bool {
 	var failed *Error
 	return errors.As(err, &failed) && failed.Reason == batcher.InputLost
 }
