--- a/process/apihealth/apihealth.go
+++ b/process/apihealth/apihealth.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// sleep waits for d, changed by a random part of up to 20%. It returns false if the outage or ctx ends
-// first.
+// sleep waits for d, changed by a random part of up to 20%. It returns false if the outage or ctx
+// ends first.
 func (m *Monitor) sleep(ctx context.Context, o *outage, d time.Duration) bool {
 	d = time.Duration((0.8 + 0.4*m.opts.Rand.Float64()) * float64(d))
 	select {
@@ -225,12 +225,11 @@
 // reports that the API has just recovered from an outage.
 type RequestFunc[T any] func(ctx context.Context, recovered bool) (T, error)
 
-// Call sends a request whose response may take up to wait in normal operation, 0 for one
-// without a wait at the API. During a confirmed outage it
-// blocks until the API recovers. If the response is overdue when the API is found to
-// respond, the request was most likely lost in an outage: it is sent once more, and the
-// first response to either is returned. If ctx ends while Call waits for recovery, the error wraps
-// objectapi.ErrUnavailable and objectapi.ErrNoResponse.
+// Call sends a request whose response may take up to wait in normal operation, 0 for one without a
+// wait at the API. During a confirmed outage it blocks until the API recovers. If the response is
+// overdue when the API is found to respond, the request was most likely lost in an outage: it is
+// sent once more, and the first response to either is returned. If ctx ends while Call waits for
+// recovery, the error wraps objectapi.ErrUnavailable and objectapi.ErrNoResponse.
 func Call[T any](ctx context.Context, m *Monitor, wait time.Duration, request RequestFunc[T]) (T, error) {
 	recovered, err := m.awaitRecovery(ctx)
 	if err != nil {
--- a/process/objectwatch/monitored.go
+++ b/process/objectwatch/monitored.go
@@ -8,7 +8,8 @@
 	"bilberrydale/process/apihealth"
 )
 
-// errWatchTimeout is returned in place of sending a watch again after an outage. It wraps ErrHistoryGone, so that the follower lists again.
+// errWatchTimeout is returned in place of sending a watch again after an outage. It wraps
+// ErrHistoryGone, so that the follower lists again.
 var errWatchTimeout = fmt.Errorf("%w: no response to the watch in time", ErrHistoryGone)
 
 // Monitored returns a source that sends the requests of s by way of apihealth.Call: they wait
--- a/process/objectwatch/objectwatch.go
+++ b/process/objectwatch/objectwatch.go
@@ -298,9 +298,9 @@
 	}
 }
 
-// backOff waits after a failed step until a backoff time, which doubles with each failure
-// up to maxBackoff, has passed since the step started. A step that failed only after a longer wait needs no further
-// pause, because its source responds as soon as there are changes.
+// backOff waits after a failed step until a backoff time, which doubles with each failure up to
+// maxBackoff, has passed since the step started. A step that failed only after a longer wait needs
+// no further pause, because its source responds as soon as there are changes.
 func (f *Follower[T]) backOff(ctx context.Context, started time.Time) {
 	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minBackoff<<min(f.failures, 5), maxBackoff)))
 	if remaining := d - f.opts.Clock.Now().Sub(started); remaining > 0 {
--- a/process/objectwatch/serve.go
+++ b/process/objectwatch/serve.go
@@ -37,8 +37,8 @@
 	Objects []peerObject[T] // all objects for a list, the changes for a watch
 	AsOf    Revision        // revision that Objects leads to
 	AgeUS   int64           // microseconds from the last confirmation of the copy to the response
-	// AgeAtRequestUS is the time in microseconds from the last confirmation of the copy to the arrival of
-	// the request; it is negative if the copy was confirmed later. It does not depend on
+	// AgeAtRequestUS is the time in microseconds from the last confirmation of the copy to the
+	// arrival of the request; it is negative if the copy was confirmed later. It does not depend on
 	// when the response is sent, because the host may be suspended in between.
 	AgeAtRequestUS int64
 	HistoryGone    bool   // the changes after From are no longer kept
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -145,8 +145,9 @@
 }
 
 // checkResponse verifies by its headers that the response is the server's own response to this
-// request and that the server ran the request, and records the load that it reports. A refusal without an attempt ID is accepted on a new connection: it may come from
-// another process at that address, but can only belong to this request.
+// request and that the server ran the request, and records the load that it reports. A refusal
+// without an attempt ID is accepted on a new connection: it may come from another process at that
+// address, but can only belong to this request.
 func (x *exchange) checkResponse(a *attempt) error {
 	anonymous := a.headers.AttemptID == "" && a.headers.NotRun && !a.response.ReusedConn
 	if a.headers.AttemptID != x.clientRequest.AttemptID && !anonymous {
@@ -171,8 +172,8 @@
 	return nil
 }
 
-// drain reads the body of a short response to its end, so that the connection can be reused. It reports
-// whether the end was reached within 16 KiB.
+// drain reads the body of a short response to its end, so that the connection can be reused. It
+// reports whether the end was reached within 16 KiB.
 func (a *attempt) drain() bool {
 	var b [2048]byte
 	for range 8 {
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -24,8 +24,8 @@
 	return 0
 }
 
-// kvSourceAddress returns the address (host:port) of the server from which the server "to" fetches the
-// KV cache of the shared prompt prefix. Empty: it computes the prefix itself.
+// kvSourceAddress returns the address (host:port) of the server from which the server "to" fetches
+// the KV cache of the shared prompt prefix. Empty: it computes the prefix itself.
 func (x *exchange) kvSourceAddress(to *directory.Server, now time.Time) string {
 	for _, id := range []string{x.kvSource, x.preferredServer} {
 		s := x.opts.Directory.View().Server(id)
@@ -36,9 +36,9 @@
 	return ""
 }
 
-// sharedPrefix returns the ID of the longest prompt prefix that other requests share, and
-// its length in tokens, earlier parts included; empty without prefix affinity. The last of several parts is left out, as it
-// belongs to this request or its session.
+// sharedPrefix returns the ID of the longest prompt prefix that other requests share, and its
+// length in tokens, earlier parts included; empty without prefix affinity. The last of several
+// parts is left out, as it belongs to this request or its session.
 func (x *exchange) sharedPrefix() (part string, tokens int) {
 	n := len(x.clientRequest.PromptParts)
 	if !x.route.PrefixAffinity || n == 0 {
--- a/request/gateway/stages.go
+++ b/request/gateway/stages.go
@@ -191,7 +191,8 @@
 	return max(size, 1) * priorityWeights[min(max(x.priority, 0), len(priorityWeights)-1)]
 }
 
-// Times after which a refused client may retry. An overloaded stage has capacity again after about two of its calls.
+// Times after which a refused client may retry. An overloaded stage has capacity again after about
+// two of its calls.
 const (
 	overloadedRetryAfter = 800 * time.Millisecond
 	noServerRetryAfter   = time.Second
--- a/request/gateway/stream.go
+++ b/request/gateway/stream.go
@@ -138,8 +138,9 @@
 	return firstEventTimeout, eventTimeout
 }
 
-// relayEvents forwards complete events as they arrive. It returns nil at the end of the stream. The rest of an interrupted event is
-// dropped, so that it is not joined with the first event of the next attempt.
+// relayEvents forwards complete events as they arrive. It returns nil at the end of the stream. The
+// rest of an interrupted event is dropped, so that it is not joined with the first event of the
+// next attempt.
 func (x *exchange) relayEvents(a *attempt, progress *streamProgress, hist *attemptHistory) error {
 	first, later := x.eventTimeouts(hist)
 	timer := time.AfterFunc(first, a.cancel)
