--- a/entryhost/admin.go
+++ b/entryhost/admin.go
@@ -10,21 +10,21 @@
 	"bilberrydale/internal/settings"
 )
 
-// Status is the answer to GET /status: identity, readiness, release and request
+// Status is the response to GET /status: identity, readiness, release and request
 // counts of an entry host.
 type Status struct {
 	Build       string `json:"build"`
 	Name        string `json:"name"`
 	Domain      string `json:"domain"`
 	Region      string `json:"region"`
-	Incarnation uint64 `json:"incarnation"`
+	Incarnation uint64 `json:"incarnation"` // differs for each start of the host
 	Ready       bool   `json:"ready"`
 	Draining    bool   `json:"draining"`
-	InFlight    int64  `json:"active"`
-	Release     uint64 `json:"release"`
-	Hash        string `json:"hash"`
-	LastError   string `json:"last_error,omitempty"`
-	Completed   int64  `json:"completed"`
+	InFlight    int64  `json:"active"`               // requests
+	Release     uint64 `json:"release"`              // number; 0: none
+	Hash        string `json:"hash"`                 // of the release
+	LastError   string `json:"last_error,omitempty"` // of the distribution of releases
+	Completed   int64  `json:"completed"`            // requests since the start, as the next two
 	Refused     int64  `json:"refused"`
 	Failed      int64  `json:"failed"`
 }
@@ -80,6 +80,8 @@
 	})
 }
 
+// writeJSON writes v as a JSON response. Errors are ignored: the caller
+// has disconnected.
 func writeJSON(w http.ResponseWriter, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(v)
--- a/entryhost/cross_domain_loads.go
+++ b/entryhost/cross_domain_loads.go
@@ -17,8 +17,8 @@
 type crossDomainPoller struct {
 	prober         loadreport.Prober
 	clock          clock.Clock
-	servers        func() []*serverstate.State
-	pollsPerSecond int
+	servers        func() []*serverstate.State // called at the start of each pass over the servers
+	pollsPerSecond int                         // over all servers
 }
 
 // Run polls the servers in turn until ctx ends, and returns nil.
--- a/entryhost/explain.go
+++ b/entryhost/explain.go
@@ -9,12 +9,12 @@
 	"bilberrydale/version/snapshot"
 )
 
-// Explanation is the answer to GET /explain: the route, admission decision and
+// Explanation is the response to GET /explain: the route, admission decision and
 // server choices that a request would get on this entry host now.
 type Explanation struct {
-	Release  uint64             `json:"release"`
-	Route    string             `json:"route"` // empty: no route matches
-	Class    string             `json:"class,omitempty"`
+	Release  uint64             `json:"release"`         // number of the release in force
+	Route    string             `json:"route"`           // empty: no route matches
+	Class    string             `json:"class,omitempty"` // of the route
 	Decision admission.Decision `json:"verdict"`
 	Stages   []StagePlan        `json:"stages,omitempty"`
 }
--- a/entryhost/host.go
+++ b/entryhost/host.go
@@ -30,15 +30,15 @@
 // tasks behind them.
 type Host struct {
 	opts        Options
-	incarnation uint64
+	incarnation uint64 // start time in Unix nanoseconds; tells restarts with the same name apart
 	log         *log.Logger
 	clock       clock.Clock
 	rand        clock.Rand
 
-	store    objectapi.Store
-	registry *serverstate.Registry
-	inForce  current.Value[snapshot.Snapshot]
-	gate     drain.Gate
+	store    objectapi.Store                  // object API of the platform
+	registry *serverstate.Registry            // states of backend servers, kept over releases
+	inForce  current.Value[snapshot.Snapshot] // snapshot of the release in force; empty before the first one
+	gate     drain.Gate                       // counts requests in flight; closed when new ones are refused
 	tracer   trace.Tracer
 
 	releases   releaseComponents
@@ -55,11 +55,11 @@
 	afterDrain []func(context.Context) error
 
 	tasks         []task
-	certReloads   []chan os.Signal
-	flushSpans    func(context.Context) error
+	certReloads   []chan os.Signal            // one for each certificate; see forwardReloadSignals
+	flushSpans    func(context.Context) error // exports the remaining spans
 	callersServer *http.Server
 	adminServer   *http.Server
-	listeners     [2]net.Listener
+	listeners     [2]net.Listener // callers, admin
 }
 
 // task is background work that runs until its context ends. An error from it
@@ -150,6 +150,7 @@
 	return nil
 }
 
+// closeListeners closes the listeners that are open.
 func (h *Host) closeListeners() {
 	for _, l := range h.listeners {
 		if l != nil {
--- a/entryhost/membership.go
+++ b/entryhost/membership.go
@@ -21,16 +21,16 @@
 // membershipComponents track the other entry hosts and send orders to the engines
 // of the failure domain.
 type membershipComponents struct {
-	link peer.Link
-	view membership.View
+	link peer.Link       // calls to the other entry hosts; the same object as mesh
+	view membership.View // states of the other entry hosts; the same object as monitor
 
 	monitor      *membership.Monitor
-	reportPoller *loadreport.Poller
-	elector      *lease.Elector
+	reportPoller *loadreport.Poller // polls backend servers and shares their reports with the other entry hosts
+	elector      *lease.Elector     // of the lease for sending orders
 	orderManager *order.Manager
-	modelCache   atomic.Pointer[releaseModels]
+	modelCache   atomic.Pointer[releaseModels] // for acceptedModels
 	mesh         *peer.Mesh
-	listener     net.Listener
+	listener     net.Listener // of the peer port
 }
 
 // checkPeerAddress requires a secret for a peer port that is not on loopback:
@@ -43,7 +43,7 @@
 }
 
 // wireMembership opens the peer port and adds the mesh of connections between
-// entry hosts.
+// entry hosts, with the components that use it. The error is that of listening.
 func (h *Host) wireMembership() error {
 	l, err := net.Listen("tcp", h.opts.PeerAddress)
 	if err != nil {
@@ -131,6 +131,7 @@
 	return out
 }
 
+// registerMembershipRoutes adds the admin route that lists the other entry hosts.
 func (h *Host) registerMembershipRoutes(mux *http.ServeMux) {
 	mux.Handle("GET /peers", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, h.membership.view.Peers())
--- a/entryhost/model_gate.go
+++ b/entryhost/model_gate.go
@@ -14,7 +14,7 @@
 // model of that pool is held back: the rest of the release takes effect on time,
 // even if the weight store needs minutes to deliver the model.
 type modelGate struct {
-	minLoadedShare float64     // share of a pool's servers; 0 to 1
+	minLoadedShare float64     // share of a pool's servers that must have loaded the new version; 0 to 1
 	pending        atomic.Bool // the last compilation held a model version back
 }
 
@@ -55,7 +55,7 @@
 }
 
 // runModelGate recompiles the release in force periodically while a model version
-// is held back.
+// is held back, until ctx ends. It returns nil.
 func (h *Host) runModelGate(ctx context.Context) error {
 	for {
 		select {
--- a/entryhost/options.go
+++ b/entryhost/options.go
@@ -42,7 +42,7 @@
 	LogJSON              bool
 	RefusalLogsPerSecond int     // limit of log lines per second about error responses
 	SpanExporterName     string  // one of the Export constants of package telemetry
-	OTLPEndpoint         string  // of the collector, host:port
+	OTLPEndpoint         string  // address of the collector, host:port; required by telemetry.ExportOTLP only
 	SpanSampleRatio      float64 // share of requests that are traced, 0 to 1
 	// SpanExporter, if set, is used instead of the exporter with SpanExporterName.
 	SpanExporter sdktrace.SpanExporter
--- a/entryhost/options_tls.go
+++ b/entryhost/options_tls.go
@@ -15,8 +15,8 @@
 // tlsOptions name the PEM files of the certificates for the callers' and the
 // operators' port. A port without a certificate serves plain HTTP.
 type tlsOptions struct {
-	CertFile, KeyFile           string // callers
-	AdminCertFile, AdminKeyFile string // operators
+	CertFile, KeyFile           string // paths, for the callers' port
+	AdminCertFile, AdminKeyFile string // paths, for the operators' port
 	// Each signal on Reload makes the host read all certificates again; the
 	// daemon forwards SIGHUP.
 	Reload <-chan os.Signal
@@ -74,7 +74,8 @@
 	return tls.NewListener(l, keyPair.TLSConfig()), nil
 }
 
-// forwardReloadSignals sends each reload signal to the tasks of all certificates.
+// forwardReloadSignals sends each reload signal to the tasks of all certificates until
+// ctx ends, and returns nil.
 func (h *Host) forwardReloadSignals(ctx context.Context) error {
 	for {
 		select {
--- a/entryhost/orders.go
+++ b/entryhost/orders.go
@@ -18,10 +18,11 @@
 // MembershipOptions are the settings of membership, of the order lease and of
 // orders to engines.
 type MembershipOptions struct {
-	AdvertiseAddress string  // address that peers dial, host:port; empty: the listener's address
-	OrdersPerSecond  float64 // limit of orders to the engines of a failure domain
+	AdvertiseAddress string  // address that other entry hosts dial, host:port; empty: the listener's address
+	OrdersPerSecond  float64 // limit of orders to all engines of a failure domain; bounds how fast they load weights
 	// LeaseTTL is the duration of one renewal of the lease that allows a host to
-	// send orders. The next holder waits a fifth longer.
+	// send orders. Another host takes the lease over only after this and a fifth more
+	// without a renewal, or once the lease is released.
 	LeaseTTL time.Duration
 }
 
@@ -29,13 +30,13 @@
 	return MembershipOptions{OrdersPerSecond: 1, LeaseTTL: 15 * time.Second}
 }
 
-// Fractions of the lease's TTL. An order and the read that confirms it end
+// Divisors of the lease's TTL. An order and the read that confirms it end
 // within TTL/maxOrderDivisor. This is below the margin TTL/leaseMarginDivisor
 // before expiry at which the holder stops sending orders.
 const (
 	leaseMarginDivisor  = 3
 	maxOrderDivisor     = 5
-	orderTimeoutDivisor = 11
+	orderTimeoutDivisor = 11 // timeout of each of the two calls
 )
 
 func (o *MembershipOptions) registerSettings(set *settings.Set) {
@@ -148,7 +149,8 @@
 }
 
 // addEngines adds the engines of p that are in this failure domain and usable to
-// byAddress, and the models to their targets.
+// byAddress, and the models to their targets. The role of an engine is that of the
+// first of its pools that has one.
 func (h *Host) addEngines(byAddress map[string]*order.Target, p *snapshot.Pool, models []string) {
 	if p.Kind != table.Engine {
 		return
--- a/entryhost/policy.go
+++ b/entryhost/policy.go
@@ -19,10 +19,10 @@
 // PolicyOptions are the settings of admission control and server selection. Loads
 // are in requests in flight per slot.
 type PolicyOptions struct {
-	TargetLoad           float64 // at which admission control holds an overloaded pool
-	BackgroundMaxLoad    float64 // of every pool, from which background requests are refused
-	RemoteSpilloverLoad  float64 // of this region, from which other regions are tried
-	MinRemoteGainPerMB   float64 // advantage that another region needs per billed megabyte of input
+	TargetLoad           float64 // load at which admission control holds an overloaded pool
+	BackgroundMaxLoad    float64 // load of a pool of the route from which background requests are refused
+	RemoteSpilloverLoad  float64 // load of this region from which other regions are tried
+	MinRemoteGainPerMB   float64 // load by which another region must be lower per billed megabyte of input
 	RegionSubsetSize     int     // servers of a pool used in other failure domains of this region
 	RemoteSubsetSize     int     // servers of a pool used in each other region
 	LoadReportsPerSecond int     // reports polled from servers in other failure domains
@@ -49,7 +49,7 @@
 // policyComponents decide which requests are admitted. The pickers, which choose
 // servers, are part of the snapshot.
 type policyComponents struct {
-	admitter   admission.Admitter
+	admitter   admission.Admitter // the controller, as the request path uses it
 	controller *admission.Controller
 }
 
@@ -131,6 +131,7 @@
 	return out
 }
 
+// registerPolicyRoutes adds the admin route that explains decisions.
 func (h *Host) registerPolicyRoutes(mux *http.ServeMux) {
 	mux.Handle("GET /explain", h.requireAdminToken(h.serveExplain))
 }
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -14,8 +14,8 @@
 // ReleaseOptions are the settings of the distribution and activation of releases.
 type ReleaseOptions struct {
 	ActivationDelay     time.Duration // from the acceptance of a release to its activation
-	Watchers            int           // entry hosts of a failure domain that watch the platform
-	SyncInterval        time.Duration // between comparisons with a peer
+	Watchers            int           // number of entry hosts of a failure domain that watch the platform
+	SyncInterval        time.Duration // between comparisons of releases with a peer
 	MinModelLoadedShare float64       // share of a pool's servers that must have loaded a new model version before it is used
 }
 
@@ -32,7 +32,9 @@
 	set.Float(&o.MinModelLoadedShare, "model-loaded", "share of a pool's servers that must have loaded a new model version before it is used", 0, 1)
 }
 
-// releaseComponents keep this entry host on the newest accepted release.
+// releaseComponents keep this entry host on the newest accepted release: the
+// distributor receives releases from the platform and peers, the follower compiles
+// and activates them.
 type releaseComponents struct {
 	follower    *release.Follower
 	distributor *release.Distributor
@@ -77,7 +79,8 @@
 }
 
 // compile builds the snapshot of a release. The function that it returns
-// activates the snapshot for new requests.
+// activates the snapshot for new requests. An error means that the release cannot be
+// used; the one in force stays.
 func (h *Host) compile(rel release.Release) (func(), error) {
 	snap, err := snapshot.Build(rel, snapshot.Options{
 		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.holdBackModels(),
@@ -91,6 +94,8 @@
 	}, nil
 }
 
+// registerReleaseRoutes adds the admin routes for the release in force and the
+// status of its distribution.
 func (h *Host) registerReleaseRoutes(mux *http.ServeMux) {
 	mux.Handle("GET /tables", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		rel, _ := h.releases.follower.Current()
--- a/entryhost/requests.go
+++ b/entryhost/requests.go
@@ -22,10 +22,10 @@
 
 // requestComponents serve callers' requests.
 type requestComponents struct {
-	guard    *quarantine.SharedGuard
-	claims   *claim.Manager
+	guard    *quarantine.SharedGuard // quarantine list, shared with the other entry hosts
+	claims   *claim.Manager          // of idempotency keys
 	counters entry.Counters
-	handler  http.Handler
+	handler  http.Handler // of the routes, without the health path and the limit of requests in flight
 }
 
 // wireRequests adds the request path: quarantine, claims, the pipeline runner and
@@ -75,8 +75,8 @@
 // requestsVars holds the variables of each entry host in the process by its name.
 var requestsVars = expvar.NewMap("requests")
 
-// markServerLeaving shares with the other entry hosts that a response marked its
-// backend server as leaving.
+// markServerLeaving records that a response of s reported that s is leaving; the
+// report poller passes it on to the other entry hosts.
 func (h *Host) markServerLeaving(s *serverstate.State) {
 	h.membership.reportPoller.MarkLeaving(s.Address)
 }
@@ -85,7 +85,8 @@
 const claimFlushTimeout = 2 * time.Second
 
 // flushClaims stores the outcomes of claims on the platform, so that retries sent
-// to other hosts find which keys have run. A failure is logged only.
+// to other hosts find which keys have run. A failure is logged only; the error is
+// always nil.
 func (h *Host) flushClaims(ctx context.Context) error {
 	flush, cancel := context.WithTimeout(context.WithoutCancel(ctx), claimFlushTimeout)
 	defer cancel()
@@ -95,6 +96,8 @@
 	return nil
 }
 
+// registerRequestRoutes adds the admin routes that list quarantined requests and lift
+// a quarantine.
 func (h *Host) registerRequestRoutes(mux *http.ServeMux) {
 	mux.Handle("GET /quarantine", h.requireAdminToken(func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, h.requests.guard.List())
