--- a/cmd/bilberryd/main.go
+++ b/cmd/bilberryd/main.go
@@ -27,6 +27,7 @@
 // more, before the host refuses requests.
 const defaultDrainDelay = 2 * time.Second
 
+// run parses args and serves until a signal ends it or a task of the host fails.
 func run(args []string) error {
 	opts := entryhost.DefaultOptions()
 	opts.DrainDelay = defaultDrainDelay
--- a/cmd/bilberryedge/main.go
+++ b/cmd/bilberryedge/main.go
@@ -34,6 +34,7 @@
 // limit as well.
 const memoryLimitShare = 0.6
 
+// run parses args and serves, or only checks the settings file.
 func run(args []string, hup <-chan os.Signal) error {
 	path := os.Getenv(platform.SettingsEnvVar)
 	parser := flaggy.NewParser("bilberryedge")
@@ -58,6 +59,8 @@
 	return serve(loaded, readSettings, hup)
 }
 
+// serve runs an entry host until a signal ends it. Each signal on hup makes the host
+// read the settings again with readSettings.
 func serve(initial platform.Settings, readSettings func() (platform.Settings, error), hup <-chan os.Signal) error {
 	if initial.MemoryBytes > 0 {
 		debug.SetMemoryLimit(int64(memoryLimitShare * float64(initial.MemoryBytes)))
--- a/cmd/replay/main.go
+++ b/cmd/replay/main.go
@@ -23,6 +23,7 @@
 	}
 }
 
+// options holds the values of the flags; run describes each.
 type options struct {
 	seed         int
 	deployment   string
@@ -59,6 +60,7 @@
 	return o.run()
 }
 
+// run replays the selected traces, or writes one to a file, as the options say.
 func (o *options) run() error {
 	job := replay.Job{Seed: uint64(o.seed), Scenario: o.trace, Concurrency: o.parallel}
 	for _, d := range replay.Deployments() {
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -28,8 +28,10 @@
 // crashExitCode is the exit code of a stand-in that crashes on request.
 const crashExitCode = 3
 
+// crash ends the process without cleanup.
 func crash() { os.Exit(crashExitCode) }
 
+// run parses args and serves the stand-in that they name.
 func run(args []string) error {
 	parser := flaggy.NewParser("standin")
 	parser.Version = settings.Version()
--- a/internal/ctl/changes.go
+++ b/internal/ctl/changes.go
@@ -19,8 +19,8 @@
 type edit struct {
 	dir       string
 	base      *Base
-	head      release.Release // newest release of the platform
-	changeSet release.ChangeSet
+	head      release.Release   // newest release of the platform
+	changeSet release.ChangeSet // rows of the folder that differ from base
 }
 
 // publisher returns a publisher of releases on the platform.
@@ -31,10 +31,11 @@
 // baseFlags select the base release of an edit. They are needed when the folder
 // has no base file.
 type baseFlags struct {
-	releaseNumber int
-	forceRebase   bool
+	releaseNumber int  // release that is the base; 0: read it from the base file
+	forceRebase   bool // without a base file, the newest release is the base
 }
 
+// register adds the flags to set.
 func (f *baseFlags) register(set *settings.Set) {
 	set.Int(&f.releaseNumber, "base", "release from which the tables were edited; 0: read it from the folder's base file", 0, math.MaxInt32)
 	set.Bool(&f.forceRebase, "force-rebase", "without a base file, use the newest release as the base, even if others changed it")
@@ -57,7 +58,8 @@
 	return base, err
 }
 
-// readEdit compares the tables of dir with their base, selected by from.
+// readEdit compares the tables of dir with their base, selected by from. The error is
+// errNoBase if no base is found.
 func (e *Env) readEdit(ctx context.Context, dir string, from baseFlags) (*edit, error) {
 	tables, err := table.ReadDir(dir)
 	if err != nil {
--- a/internal/ctl/ctl.go
+++ b/internal/ctl/ctl.go
@@ -49,9 +49,10 @@
 	return all
 }
 
+// options holds the global flags.
 type options struct {
 	platform, platformToken    string
-	hosts, adminToken, adminCA string
+	hosts, adminToken, adminCA string // hosts: admin addresses separated by commas
 	author, note               string
 	json                       bool
 	timeout                    time.Duration
@@ -69,6 +70,7 @@
 	set.Duration(&o.timeout, "timeout", "longest time for one command", time.Second, 10*time.Minute)
 }
 
+// newEnv returns the Env of a command. The error is that of reading the CA file.
 func (o *options) newEnv(out io.Writer) (*Env, error) {
 	admin, err := NewAdminClient(AdminClientOptions{Addresses: splitList(o.hosts), Token: o.adminToken, CAFile: o.adminCA})
 	if err != nil {
@@ -180,6 +182,7 @@
 	return list, sets
 }
 
+// commandNames returns the names of all commands, for error messages.
 func commandNames() []string {
 	var names []string
 	for _, c := range commands() {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -15,9 +15,9 @@
 // FieldChange is one field that an edit changes. Old is empty if the field is
 // added, New if it is removed.
 type FieldChange struct {
-	Row   string `json:"row"`
-	Field string `json:"field"`
-	Old   string `json:"old,omitempty"`
+	Row   string `json:"row"`           // key
+	Field string `json:"field"`         // path; see flattenRow
+	Old   string `json:"old,omitempty"` // JSON, as New
 	New   string `json:"new,omitempty"`
 	// Conflict is the author and release of a change to the row since the
 	// edit's base; empty if there is none.
@@ -26,10 +26,12 @@
 
 type diffCommand struct{ base baseFlags }
 
+// registerFlags adds the flags that select the base release of the edit.
 func (c *diffCommand) registerFlags(set *settings.Set) {
 	c.base.register(set)
 }
 
+// run shows the changed fields. Without --json, conflicting rows are an error.
 func (c *diffCommand) run(ctx context.Context, env *Env, dir string) error {
 	e, err := env.readEdit(ctx, dir, c.base)
 	if errors.Is(err, errNoBase) {
@@ -52,6 +54,7 @@
 	return nil
 }
 
+// printFieldChanges prints the changes below a line for each row.
 func printFieldChanges(env *Env, fields []FieldChange) {
 	row := ""
 	for _, f := range fields {
@@ -92,6 +95,8 @@
 	return out, nil
 }
 
+// rowFieldChanges returns the fields of the changed row that differ from old, its
+// content in the base, by path. Old is empty if the row is added.
 func rowFieldChanges(c release.Change, old json.RawMessage) ([]FieldChange, error) {
 	before, err := flattenRow(old)
 	if err != nil {
@@ -132,6 +137,7 @@
 	return out, nil
 }
 
+// flattenValue adds the scalars in v to out. Path is that of v.
 func flattenValue(out map[string]string, path string, v any) {
 	switch v := v.(type) {
 	case map[string]any:
--- a/internal/ctl/hosts.go
+++ b/internal/ctl/hosts.go
@@ -23,10 +23,10 @@
 	CAFile    string   // PEM file of the CA; if set, TLS is used
 }
 
-// AdminClient calls the admin ports of entry hosts.
+// AdminClient calls the admin ports of entry hosts. It is safe for concurrent use.
 type AdminClient struct {
 	opts   AdminClientOptions
-	scheme string
+	scheme string // http or https
 	client *http.Client
 }
 
@@ -62,15 +62,16 @@
 
 // statusError is the error of an admin call that the entry host refused.
 type statusError struct {
-	status int
-	text   string
+	status int    // HTTP status
+	text   string // body of the response
 }
 
 // Error implements error.
 func (e *statusError) Error() string { return fmt.Sprintf("status %d: %s", e.status, e.text) }
 
-// call sends one admin call to the entry host at addr. It sends in as JSON and
-// decodes the response into out; both may be nil.
+// call sends one admin call to the entry host at addr (host:port). It sends in as
+// JSON and decodes the response into out; both may be nil. After a
+// network error the host may have acted on the call.
 func (c *AdminClient) call(ctx context.Context, method, addr, path string, in, out any) error {
 	var body []byte
 	if in != nil {
@@ -120,8 +121,8 @@
 
 // hostResult is the result of a call to one entry host.
 type hostResult[T any] struct {
-	addr  string
-	value T
+	addr  string // admin address, host:port
+	value T      // may be incomplete if err is set
 	err   error
 }
 
--- a/internal/ctl/peers.go
+++ b/internal/ctl/peers.go
@@ -15,7 +15,7 @@
 	Domain   string `json:"domain"`
 	Region   string `json:"region"`
 	Address  string `json:"address"`
-	State    string `json:"state"`
+	State    string `json:"state"` // text of a membership.State
 	Draining bool   `json:"draining"`
 }
 
--- a/internal/ctl/print.go
+++ b/internal/ctl/print.go
@@ -14,7 +14,7 @@
 	}
 }
 
-// print prints v as JSON if that is selected, and otherwise the rows as an
+// print prints v as JSON if that is selected, and otherwise the header and rows as an
 // aligned table.
 func (e *Env) print(v any, header []string, rows [][]string) error {
 	if e.JSON {
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -23,6 +23,7 @@
 	quarantine.Allowed: "clear", quarantine.Isolated: "alone", quarantine.Refused: "refused",
 }
 
+// quarantineCommands returns the commands on quarantined requests.
 func quarantineCommands() []*command {
 	return []*command{
 		{name: "quarantine list", help: "show the requests that are suspected of crashing backend servers or quarantined", run: quarantineList},
@@ -30,6 +31,8 @@
 	}
 }
 
+// quarantineList shows the list of each entry host. A host that does not respond is an
+// error, but the lists of the others are shown.
 func quarantineList(ctx context.Context, env *Env, _ string) error {
 	list := []QuarantineEntry{}
 	var rows [][]string
@@ -56,6 +59,8 @@
 	return errors.Join(errs...)
 }
 
+// quarantineLift lifts the quarantine on each host that has the request in its list,
+// and returns an error if none has it or a host does not respond.
 func quarantineLift(ctx context.Context, env *Env, fingerprint string) error {
 	if _, err := strconv.ParseUint(fingerprint, 16, 64); err != nil {
 		return fmt.Errorf("%q is not a fingerprint; use the hexadecimal digits that quarantine list shows", fingerprint)
--- a/internal/ctl/recover.go
+++ b/internal/ctl/recover.go
@@ -19,6 +19,8 @@
 	set.Bool(&c.confirm, "confirm", "accept the release; without it, the command only shows the release")
 }
 
+// run shows the release of the entry host at addr (host:port) and, with --confirm,
+// publishes it.
 func (c *recoverCommand) run(ctx context.Context, env *Env, addr string) error {
 	var rel release.Release
 	if err := env.Admin.call(ctx, http.MethodGet, addr, "/tables", nil, &rel); err != nil {
--- a/internal/ctl/releases.go
+++ b/internal/ctl/releases.go
@@ -9,6 +9,7 @@
 	"bilberrydale/internal/settings"
 )
 
+// releaseCommands returns the commands that manage accepted releases.
 func releaseCommands() []*command {
 	history, recovery := &historyCommand{count: 20}, &recoverCommand{}
 	return []*command{
@@ -18,6 +19,7 @@
 	}
 }
 
+// historyCommand shows the newest releases, at most count.
 type historyCommand struct{ count int }
 
 func (c *historyCommand) registerFlags(set *settings.Set) {
@@ -36,6 +38,8 @@
 	return env.print(refs, []string{"RELEASE", "TIME", "AUTHOR", "HASH", "NOTE"}, rows)
 }
 
+// rollback accepts the rows of an earlier release, whose number is text, as the next
+// release.
 func rollback(ctx context.Context, env *Env, text string) error {
 	number, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || number == 0 {
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -51,6 +51,7 @@
 	return strings.Join(list, "; ")
 }
 
+// hostCommands returns the commands on running entry hosts.
 func hostCommands() []*command {
 	drain, status := &drainCommand{}, &statusCommand{}
 	return []*command{
@@ -60,7 +61,8 @@
 	}
 }
 
-// hostStatuses returns the status of all entry hosts.
+// hostStatuses returns the status of all entry hosts. Hosts that don't respond have
+// HostStatus.Error set; the error is that of missing addresses.
 func (e *Env) hostStatuses(ctx context.Context) ([]HostStatus, error) {
 	if len(e.Admin.opts.Addresses) == 0 {
 		return nil, errors.New("name the entry hosts with --hosts")
@@ -83,6 +85,8 @@
 	return out, nil
 }
 
+// statusCommand shows the status of all entry hosts, after waiting for at most wait
+// until they have the same release in force.
 type statusCommand struct{ wait time.Duration }
 
 func (c *statusCommand) registerFlags(set *settings.Set) {
@@ -112,6 +116,7 @@
 	}
 }
 
+// printStatus prints one row for each host.
 func printStatus(env *Env, list []HostStatus) error {
 	var rows [][]string
 	for _, s := range list {
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -10,6 +10,7 @@
 	"bilberrydale/version/table"
 )
 
+// tableCommands returns the commands that edit tables in a folder.
 func tableCommands() []*command {
 	apply := &applyCommand{}
 	diff := &diffCommand{}
@@ -21,6 +22,8 @@
 	}
 }
 
+// validate checks the tables of dir without the platform. The error lists their
+// faults; with --json they are printed instead, and the error has their number.
 func validate(_ context.Context, env *Env, dir string) error {
 	t, err := table.ReadDir(dir)
 	var invalid table.ValidationErrors
@@ -92,6 +95,7 @@
 
 type applyCommand struct{ base baseFlags }
 
+// registerFlags adds the flags that select the base release of the edit.
 func (c *applyCommand) registerFlags(set *settings.Set) {
 	c.base.register(set)
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -27,10 +27,10 @@
 // not safe for concurrent use.
 type Set struct {
 	parser    Parser
-	prefix    string
-	flagNames map[string]bool
-	checks    []check
-	errs      []error
+	prefix    string          // of the names of environment variables
+	flagNames map[string]bool // names of the registered flags
+	checks    []check         // run by Validate, in the order of registration
+	errs      []error         // of environment variables, found at registration
 }
 
 // check validates the value of one flag.
@@ -82,6 +82,7 @@
 	return errs
 }
 
+// isNumber reports whether arg is a number, such as a negative value of a flag.
 func isNumber(arg string) bool {
 	_, err := strconv.ParseFloat(arg, 64)
 	return err == nil
@@ -105,6 +106,7 @@
 	return key, v, ok
 }
 
+// addCheck adds a check that Validate runs.
 func (s *Set) addCheck(flag string, validate func() error) {
 	s.checks = append(s.checks, check{flag, validate})
 }
