--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -9,11 +9,11 @@
 // batch limits the sequences that run at the same time. Further sequences wait in
 // a queue of limited length, ordered by priority and then by arrival.
 type batch struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // guards running, lastArrival and queue
 	slots         int
 	queueCapacity int
-	running       int
-	lastArrival   int
+	running       int // sequences that hold a slot
+	lastArrival   int // waiter.arrival of the sequence queued last
 	queue         waiterHeap
 }
 
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -13,6 +13,7 @@
 // maxPrefixBytes is the number of bytes of a prompt that identify its prefix.
 const maxPrefixBytes = 64
 
+// promptPrefix returns the bytes of a prompt that identify its prefix.
 func promptPrefix(prompt string) string { return prompt[:min(maxPrefixBytes, len(prompt))] }
 
 // prefixID returns the identifier of a prefix in events and KV transfers.
@@ -80,6 +81,8 @@
 	return out
 }
 
+// handleEvents returns the published cache events with a number above the query
+// parameter after.
 func (e *Engine) handleEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	e.mu.Lock()
@@ -101,6 +104,7 @@
 	http.Error(w, "prefix is not cached", http.StatusNotFound)
 }
 
+// handleImportKV caches the prefix in the body, which must have the id in the path.
 func (e *Engine) handleImportKV(w http.ResponseWriter, r *http.Request) {
 	buf := make([]byte, maxPrefixBytes+1)
 	n, _ := r.Body.Read(buf)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -45,7 +45,7 @@
 	opts  Options
 	batch *batch
 
-	mu            sync.Mutex
+	mu            sync.Mutex         // guards the fields below
 	responseTexts map[string]string  // complete text by request and stage, for resumption
 	activeStreams map[string]*stream // running streams by request id
 	cache         cache
@@ -65,7 +65,7 @@
 	createdAt time.Time
 }
 
-// New returns an engine.
+// New returns an engine, whose initial model is loaded from the start.
 func New(opts Options) *Engine {
 	if opts.Slots <= 0 {
 		opts.Slots = 8
@@ -209,7 +209,7 @@
 	return e.cache.touch(promptPrefix(prompt), time.Now())
 }
 
-// stream is one running response.
+// stream is one running response, which cancel ends.
 type stream struct{ cancel context.CancelFunc }
 
 // registerStream makes the response cancelable by DELETE /streams. The returned
--- a/internal/standin/engine/order.go
+++ b/internal/standin/engine/order.go
@@ -12,9 +12,9 @@
 
 // Order is the complete desired state of an engine, not a change to it.
 type Order struct {
-	Fence  uint64   `json:"fence"` // fencing number of the sender's lease
-	Models []string `json:"models"`
-	Role   string   `json:"role"`
+	Fence  uint64   `json:"fence"`  // fencing number of the sender's lease
+	Models []string `json:"models"` // to have loaded
+	Role   string   `json:"role"`   // reported in LoadReport.Role, without another effect
 }
 
 // orderState is the state set by orders. appliedFences records the fencing numbers
--- a/internal/standin/hop/hop.go
+++ b/internal/standin/hop/hop.go
@@ -26,18 +26,20 @@
 	Leaving bool `json:"leaving"`
 }
 
-// Server is the common part of a backend server. It is safe for concurrent use.
+// Server is the part that all test doubles of backend servers share. It is safe for
+// concurrent use.
 type Server struct {
 	Name  string
 	Crash func() // called on a request that matches CrashOnBody; must end the server
 
-	mu         sync.Mutex
+	mu         sync.Mutex // guards faults and executions
 	faults     Faults
 	executions map[string]int // by operation key or request id, then stage
-	total      atomic.Int64
+	total      atomic.Int64   // executions
 }
 
-// New returns the common part of a backend server.
+// New returns the part that all test doubles of backend servers share. Crash is
+// called on a request that matches Faults.CrashOnBody; it must end the server.
 func New(name string, crash func()) *Server {
 	return &Server{Name: name, Crash: crash, executions: map[string]int{}}
 }
@@ -72,7 +74,7 @@
 // TotalExecutions returns the number of all executions.
 func (s *Server) TotalExecutions() int64 { return s.total.Load() }
 
-// CountExecution records one execution of the request.
+// CountExecution records one execution of the request's stage.
 func (s *Server) CountExecution(r *http.Request) {
 	s.total.Add(1)
 	id := r.Header.Get(backend.HeaderKey)
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -33,16 +33,16 @@
 
 // Store is an in-memory object API. It implements objectapi.Store.
 type Store struct {
-	mu            sync.Mutex
-	objects       map[string]objectapi.Object
-	revision      uint64        // of the last write
-	changed       chan struct{} // closed at the next change of objects or faults
+	mu            sync.Mutex                  // guards the fields below
+	objects       map[string]objectapi.Object // by key
+	revision      uint64                      // of the last write
+	changed       chan struct{}               // closed at the next change of objects or faults
 	faults        Faults
 	staleObjects  map[string]objectapi.Object // state that stale reads return
 	counts        CallCounts
 	hosts         []objectapi.Host
-	budgetSecond  int64 // Unix time in seconds that callsInSecond applies to
-	callsInSecond int
+	budgetSecond  int64 // Unix time, in seconds, of the second in which callsInSecond are counted
+	callsInSecond int   // for Faults.MaxCallsPerSecond
 }
 
 // NewStore returns an empty Store.
@@ -115,7 +115,8 @@
 	s.changed = make(chan struct{})
 }
 
-// beginCall counts a call and injects the faults that precede its effect.
+// beginCall counts a call and injects the faults that precede its effect. After an
+// error the call has no effect.
 func (s *Store) beginCall(ctx context.Context, count func(*CallCounts)) error {
 	s.mu.Lock()
 	f := s.faults
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -59,6 +59,8 @@
 	return mux
 }
 
+// handleExecute serves one stage call. A call without a free slot is refused as not
+// started.
 func (s *Service) handleExecute(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
--- a/internal/standin/weights/weights.go
+++ b/internal/standin/weights/weights.go
@@ -19,7 +19,7 @@
 type Store struct {
 	opts    Options
 	limiter *rate.Limiter
-	reads   atomic.Int64
+	reads   atomic.Int64 // started reads
 }
 
 // chunkBytes is the unit of writes and the burst of the rate limit.
