--- a/internal/replay/bound.go
+++ b/internal/replay/bound.go
@@ -132,7 +132,7 @@
 	price           [][]float64 // worth of a slot second
 	used            [][]float64 // slot seconds, set by dualValue
 	usedAtZeroPrice [][]float64 // used when all prices are zero
-	segmentEdges    []int
+	segmentEdges    []int       // buckets, as from func segmentEdges
 }
 
 // requestDemand is the worth of a request and the slot seconds it needs of each
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -13,7 +13,7 @@
 type Deployment struct {
 	Name           string
 	Tables         table.Tables
-	Regions        []string // one failure domain each
+	Regions        []string // names; each region has one failure domain
 	HostsPerRegion int      // entry hosts in each region
 	Accounts       []Account
 	Mix            []RouteMix
@@ -32,7 +32,7 @@
 // sizes.
 type RouteMix struct {
 	Route            string
-	Fraction         float64
+	Fraction         float64         // of all requests
 	MeanServiceTimes []time.Duration // mean service time of each stage
 	Bytes            []int           // size of the request body, then of the output of each stage
 }
@@ -52,6 +52,7 @@
 	return p
 }
 
+// newServer returns server i, from 0, of a pool.
 func newServer(pool string, i int, region string) table.Server {
 	return table.Server{
 		Name: fmt.Sprintf("%s-%d", pool, i+1), Address: fmt.Sprintf("%s-%d:80", pool, i+1),
@@ -59,6 +60,8 @@
 	}
 }
 
+// newStage returns a repeatable stage with the name of its pool. Cost weights the
+// slot time of the stage.
 func newStage(pool string, budget time.Duration, cost float64) table.Stage {
 	return table.Stage{Name: pool, Pool: pool, Budget: table.Duration(budget), Repeatable: true, Cost: cost}
 }
--- a/internal/replay/eventloop.go
+++ b/internal/replay/eventloop.go
@@ -9,10 +9,12 @@
 // their time, and at the same time in the order in which they were scheduled.
 type eventLoop struct {
 	now     time.Duration // since the start of the replay
-	seq     int
+	seq     int           // of the event scheduled last
 	pending eventQueue
 }
 
+// event is a function that runs at virtual time at. Events of the same time run in
+// the order of seq.
 type event struct {
 	at  time.Duration
 	seq int
@@ -37,6 +39,7 @@
 	}
 }
 
+// eventQueue implements heap.Interface; the first element is the next to run.
 type eventQueue []event
 
 func (h eventQueue) Len() int { return len(h) }
--- a/internal/replay/host.go
+++ b/internal/replay/host.go
@@ -17,14 +17,14 @@
 	*simulation
 	Location
 	*HostPolicy
-	rand     clock.Rand
-	registry *serverstate.Registry
-	pickers  map[string]pick.Picker
-	profiles map[string]*admission.Profile
+	rand     clock.Rand                    // of the host's decisions
+	registry *serverstate.Registry         // states of the servers as this host sees them
+	pickers  map[string]pick.Picker        // by pool name
+	profiles map[string]*admission.Profile // by route name
 }
 
-// newFakeHost returns a host with the decision code of the policy. Seed is that of
-// its random decisions.
+// newFakeHost returns a host with the decision code of the policy, whose random
+// decisions are seeded with seed.
 func (sim *simulation) newFakeHost(at Location, seed uint64) *fakeHost {
 	h := &fakeHost{simulation: sim, Location: at, rand: clock.NewSeeded(seed), registry: serverstate.NewRegistry(), profiles: map[string]*admission.Profile{}}
 	h.HostPolicy = sim.policy.New(at, h.rand)
@@ -32,6 +32,7 @@
 	return h
 }
 
+// admissionClasses maps the classes of the tables to those of admission control.
 var admissionClasses = map[table.Class]admission.Class{
 	table.Interactive: admission.Interactive, table.Standard: admission.Standard, table.Background: admission.Background,
 }
@@ -66,18 +67,18 @@
 	outcome          *outcome
 	route            *table.Route
 	admissionRequest admission.Request
-	stageIndex       int
-	attempts         int
-	tried            []*serverstate.State
-	current          *attempt
-	stageStartedAt   time.Duration // start of the current stage
+	stageIndex       int                  // of the current stage
+	attempts         int                  // of the current stage
+	tried            []*serverstate.State // servers of these attempts
+	current          *attempt             // running attempt; nil: none
+	stageStartedAt   time.Duration        // start of the current stage
 	ended            bool
 }
 
 // attempt is one call of a backend server for a stage.
 type attempt struct {
-	task   *task
-	fake   *fakeServer
+	task   *task       // nil if it could not be sent
+	fake   *fakeServer // nil if the server no longer exists
 	server *pick.Server
 	sentAt time.Duration
 }
@@ -100,6 +101,8 @@
 	req.startStage()
 }
 
+// startStage reports the start of the current stage to admission and makes its
+// first attempt.
 func (req *request) startStage() {
 	req.stageStartedAt, req.attempts, req.tried = req.now, 0, nil
 	req.Admitter.StageStart(req.time(), &req.admissionRequest, req.stageIndex)
--- a/internal/replay/measure.go
+++ b/internal/replay/measure.go
@@ -13,8 +13,8 @@
 	Scenario        string  `json:"scenario"`
 	Policy          string  `json:"policy"`
 	Seed            uint64  `json:"seed"`
-	Offered         int     `json:"offered"`
-	Completed       int     `json:"completed"`
+	Offered         int     `json:"offered"`   // requests of the trace
+	Completed       int     `json:"completed"` // before their deadlines
 	Refused         int     `json:"refused"`
 	Worth           float64 `json:"worth"`    // sum over the requests completed in time
 	BoundRatio      float64 `json:"of_bound"` // Worth divided by UpperBound
@@ -26,9 +26,9 @@
 	Background       float64     `json:"background"`
 	Cost             float64     `json:"cost"` // slot seconds, weighted by the costs of the stages
 	Stages           []StageCost `json:"stages"`
-	WastedFraction   float64     `json:"wasted"`    // highest fraction of a stage's slot time spent on requests that did not complete
-	WastedStage      string      `json:"wasted_in"` // stage of WastedFraction
-	CrossRegionBytes int64       `json:"cross_bytes"`
+	WastedFraction   float64     `json:"wasted"`      // highest fraction of a stage's slot time spent on requests that did not complete
+	WastedStage      string      `json:"wasted_in"`   // stage of WastedFraction
+	CrossRegionBytes int64       `json:"cross_bytes"` // between entry hosts and servers of other regions
 	WorstShareRatio  float64     `json:"worst_share"` // lowest ratio of an account's engine time to its fair share of the capacity
 	// WorstServedRatio is the lowest ratio to the fair share of the engine time
 	// that all accounts received. It measures fairness independently of how much
@@ -83,6 +83,7 @@
 	m.BackgroundRetrySuccess = float64(succeeded[1]) / float64(max(1, retries[1]))
 }
 
+// countOutcome adds the outcome of a request of the trace. Worth is that of its route.
 func (m *Result) countOutcome(o *outcome, worth float64) {
 	m.CrossRegionBytes += o.crossRegionBytes
 	switch {
@@ -94,8 +95,8 @@
 	}
 }
 
-// attainment returns the fraction of a class that completed in time; 1 if the
-// trace has no request of the class.
+// attainment returns the fraction of a class's requests that completed in time,
+// without poison requests; 1 if the trace has none.
 func (sim *simulation) attainment(class string) float64 {
 	all, done := 0, 0
 	for _, o := range sim.outcomes {
@@ -117,8 +118,8 @@
 // wasted fraction to be meaningful.
 const minSlotTime = 5 * time.Second
 
-// countSlotTime adds the slot time of each stage that ran, in the order of the
-// pools, which fixes the order of the floating-point sums.
+// countSlotTime adds the costs and wasted fractions of each stage that ran, in the
+// order of the pools, which fixes the order of the floating-point sums.
 func (m *Result) countSlotTime(outcomes []*outcome, d *Deployment) {
 	total := map[string]time.Duration{}
 	wasted := map[string]time.Duration{}
@@ -225,8 +226,8 @@
 	return sum
 }
 
-// fairShares returns the weighted max-min fair allocation of capacity to the
-// demands of the accounts.
+// fairShares returns, by account, the weighted max-min fair allocation of capacity
+// to the demands. Both are in engine seconds.
 func fairShares(demands []float64, accounts []Account, capacity float64) []float64 {
 	shares := make([]float64, len(demands))
 	remaining := len(demands)
--- a/internal/replay/report.go
+++ b/internal/replay/report.go
@@ -23,8 +23,10 @@
 	Records []Record
 }
 
-// Run replays every scenario under every policy and returns the results in the
-// order of deployments, scenarios and policies.
+// Run replays every selected scenario under every policy and returns the results in
+// the order of deployments, scenarios and policies. It returns an error if the job
+// selects no scenario, or several for its records, or if the records don't match the
+// deployment.
 func Run(j Job) ([]*Result, error) {
 	type traceReplay struct {
 		d       *Deployment
--- a/internal/replay/scenario.go
+++ b/internal/replay/scenario.go
@@ -48,10 +48,10 @@
 // end. Kinds that don't use a field ignore it.
 type Fault struct {
 	Kind           FaultKind
-	Pool           string
-	EveryNth       int // affects each EveryNth server of the pool; 1: all
-	Region         string
-	SlowdownFactor float64
+	Pool           string  // of SlowServers, ServersDown and ServerReplacement
+	EveryNth       int     // affects each EveryNth server of the pool; 1: all
+	Region         string  // of RegionPartition
+	SlowdownFactor float64 // of SlowServers; multiplies service times
 	From, Until    time.Duration
 }
 
@@ -129,7 +129,7 @@
 type generator struct {
 	deployment *Deployment
 	rng        *rand.Rand
-	prefixZipf *rand.Zipf
+	prefixZipf *rand.Zipf // draws Record.Prefix less one
 }
 
 // appendArrivals appends a Poisson stream of rate requests a second. Account is an
@@ -144,6 +144,8 @@
 	}
 }
 
+// newRecord draws a request that arrives at the given time. Account is as in
+// appendArrivals.
 func (g *generator) newRecord(at time.Duration, account int) Record {
 	if account < 0 {
 		account = pickWeighted(g.rng.Float64(), len(g.deployment.Accounts), func(i int) float64 { return g.deployment.Accounts[i].DemandFraction })
--- a/internal/replay/server.go
+++ b/internal/replay/server.go
@@ -14,11 +14,11 @@
 	*eventLoop
 	table.Server
 	slots          int
-	engine         bool
-	down           bool
+	engine         bool    // has a prefix cache and adds the prefill time without a cached prefix
+	down           bool    // no task reaches it
 	slowdown       float64 // multiplies service times; 1: as recorded
 	running        []*task
-	queue          []*task
+	queue          []*task  // next to run first
 	cachedPrefixes []uint64 // least recently used first
 }
 
@@ -35,12 +35,12 @@
 	priority     int
 	seq          int
 	serviceTime  time.Duration
-	prefillTime  time.Duration
-	prefix       uint64
-	poison       bool // crashes the server
-	startedAt    time.Duration
-	endAt        time.Duration
-	prefixCached bool // the prefix was in the cache at the start
+	prefillTime  time.Duration // added on an engine that has not cached the prefix
+	prefix       uint64        // id of the prompt prefix
+	poison       bool          // crashes the server
+	startedAt    time.Duration // virtual time; 0: not started
+	endAt        time.Duration // virtual time of the scheduled end
+	prefixCached bool          // the prefix was in the cache at the start
 	state        taskState
 	done         func(taskResult) // called once, when the task ends
 }
@@ -61,10 +61,11 @@
 	taskRefused                // the queue was full; the task did not start
 	taskUnreachable            // no connection, or the task was still queued at a crash
 	taskCrashed                // the server crashed while the task ran
-	taskCancelled
+	taskCancelled              // the request ended while the task ran
 )
 
-// submit starts a task in a free slot, queues it or rejects it.
+// submit starts a task in a free slot, or queues it. It ends the task at once if the
+// server is down (taskUnreachable) or the queue is full (taskRefused).
 func (s *fakeServer) submit(t *task) {
 	switch {
 	case s.down:
@@ -164,4 +165,5 @@
 	}
 }
 
+// restart makes a server that is down accept tasks again.
 func (s *fakeServer) restart() { s.down = false }
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -16,16 +16,16 @@
 	deployment         *Deployment
 	scenario           Scenario
 	policy             Policy
-	tables             table.Tables // current tables; a release changes them
-	servers            map[string]*fakeServer
-	serverOrder        []*fakeServer // servers in a fixed order, for reproducible reports
+	tables             table.Tables           // current tables; a release changes them
+	servers            map[string]*fakeServer // by address, including replaced ones
+	serverOrder        []*fakeServer          // servers in a fixed order, for reproducible reports
 	hosts              []*fakeHost
 	rand               *clock.Seeded
 	partitionedRegions map[string]bool // regions without a link to any other
 	fullPartition      bool            // no region has a link to another
-	taskSeq            int
-	outcomes           []*outcome
-	clientRetries      []*outcome // not in outcomes
+	taskSeq            int             // task.seq of the task sent last
+	outcomes           []*outcome      // of the requests of the trace
+	clientRetries      []*outcome      // of requests that refused clients sent again; not in outcomes
 }
 
 // outcome is the result of one request.
@@ -38,8 +38,8 @@
 	retryAfter       time.Duration // of a refusal
 	completed        bool
 	latency          time.Duration // of a completed request
-	crossRegionBytes int64
-	slotTimes        []slotTime
+	crossRegionBytes int64         // exchanged with servers in other regions
+	slotTimes        []slotTime    // of the attempts that started
 }
 
 // slotTime is the time that one attempt held a slot, and the cost of its stage.
@@ -56,15 +56,18 @@
 const (
 	reportDelay            = 300 * time.Millisecond // from taking a load report to its receipt
 	tickInterval           = 100 * time.Millisecond // of the decision code
-	refusalsPerClientRetry = 10                     // one client retries, after the delay of the refusal
+	refusalsPerClientRetry = 10                     // of this many refused clients, one on average retries after the delay of the refusal
 	clientRetryJitter      = .1                     // upper bound of the random fraction that it adds to the delay
 )
 
 // epoch is the wall time at the start of a replay.
 var epoch = time.Unix(1_000_000_000, 0)
 
+// time returns the wall time that corresponds to the virtual time, for the decision
+// code.
 func (sim *simulation) time() time.Time { return epoch.Add(sim.now) }
 
+// nextTaskSeq returns the sequence number of a new task.
 func (sim *simulation) nextTaskSeq() int {
 	sim.taskSeq++
 	return sim.taskSeq
@@ -164,6 +167,7 @@
 	return time.Second
 }
 
+// tick runs the periodic updates of each host's decision code.
 func (sim *simulation) tick() {
 	for _, h := range sim.hosts {
 		if h.Tick != nil {
@@ -186,8 +190,11 @@
 	}
 }
 
+// loadReport holds the numbers of running and queued tasks of a server.
 type loadReport struct{ running, queued int }
 
+// deliverReport stores the load of a server at each host whose region has a link to
+// that of the server.
 func (sim *simulation) deliverReport(s *fakeServer, l loadReport) {
 	for _, h := range sim.hosts {
 		if sim.connected(h.Region, s.Region) {
