--- a/internal/faultrun/plan.go
+++ b/internal/faultrun/plan.go
@@ -34,7 +34,7 @@
 // and is undone when EndAfter operations have ended.
 type Step struct {
 	Fault                Fault
-	Target, Peer         int // which host or server; B for faults between two
+	Target, Peer         int // index, from 0, of the host or server; Peer is the other host of a fault between two
 	StartAfter, EndAfter int
 }
 
--- a/internal/faultrun/recorder.go
+++ b/internal/faultrun/recorder.go
@@ -52,9 +52,9 @@
 // Recorder collects the operations of callers and the executions by backend
 // servers in a run. It is safe for concurrent use.
 type Recorder struct {
-	mu         sync.Mutex
-	received   map[string]bool
-	executions map[string]int
+	mu         sync.Mutex      // guards the fields below
+	received   map[string]bool // by token: a backend server started a stage
+	executions map[string]int  // by token
 	operations []Operation
 }
 
@@ -143,6 +143,7 @@
 	return r
 }
 
+// checkOperation adds the outcome and the violations of one operation to r.
 func (rec *Recorder) checkOperation(r *Report, op *Operation) {
 	completed := false
 	for i := range op.Responses {
@@ -187,6 +188,8 @@
 	return false
 }
 
+// addViolation increments count, a field of r.Violations, and adds an example while
+// there are fewer than maxExamples.
 func (rec *Recorder) addViolation(r *Report, count *int, what string, op *Operation) {
 	*count++
 	if len(r.Examples) < maxExamples {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -35,7 +35,7 @@
 
 // Options configure one run.
 type Options struct {
-	Targets     []string      // callers' addresses of entry hosts on loopback
+	Targets     []string      // callers' addresses, host:port, of entry hosts on loopback; used in turn
 	Rate        float64       // requests a second for all targets together
 	Duration    time.Duration // of the arrivals; Run waits for requests in flight after it
 	Seed        uint64        // determines the arrivals and their kinds
@@ -64,14 +64,14 @@
 var ErrNotLoopback = errors.New("load: target is not a loopback address")
 
 const (
-	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3 // of the histograms
-	maxResponseBytes  = 64 << 20
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond) // longer latencies are not recorded
+	significantDigits = 3                                          // of the histograms
+	maxResponseBytes  = 64 << 20                                   // of a response; the rest is not read
 )
 
 // recorder collects the result of one kind of request.
 type recorder struct {
-	mu                 sync.Mutex
+	mu                 sync.Mutex // guards the fields below
 	result             Result
 	latency, firstByte *hdrhistogram.Histogram // microseconds
 }
@@ -98,6 +98,8 @@
 	return results, nil
 }
 
+// validate returns an error for missing options and for targets that are not on this
+// machine (ErrNotLoopback).
 func (o *Options) validate() error {
 	if len(o.Targets) == 0 || len(o.Mix) == 0 || o.Rate <= 0 {
 		return errors.New("load: targets, a mix of requests and a positive rate are required")
@@ -229,8 +231,9 @@
 	r.result.Unsent++
 }
 
-// recordResponse counts a request that was sent. Kind is empty for a complete
-// response, whose latencies from due are recorded.
+// recordResponse counts a request that was sent. Kind is the kind of error, empty for
+// a complete response, whose latencies are recorded: due is the scheduled arrival,
+// first the arrival of the response headers.
 func (r *recorder) recordResponse(kind string, due, first time.Time) {
 	now := time.Now()
 	r.mu.Lock()
--- a/internal/loadctl/loadctl.go
+++ b/internal/loadctl/loadctl.go
@@ -25,11 +25,11 @@
 // options holds the flags of both commands.
 type options struct {
 	targets, requestKinds, account, body string
-	seed                                 int
+	seed                                 int // of load
 	load                                 load.Options
 	overhead                             overhead.Options
-	maxFailed                            float64
-	trafficOutFile, overheadOutFile      string
+	maxFailed                            float64 // fraction of requests, 0 to 1
+	trafficOutFile, overheadOutFile      string  // paths of JSON files; empty: none
 }
 
 // Run parses args, runs the command they name and writes its table to out. The
@@ -104,6 +104,7 @@
 	return mix, nil
 }
 
+// runTraffic sends the traffic and prints a row of results for each kind of request.
 func (o *options) runTraffic(ctx context.Context, out io.Writer) error {
 	mix, err := parseRequestKinds(o.requestKinds, o.account, o.body)
 	if err != nil {
@@ -131,6 +132,7 @@
 	return nil
 }
 
+// runOverhead measures the overhead and prints the report.
 func (o *options) runOverhead(ctx context.Context, out io.Writer) error {
 	r, err := overhead.Measure(ctx, o.overhead)
 	if err != nil {
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -27,14 +27,14 @@
 
 // Options configure one measurement.
 type Options struct {
-	Requests int // on each path
-	Clients  int // concurrent
+	Requests int // recorded requests on each path, direct and through the entry host
+	Clients  int // concurrent clients, among which the requests are divided evenly
 	Stages   int // of the route; a direct request makes as many calls
 	Body     int // bytes of each request
 }
 
-// Report holds latencies in microseconds, and the allocations that an entry host
-// adds to each request.
+// Report holds latencies in microseconds, and the mean number and bytes of the
+// allocations that an entry host adds to each request.
 type Report struct {
 	Options
 	DirectP50    float64 `json:"direct_p50_us"`
@@ -48,9 +48,9 @@
 }
 
 const (
-	interleavedRounds = 20 // direct and entry host calls alternate this often
-	warmupRequests    = 200
-	maxLatencyNanos   = int64(time.Minute / time.Nanosecond)
+	interleavedRounds = 20                                   // rounds; each makes a part of the direct and of the entry host calls
+	warmupRequests    = 200                                  // on each path, not recorded
+	maxLatencyNanos   = int64(time.Minute / time.Nanosecond) // longer latencies are not recorded
 	routePath         = "/v1/echo"
 )
 
@@ -58,9 +58,9 @@
 // the entry host.
 type measurement struct {
 	latencies     *hdrhistogram.Histogram // nanoseconds
-	mu            sync.Mutex
-	allocs, bytes uint64
-	call          func() error
+	mu            sync.Mutex              // guards latencies
+	allocs, bytes uint64                  // allocations of the whole process during the recorded calls
+	call          func() error            // makes one request on the path
 }
 
 // Measure starts an entry host and a backend server in this process and runs the
@@ -101,6 +101,8 @@
 	return newReport(o, direct, viaHost), nil
 }
 
+// newReport returns the latencies of both paths and their differences. The added
+// allocations are the mean of a request.
 func newReport(o Options, direct, viaHost *measurement) Report {
 	r := Report{
 		Options: o, DirectP50: direct.quantileMicros(50), DirectP99: direct.quantileMicros(99),
@@ -117,6 +119,7 @@
 	return &measurement{latencies: hdrhistogram.New(1, maxLatencyNanos, 3), call: call}
 }
 
+// quantileMicros returns the latency, in microseconds, at percentile q (0 to 100).
 func (m *measurement) quantileMicros(q float64) float64 {
 	return float64(m.latencies.ValueAtQuantile(q)) / 1000
 }
@@ -144,6 +147,7 @@
 	return failed
 }
 
+// runClient makes n calls one after the other and returns the first error.
 func (m *measurement) runClient(n int, record bool) error {
 	for range n {
 		start := time.Now()
@@ -160,6 +164,7 @@
 	return nil
 }
 
+// post sends body and discards the response. A status other than 200 is an error.
 func post(client *http.Client, url string, body []byte) error {
 	resp, err := client.Post(url, "application/json", bytes.NewReader(body))
 	if err != nil {
@@ -219,7 +224,8 @@
 	return host, stop, nil
 }
 
-// publishTables publishes a release with one route and one backend server.
+// publishTables publishes a release with a route of the given number of stages, all
+// on the backend server at addr (host:port).
 func publishTables(ctx context.Context, objects *platform.Store, addr string, stages int) error {
 	route := table.Route{
 		Name: "echo", Match: table.Match{Path: routePath}, Deadline: table.Duration(10 * time.Second), Worth: 1, Class: table.Interactive,
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -15,11 +15,11 @@
 // concurrent use; after Close they have no effect.
 type Proxy struct {
 	listener        net.Listener
-	target          string
-	blackholedConns atomic.Int64
+	target          string       // host:port
+	blackholedConns atomic.Int64 // blackholed connections on which bytes to the target were discarded
 
-	mu      sync.Mutex
-	conns   map[*connPair]bool
+	mu      sync.Mutex         // guards the fields below
+	conns   map[*connPair]bool // open connections
 	faults  faults
 	changed chan struct{} // closed when faults changes
 	closed  bool
@@ -38,7 +38,7 @@
 	client, server net.Conn
 	// blackholed is, by direction, whether all further bytes are discarded.
 	blackholed [2]atomic.Bool
-	countOnce  sync.Once
+	countOnce  sync.Once // counts the pair once in Proxy.blackholedConns
 }
 
 // Directions of a connPair.
@@ -47,7 +47,8 @@
 	toClient
 )
 
-// New starts a proxy in front of target (host:port).
+// New starts a proxy in front of target (host:port). The error is that of listening;
+// the target is dialed for each connection only.
 func New(target string) (*Proxy, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -142,6 +143,7 @@
 	return r.faults, r.changed
 }
 
+// forEachPair calls f for each open connection, with mu held.
 func (r *Proxy) forEachPair(f func(*connPair)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -258,6 +260,7 @@
 	}
 }
 
+// closeWrite sends an end of stream and leaves the other direction open.
 func closeWrite(c net.Conn) {
 	if tcp, ok := c.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite() // fails if the other end is closed; there is no one to report it to
