--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -319,7 +319,7 @@
 	return resp, nil
 }
 
-// readResponseHead reads the status and headers of a response, skipping interim responses (1xx).
+// readResponseHeaders reads the status and headers of a response, skipping interim responses (1xx).
 func (c *Client) readResponseHeaders(k *conn, httpReq *http.Request) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(k.reader, httpReq)
--- a/edge/batchers.go
+++ b/edge/batchers.go
@@ -31,6 +31,7 @@
 	ready atomic.Bool
 }
 
+// newBatchers returns the batchers of a host, which do nothing before start and setPlan.
 func newBatchers(h *Host) *batchers {
 	return &batchers{host: h, byService: map[string]*batcher.Batcher{}}
 }
--- a/edge/edge.go
+++ b/edge/edge.go
@@ -56,7 +56,7 @@
 	bootClock clock.Clock       // for the age of platform data; advances during system suspend
 	rand      clock.Rand
 
-	logWriter *logging.AsyncWriter
+	logWriter *logging.AsyncWriter // writes to opts.LogOutput in the background
 	log       *log.Logger
 	logLimits logLimits      // rate limits of lines about requests and stage work
 	meter     *metrics.Meter // counters and gauges, served on /metrics
--- a/process/objectwatch/objectwatch.go
+++ b/process/objectwatch/objectwatch.go
@@ -57,6 +57,7 @@
 // its rate limit is exceeded. Use errors.Is.
 var ErrRefused = errors.New("objectwatch: refused")
 
+// errOlderList is returned for a list that would take the local copy back to an earlier state.
 var errOlderList = errors.New("objectwatch: the list is older than the local copy")
 
 // Options configures a Follower. All fields are required except CoalesceDelay.
