--- a/edge/edge.go
+++ b/edge/edge.go
@@ -82,7 +82,7 @@
 
 	self       peer.Identity          // this host
 	mesh       *peer.Mesh             // connections to the other entry hosts
-	peerSecret atomic.Pointer[string] // shared by all entry hosts; nil before the first registration
+	peerSecret atomic.Pointer[string] // shared by all entry hosts; nil until it is read from the platform
 	// configUnreadable is set while the newest configuration cannot be decoded: the
 	// API keys of the active configuration cannot be confirmed then.
 	configUnreadable atomic.Bool
@@ -94,7 +94,7 @@
 	listeners       struct{ clients, ready, peers, metrics net.Listener }
 	clientServer    *http.Server
 	readinessServer *http.Server
-	operatorServer  *http.Server
+	operatorServer  *http.Server              // metrics and state page
 	stopping        atomic.Bool               // the shutdown has started
 	stopRequested   chan struct{}             // closed when the shutdown starts
 	stopDeadline    atomic.Pointer[time.Time] // when the remaining requests are aborted; nil before the shutdown
