--- a/connection/upstream/upstream.go
+++ b/connection/upstream/upstream.go
@@ -324,7 +324,7 @@
 	for {
 		resp, err := http.ReadResponse(k.reader, httpReq)
 		if err != nil {
-			return nil, fmt.Errorf("read response: %w", err)
+			return nil, fmt.Errorf("read answer: %w", err)
 		}
 		if resp.StatusCode >= 200 || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, nil
