--- a/entryhost/membership.go
+++ b/entryhost/membership.go
@@ -86,8 +86,8 @@
 	return nil
 }
 
-// wireMonitor adds the membership view of the other entry hosts and the sharing
-// of backend server reports.
+// wireMonitor adds the membership view of the other entry hosts, the sharing of
+// backend server reports, and the orders to engines.
 func (h *Host) wireMonitor(mesh *peer.Mesh) {
 	seeds := h.opts.seedAddresses()
 	monitor := membership.New(membership.Options{
@@ -120,7 +120,8 @@
 	return out
 }
 
-// seedAddresses returns the entries of PeerSeeds without blanks.
+// seedAddresses returns the peer addresses of PeerSeeds, to which this host connects
+// first to find the other entry hosts.
 func (o *Options) seedAddresses() []string {
 	var out []string
 	for address := range strings.SplitSeq(o.PeerSeeds, ",") {
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -66,9 +66,10 @@
 // distributor.
 type releaseStatus struct {
 	release.Status
-	Platform *objectapi.Counts `json:"platform_calls,omitempty"`
+	Platform *objectapi.Counts `json:"platform_calls,omitempty"` // numbers of calls; nil for a store other than objectapi.Client
 }
 
+// releaseStatus returns the status of the release distribution.
 func (h *Host) releaseStatus() releaseStatus {
 	status := releaseStatus{Status: h.releases.distributor.Status()}
 	if store, ok := h.store.(*objectapi.Client); ok {
--- a/internal/ctl/diff.go
+++ b/internal/ctl/diff.go
@@ -24,6 +24,7 @@
 	Conflict string `json:"conflict,omitempty"`
 }
 
+// diffCommand shows the edits of a folder without publishing them.
 type diffCommand struct{ base baseFlags }
 
 // registerFlags adds the flags that select the base release of the edit.
--- a/internal/ctl/explain.go
+++ b/internal/ctl/explain.go
@@ -21,6 +21,8 @@
 	}}
 }
 
+// explainCommand shows what a request with the given method, account and headers
+// (Name:value separated by commas) would get.
 type explainCommand struct{ method, account, headers string }
 
 func (c *explainCommand) registerFlags(set *settings.Set) {
--- a/internal/ctl/status.go
+++ b/internal/ctl/status.go
@@ -97,6 +97,7 @@
 // have different releases in force.
 const statusPollInterval = 200 * time.Millisecond
 
+// run shows the status and returns the error of checkAgreement.
 func (c *statusCommand) run(ctx context.Context, env *Env, _ string) error {
 	deadline := time.Now().Add(c.wait)
 	for {
@@ -129,8 +130,8 @@
 	return env.print(list, header, rows)
 }
 
-// checkAgreement returns an error unless all hosts have the same release in
-// force.
+// checkAgreement returns an error unless all hosts respond and have the same release
+// in force.
 func checkAgreement(list []HostStatus) error {
 	unresponsive, withoutRelease := 0, 0
 	releases := map[string]bool{}
@@ -155,6 +156,7 @@
 	return nil
 }
 
+// drainCommand starts the drain of entry hosts and does not wait for its end.
 type drainCommand struct{ all bool }
 
 func (c *drainCommand) registerFlags(set *settings.Set) {
--- a/internal/ctl/tables.go
+++ b/internal/ctl/tables.go
@@ -93,6 +93,7 @@
 	return nil
 }
 
+// applyCommand publishes the edits of a folder as the next release.
 type applyCommand struct{ base baseFlags }
 
 // registerFlags adds the flags that select the base release of the edit.
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -115,6 +115,8 @@
 	return r
 }
 
+// newMeasurement returns an empty measurement of the path on which call makes a
+// request.
 func newMeasurement(call func() error) *measurement {
 	return &measurement{latencies: hdrhistogram.New(1, maxLatencyNanos, 3), call: call}
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -152,6 +152,7 @@
 	}
 }
 
+// acceptLoop handles each new connection in its own goroutine until Close.
 func (r *Proxy) acceptLoop() {
 	for {
 		client, err := r.listener.Accept()
--- a/internal/replay/bound.go
+++ b/internal/replay/bound.go
@@ -144,6 +144,8 @@
 	slotSeconds             []float64 // by stage, as pools
 }
 
+// newDualBound returns the problem for records with all prices zero. Poison requests
+// are left out: they crash each server that runs their last stage, under any policy.
 func newDualBound(d *Deployment, s Scenario, records []Record) *dualBound {
 	b := &dualBound{}
 	poolIndex := map[string]int{}
--- a/internal/replay/deployment.go
+++ b/internal/replay/deployment.go
@@ -72,6 +72,7 @@
 	return s
 }
 
+// newRoute returns a route; worth is the weight of one completed request.
 func newRoute(name string, class table.Class, deadline time.Duration, worth float64, stages ...table.Stage) table.Route {
 	return table.Route{
 		Name: name, Match: table.Match{Path: "/v1/" + name}, Class: class,
--- a/internal/replay/server.go
+++ b/internal/replay/server.go
@@ -45,6 +45,7 @@
 	done         func(taskResult) // called once, when the task ends
 }
 
+// taskState is the progress of a task on the server.
 type taskState int
 
 const (
--- a/internal/replay/simulation.go
+++ b/internal/replay/simulation.go
@@ -49,6 +49,7 @@
 	cost     float64
 }
 
+// addSlotTime adds the time that one attempt held a slot of a stage with that cost.
 func (o *outcome) addSlotTime(stage string, slot time.Duration, cost float64) {
 	o.slotTimes = append(o.slotTimes, slotTime{stage, slot, cost})
 }
--- a/internal/standin/engine/batch.go
+++ b/internal/standin/engine/batch.go
@@ -24,6 +24,8 @@
 	index             int           // in the heap; -1 after removal
 }
 
+// newBatch returns a batch with all slots free. A queueCapacity of 0 refuses every
+// sequence without a free slot.
 func newBatch(slots, queueCapacity int) *batch {
 	return &batch{slots: slots, queueCapacity: queueCapacity}
 }
