--- a/process/stages/serve.go
+++ b/process/stages/serve.go
@@ -98,7 +98,7 @@
 	}
 }
 
-var errStageOrder = errors.New("stages: a stage depends on itself or on a later stage")
+var errStageOrder = errors.New("stages: a stage follows a later one")
 
 // validateStages checks that stages depend on earlier stages only.
 func validateStages(list []Stage) error {
