--- a/entryhost/explain.go
+++ b/entryhost/explain.go
@@ -20,7 +20,8 @@
 }
 
 // StagePlan is the server choice for one stage: Server, or Error if no server
-// can take the stage, and the candidates that it was made from.
+// can take the stage, and the candidates that it was made from. All three are empty
+// if the pool's picker is not a LocalityPicker.
 type StagePlan struct {
 	Stage      string           `json:"stage"`
 	Pool       string           `json:"pool"`
@@ -55,7 +56,9 @@
 	writeJSON(w, out)
 }
 
-// explainRoute adds the admission decision and the server choices of route rt.
+// explainRoute sets the route name, class and admission decision of out and adds a
+// plan for each stage of route rt. A stage whose picker is not a LocalityPicker gets
+// only its name and pool: no Server, Error or Candidates.
 func (h *Host) explainRoute(out *Explanation, rt *snapshot.Route, account string) {
 	now := h.clock.Now()
 	out.Route, out.Class = rt.Name, string(rt.Class)
--- a/entryhost/model_gate.go
+++ b/entryhost/model_gate.go
@@ -22,10 +22,13 @@
 // back. Load reports arrive about once a second.
 const modelGateInterval = 500 * time.Millisecond
 
-// holdBackModels returns a function that sets a pool back to the model version in
-// force if its servers are not ready for a new one. It returns nil on a host that
-// has just started: no release is in force there, and the new one is used as is.
-func (h *Host) holdBackModels() func(*table.Pool) {
+// modelAdjuster returns the snapshot.Options.AdjustPool of one compilation: a function
+// that sets a pool of kind Engine back to the model version in force while too few
+// of its servers have loaded the new one, and then sets modelGate.pending, which
+// modelAdjuster itself clears. Other pools are left unchanged. It returns nil on a
+// host that has just started: no release is in force there, and the new one is used
+// as is.
+func (h *Host) modelAdjuster() func(*table.Pool) {
 	h.releases.modelGate.pending.Store(false)
 	prev := h.inForce.Load()
 	if prev == nil {
--- a/entryhost/releases.go
+++ b/entryhost/releases.go
@@ -84,7 +84,7 @@
 // used; the one in force stays.
 func (h *Host) compile(rel release.Release) (func(), error) {
 	snap, err := snapshot.Build(rel, snapshot.Options{
-		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.holdBackModels(),
+		Registry: h.registry, Now: h.clock.Now(), NewPicker: h.newPicker, AdjustPool: h.modelAdjuster(),
 	})
 	if err != nil {
 		return nil, err
--- a/internal/ctl/quarantine.go
+++ b/internal/ctl/quarantine.go
@@ -11,7 +11,7 @@
 	"bilberrydale/process/quarantine"
 )
 
-// QuarantineEntry is one suspect or quarantined request in the list of an entry
+// QuarantineEntry is one suspected or quarantined request in the list of an entry
 // host.
 type QuarantineEntry struct {
 	Address string `json:"address"` // admin address of the entry host
@@ -23,7 +23,7 @@
 	quarantine.Allowed: "clear", quarantine.Isolated: "alone", quarantine.Refused: "refused",
 }
 
-// quarantineCommands returns the commands on quarantined requests.
+// quarantineCommands returns the commands on suspected and quarantined requests.
 func quarantineCommands() []*command {
 	return []*command{
 		{name: "quarantine list", help: "show the requests that are suspected of crashing backend servers or quarantined", run: quarantineList},
--- a/internal/faultrun/recorder.go
+++ b/internal/faultrun/recorder.go
@@ -32,7 +32,7 @@
 	// its own.
 	Sent string
 	// Belied is true if the response said "not run" although a backend server
-	// had received an earlier send.
+	// had by then started a stage for the token Sent.
 	Belied bool
 	Whole  bool   // complete by the rules that a caller applies
 	Token  string // token found in the body
@@ -100,18 +100,20 @@
 	rec.operations = append(rec.operations, op)
 }
 
-// Violations counts violated guarantees. All counts have to be 0.
+// Violations counts violated guarantees. All counts have to be 0. The JSON names and
+// the rows of Report.Print keep older names: "doubled" for Duplicated, "cut" for
+// Truncated.
 type Violations struct {
 	Lost          int `json:"lost"`            // reported as completed, never executed
 	Duplicated    int `json:"doubled"`         // executed more than once although not repeatable
 	Misdelivered  int `json:"misdelivered"`    // response of another operation
-	WronglyNotRun int `json:"not_run_but_ran"` // reported as not run although received by a server
-	Truncated     int `json:"cut"`             // incomplete response presented as complete
+	WronglyNotRun int `json:"not_run_but_ran"` // reported as not run although a backend server started a stage of it
+	Truncated     int `json:"cut"`             // presented as complete, but the body is not the expected one, as of a truncated response
 }
 
 // Total returns the sum of all counts.
-func (b Violations) Total() int {
-	return b.Lost + b.Duplicated + b.Misdelivered + b.WronglyNotRun + b.Truncated
+func (v Violations) Total() int {
+	return v.Lost + v.Duplicated + v.Misdelivered + v.WronglyNotRun + v.Truncated
 }
 
 // Report is the result of a run.
@@ -119,13 +121,13 @@
 	Seed       uint64         `json:"seed"`
 	Operations int            `json:"operations"`
 	Sends      int            `json:"sends"`
-	Completed  int            `json:"completed"` // operations with a complete response
-	Unknown    int            `json:"unknown"`   // operations whose last response left execution unknown
-	NotRun     int            `json:"not_run"`   // operations whose last response said "not run"
-	NoAnswer   int            `json:"no_answer"` // operations whose last send got no response: the entry host was killed
-	Faults     map[string]int `json:"faults"`    // injected faults by name
-	Kinds      map[string]int `json:"kinds"`     // error responses by kind
-	Violations Violations     `json:"broken"`
+	Completed  int            `json:"completed"`          // operations with a complete and correct response
+	Unknown    int            `json:"unknown"`            // operations whose last response left execution unknown
+	NotRun     int            `json:"not_run"`            // operations whose last response said "not run"
+	NoAnswer   int            `json:"no_answer"`          // operations whose last send got no response: the entry host was killed
+	Faults     map[string]int `json:"faults"`             // injected faults by name
+	Kinds      map[string]int `json:"kinds"`              // by Response.Kind: responses that are neither complete nor violations
+	Violations Violations     `json:"broken"`             // the JSON name is an older one
 	Examples   []string       `json:"examples,omitempty"` // first violations
 }
 
@@ -197,7 +199,8 @@
 	}
 }
 
-// Print writes the report as a table.
+// Print writes the report as a table, then its examples, one a line. A row "refusal K"
+// is the count of kind K in Kinds; "DOUBLED" and "CUT" are Duplicated and Truncated.
 func (r Report) Print(w io.Writer) {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	row := func(name string, v any) { fmt.Fprintf(t, "%s\t%v\n", name, v) }
--- a/internal/overhead/overhead.go
+++ b/internal/overhead/overhead.go
@@ -63,8 +63,9 @@
 	call          func() error            // makes one request on the path
 }
 
-// Measure starts an entry host and a backend server in this process and runs the
-// measurement. It fails if any call fails.
+// Measure starts an entry host and a backend server in this process, makes
+// warmupRequests on the direct path and on the one through the entry host, and then
+// alternates between the paths for interleavedRounds. It fails if any call fails.
 func Measure(ctx context.Context, o Options) (Report, error) {
 	server := httptest.NewServer(http.HandlerFunc(serveEcho))
 	defer server.Close()
@@ -73,7 +74,7 @@
 		return Report{}, err
 	}
 	defer stop()
-	callers, _ := host.Addresses()
+	callerAddress, _ := host.Addresses()
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.Clients}}
 	defer client.CloseIdleConnections()
 	body := bytes.Repeat([]byte("a"), o.Body)
@@ -85,7 +86,7 @@
 		}
 		return nil
 	})
-	viaHost := newMeasurement(func() error { return post(client, "http://"+callers+routePath, body) })
+	viaHost := newMeasurement(func() error { return post(client, "http://"+callerAddress+routePath, body) })
 	for _, m := range []*measurement{direct, viaHost} {
 		if err := m.run(warmupRequests, o.Clients, false); err != nil {
 			return Report{}, err
--- a/internal/standin/platform/store.go
+++ b/internal/standin/platform/store.go
@@ -93,15 +93,15 @@
 	revision uint64
 }
 
-// Backup returns a copy of the current state for Restore.
+// Backup returns a copy of the objects and the revision for Restore.
 func (s *Store) Backup() Backup {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return Backup{objects: maps.Clone(s.objects), revision: s.revision}
 }
 
-// Restore restores an earlier state including its revision, as operators of the
-// platform do after a loss of data.
+// Restore restores the objects and the revision of an earlier Backup, as operators of
+// the platform do after a loss of data.
 func (s *Store) Restore(b Backup) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
