--- a/connection/backend/http.go
+++ b/connection/backend/http.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// headerCapacity is the number of headers for which an attempt allocates space.
+// headerCapacity is the initial capacity of the header map and value array of a call. It covers
+// the headers that newRequest sets; both grow if there are more.
 const headerCapacity = 16
 
 // newRequest builds the HTTP request of a call.
--- a/process/admission/tick.go
+++ b/process/admission/tick.go
@@ -10,10 +10,12 @@
 // counts are estimates and therefore not whole numbers.
 type PoolLoad struct {
 	Pool string // name
-	// Slots counts the slots of usable servers, times their weights, in this
-	// host's region, and a part of the free slots in other regions. If the region
-	// has no usable server, it counts all slots of the other regions; 0 means
-	// that these have none either.
+	// Slots counts the slots of the usable servers in this host's region, and half
+	// of the free slots in other regions, up to the load above which their servers
+	// get no spillover. If the region has no usable server, it counts all slots of
+	// the other regions; 0 means that these have none either. A slot is one request
+	// that a server runs concurrently; the slots of each server are multiplied by
+	// its configured weight.
 	Slots       float64
 	InFlight    float64 // requests running or queued on the usable servers of that region or regions
 	OwnInFlight float64 // of those, sent by this host
--- a/process/batcher/queue.go
+++ b/process/batcher/queue.go
@@ -61,17 +61,18 @@
 // Configure replaces the options.
 func (q *Queue) Configure(opts Options) { q.opts = opts }
 
-// SetServers replaces the servers. State of servers that stay is kept. oneWay returns the
-// one-way network latency to a server.
+// SetServers replaces the servers. State of servers that stay is kept; a server with a new
+// LocalState, for example one that restarted under its ID, counts as new. oneWay returns
+// the one-way network latency to a server.
 func (q *Queue) SetServers(list []*directory.Server, oneWay func(*directory.Server) time.Duration) {
 	next := make(map[string]*server, len(list))
-	for _, d := range list {
-		s := q.servers[d.ID]
-		if s == nil || s.LocalState != d.LocalState {
-			s = &server{slowdown: 1}
+	for _, listed := range list {
+		state := q.servers[listed.ID]
+		if state == nil || state.LocalState != listed.LocalState {
+			state = &server{slowdown: 1}
 		}
-		s.Server, s.oneWayLatency = d, oneWay(d)
-		next[d.ID] = s
+		state.Server, state.oneWayLatency = listed, oneWay(listed)
+		next[listed.ID] = state
 	}
 	q.servers = next
 }
@@ -175,8 +176,9 @@
 	return out
 }
 
-// sendLead covers the variance of call times. A call that arrives early waits in the
-// server's queue; one that arrives late leaves the server idle.
+// sendLead is how much earlier, beyond the round trip, a call is sent than a running call
+// is expected to end. It covers the variance of call times: a call that arrives early
+// waits in the server's queue; one that arrives late leaves the server idle.
 const sendLead = 10 * time.Millisecond
 
 // freeServers returns the servers that can take a call now, in ascending order of slowdown.
--- a/process/claim/claim.go
+++ b/process/claim/claim.go
@@ -31,11 +31,11 @@
 	Unknown
 	// BodyMismatch: the key was used with another method, path or body.
 	BodyMismatch
-	// Unavailable: the claim could be neither written nor read. This call
-	// started nothing.
+	// Unavailable: the platform did not confirm the claim, or the table of keys
+	// on this host is full. This call started nothing.
 	Unavailable
 	// UnknownTicket: the key is a ticket that is malformed, forged or expired,
-	// or whose issuing incarnation has ended or cannot be reached. RetryAfter
+	// or the incarnation that minted it has ended or cannot be reached. RetryAfter
 	// is set if a retry may succeed.
 	UnknownTicket
 )
@@ -76,7 +76,7 @@
 	Release(ctx context.Context, key Key)
 	// MarkUnknown records that the request may have run with unknown outcome.
 	MarkUnknown(ctx context.Context, key Key)
-	// MintTicket returns a ticket for the client account: a key that is
+	// MintTicket issues ("mints") a ticket for the client account: a key that is
 	// claimed in the memory of this incarnation of the entry host instead of
 	// on the platform. An empty ticket means that tickets are not supported.
 	MintTicket(ctx context.Context, account string) (string, error)
--- a/process/claim/manager.go
+++ b/process/claim/manager.go
@@ -66,7 +66,10 @@
 // shutdown and returns the error of ctx if that ends first.
 func (m *Manager) Flush(ctx context.Context) error { return m.committer.flushOutcomes(ctx) }
 
-// Begin implements Claims.
+// Begin implements Claims. A key or ticket in the table gets the result of its state
+// there. A new key is claimed on the platform. A new, valid ticket is granted if this
+// incarnation minted it; otherwise the right to run it once is borrowed from its
+// minter. A claim or loan with an unknown outcome is requested again.
 func (m *Manager) Begin(ctx context.Context, key Key) Result {
 	id := key.ID()
 	var ticket *Ticket
--- a/process/claim/record.go
+++ b/process/claim/record.go
@@ -59,7 +59,8 @@
 	PartiallyRan bool `msgpack:"Part"` // an earlier claim of the key ended as OutcomePartial
 }
 
-// allowsReclaim reports whether the claim was released so that o may replace it.
+// allowsReclaim reports whether only repeatable stages of the claimed request ran
+// (OutcomePartial), so that o, with the same body, may replace the claim.
 func (r *Record) allowsReclaim(o *Record) bool {
 	return r.Outcome == OutcomePartial && r.Body == o.Body
 }
--- a/process/directory/directory.go
+++ b/process/directory/directory.go
@@ -1,5 +1,5 @@
 // Package directory holds the backend servers that the platform lists, together with what
-// this host has observed of each. Readers load an immutable view without locking; only the code
+// this host knows of each. Readers load an immutable view without locking; only the code
 // that follows the platform's lists publishes new ones.
 package directory
 
@@ -28,7 +28,7 @@
 	StartedUnixMS int64         // start time by the server's own clock, in Unix milliseconds
 }
 
-// Server is a listed backend server with this host's observations of it. It is immutable
+// Server is a listed backend server with this host's state of it. It is immutable
 // except for the LocalState; a changed entry makes a new Server that shares the
 // LocalState.
 type Server struct {
@@ -45,16 +45,18 @@
 // AcceptsWork reports whether the server may get new work.
 func (s *Server) AcceptsWork() bool { return !s.Draining && !s.Evacuated }
 
-// LocalState is what this host has observed of a backend server. It is safe for concurrent
-// use.
+// LocalState is what this host knows of a backend server, from its own calls, the server's
+// load reports and the platform's list. It is safe for concurrent use.
 type LocalState struct {
 	InFlight atomic.Int64 // requests of this host in flight at the server; callers count them
 	// running and waiting are the requests in the server's last load report.
-	running, waiting    atomic.Int64
-	reportedAt          atomic.Int64 // Unix nanoseconds of the caller's clock; 0: never
-	backoffUntil        atomic.Int64 // Unix nanoseconds; 0: no backoff
-	lastFailureAt       atomic.Int64 // Unix nanoseconds; 0: never
-	coldUntil           atomic.Int64 // Unix nanoseconds, from the list; 0: not cold
+	running, waiting atomic.Int64
+	reportedAt       atomic.Int64 // Unix nanoseconds by the clock of RecordLoad's caller; 0: never
+	backoffUntil     atomic.Int64 // Unix nanoseconds; 0: no backoff
+	lastFailureAt    atomic.Int64 // Unix nanoseconds; 0: never
+	// coldUntil is the end of the time, from the platform's list, for which the server is
+	// still slow after its start (cold), in Unix nanoseconds; 0: not cold.
+	coldUntil           atomic.Int64
 	consecutiveFailures atomic.Int64 // calls of RecordFailure since the last RecordSuccess
 	delisted            atomic.Bool  // see Delisted
 
--- a/process/loadreport/status.go
+++ b/process/loadreport/status.go
@@ -189,7 +189,7 @@
 			h, ok = byKey[rec.target.State.Name]
 		}
 		if ok {
-			p.updateListed(rec, h.State == objectapi.HostLeaving)
+			p.updateListedLeaving(rec, h.State == objectapi.HostLeaving)
 		}
 	}
 }
@@ -200,9 +200,10 @@
 	return err == nil
 }
 
-// updateListed records whether the platform's host list says that the server is
-// leaving.
-func (p *Poller) updateListed(rec *serverRecord, leaving bool) {
+// updateListedLeaving records whether the server is leaving according to the platform's host
+// list. It does nothing if that has not changed, since setListedLeaving increases the version
+// of the status and sends it to the other hosts.
+func (p *Poller) updateListedLeaving(rec *serverRecord, leaving bool) {
 	p.mu.Lock()
 	same := rec.status.ListedLeaving == leaving
 	p.mu.Unlock()
--- a/process/objectapi/backoff.go
+++ b/process/objectapi/backoff.go
@@ -35,8 +35,9 @@
 	return !b.clock.Now().Before(b.pausedUntil)
 }
 
-// recordResult doubles the pause if the call was rate-limited and resets it after
-// a success.
+// recordResult starts a pause if the call was rate-limited: twice as long as the
+// last one, between minPause and maxPause, of which jitter takes off up to half. A
+// success resets the length but does not end a pause; other errors change nothing.
 func (b *rateBackoff) recordResult(err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/process/objectwatch/objectwatch.go
+++ b/process/objectwatch/objectwatch.go
@@ -290,7 +290,8 @@
 	f.opts.OnConfirmed(confirmedAt)
 }
 
-// recordFailure counts a failed step and reports the first one.
+// recordFailure counts a failed request to the source and reports the first failure after a
+// success to OnLost.
 func (f *Follower[T]) recordFailure(err error) {
 	f.failures++
 	if f.failingSince.IsZero() {
@@ -299,8 +300,8 @@
 	}
 }
 
-// backOff waits after a failed step until a backoff time, which doubles with each failure up to
-// maxBackoff, has passed since the step started. A step that failed only after a longer wait needs
+// backOff waits after a failed request until a backoff time, which doubles with each failure up to
+// maxBackoff, has passed since the request started. One that failed only after a longer wait needs
 // no further pause, because its source responds as soon as there are changes.
 func (f *Follower[T]) backOff(ctx context.Context, started time.Time) {
 	d := time.Duration((0.5 + f.opts.Rand.Float64()/2) * float64(min(minBackoff<<min(f.failures, 5), maxBackoff)))
--- a/process/objectwatch/serve.go
+++ b/process/objectwatch/serve.go
@@ -36,12 +36,15 @@
 type peerResponse[T any] struct {
 	Objects []peerObject[T] // all objects for a list, the changes for a watch
 	AsOf    Revision        // revision that Objects leads to
-	AgeUS   int64           // microseconds from the last confirmation of the copy to the response
+	// AgeUS is the time in microseconds from the last confirmation of the copy to the response: from
+	// the latest time up to which the source of the responding host has confirmed that the copy
+	// contains every change (see Options.OnConfirmed).
+	AgeUS int64
 	// AgeAtRequestUS is the time in microseconds from the last confirmation of the copy to the
 	// arrival of the request; it is negative if the copy was confirmed later. It does not depend on
 	// when the response is sent, because the host may be suspended in between.
 	AgeAtRequestUS int64
-	HistoryGone    bool   // the changes after From are no longer kept
+	HistoryGone    bool   // the changes after peerRequest.From are no longer kept
 	Listed         bool   // false: the responding host has no list yet, and only this field is valid
 	Compressed     []byte // a compressed list, in place of Objects
 }
--- a/process/quarantine/shared_guard.go
+++ b/process/quarantine/shared_guard.go
@@ -32,7 +32,9 @@
 	MaxRecords   int           // maximum number of records in memory
 }
 
-// DefaultOptions returns the default options.
+// DefaultOptions returns the default options: a request is a suspect for two minutes after
+// a crash. Its second crash quarantines it for ten minutes; if another server, on which it
+// did not run, crashed within two seconds of the second, only its third does.
 func DefaultOptions() Options {
 	return Options{
 		MaxCrashes: 2, SuspectDuration: 2 * time.Minute, QuarantineDuration: 10 * time.Minute, CrashMergeWindow: 2 * time.Second, MaxDeadDuration: time.Second,
--- a/process/release/merge.go
+++ b/process/release/merge.go
@@ -116,6 +116,7 @@
 	return &draft{number: d.number, rows: maps.Clone(d.rows), deletions: maps.Clone(d.deletions)}
 }
 
+// sortedRows returns the draft's rows, sorted by key.
 func (d *draft) sortedRows() []Row { return sortedRows(d.rows) }
 
 // recentDeletions returns the latest deletions, newest first and then by key.
--- a/process/release/wire.go
+++ b/process/release/wire.go
@@ -50,7 +50,7 @@
 }
 
 // fetchResponse carries a release, either as the rows changed since BaseNumber
-// or with all rows (BaseNumber 0).
+// or with all rows (BaseNumber 0). Fields without a comment are those of Release.
 type fetchResponse struct {
 	_msgpack      struct{} `msgpack:",as_array"`
 	Number        uint64
@@ -59,7 +59,7 @@
 	PreviousHash  string
 	Author        string
 	Note          string
-	TimeMillis    int64  // unix milliseconds
+	TimeMillis    int64  // Release.Time, in Unix milliseconds
 	AgeMicros     int64  // since the release was accepted, at the time of sending
 	ServiceMicros int64  // between receiving the request and sending this response
 	BaseNumber    uint64 // release that Delta is relative to; 0: none
--- a/request/gateway/prompt.go
+++ b/request/gateway/prompt.go
@@ -26,6 +26,10 @@
 
 // kvSourceAddress returns the address (host:port) of the server from which the server "to" fetches
 // the KV cache of the shared prompt prefix. Empty: it computes the prefix itself.
+//
+// The second candidate is the server that was chosen with the stage results, in case the request
+// runs elsewhere: the choice counts that server as a holder of the prefix from then on.
+// kvTransferTime(1) > 0 means that the engines of the service can transfer KV caches at all.
 func (x *exchange) kvSourceAddress(to *directory.Server, now time.Time) string {
 	for _, id := range []string{x.kvSource, x.preferredServer} {
 		s := x.opts.Directory.View().Server(id)
--- a/request/pipeline/attempt.go
+++ b/request/pipeline/attempt.go
@@ -198,10 +198,13 @@
 	}
 }
 
-// canRetryAfter reports whether the stage may be attempted again after err, and takes a
-// retry from the pool's budget if it needs one. A non-repeatable stage is not attempted
-// again once a byte of it may have been sent, unless the server did not start it.
-func (x *execution) canRetryAfter(st *snapshot.Stage, err error) bool {
+// acquireRetryAfter reports whether the stage may be attempted again after err, and takes
+// a retry from the pool's budget unless nothing was sent to a server. The attempts are
+// limited by maxAttemptNumber and Options.MaxAttempts. A non-repeatable stage is not
+// attempted again once a byte of it may have been sent, unless the server did not start
+// it. A response with a status below 500 is final, unless the server did not start the
+// stage.
+func (x *execution) acquireRetryAfter(st *snapshot.Stage, err error) bool {
 	var be *backend.Error
 	if !errors.As(err, &be) {
 		return false
--- a/request/pipeline/once.go
+++ b/request/pipeline/once.go
@@ -74,7 +74,7 @@
 		}
 		x.nonRepeatableMayHaveRun = x.nonRepeatableMayHaveRun || mayHaveStarted(o.err)
 		lastErr = x.classifyError(ctx, st, o.err)
-		if !x.canRetryAfter(st, o.err) {
+		if !x.acquireRetryAfter(st, o.err) {
 			return nil, lastErr
 		}
 	}
--- a/request/pipeline/repeatable.go
+++ b/request/pipeline/repeatable.go
@@ -89,7 +89,7 @@
 // the error of the stage if no attempt is in flight any more.
 func (r *hedgedStage) handleFailure(o attemptResult) *errkind.Error {
 	r.lastErr = r.classifyError(r.ctx, r.st, o.err)
-	if r.canRetryAfter(r.st, o.err) {
+	if r.acquireRetryAfter(r.st, o.err) {
 		err := r.startNext()
 		if err == nil {
 			return nil
--- a/request/pipeline/streamed.go
+++ b/request/pipeline/streamed.go
@@ -156,7 +156,7 @@
 		}
 		return false
 	default:
-		return s.canRetryAfter(s.st, err)
+		return s.acquireRetryAfter(s.st, err)
 	}
 }
 
